--- a/cmd/weldctl/rollout_test.go
+++ b/cmd/weldctl/rollout_test.go
@@ -34,7 +34,7 @@
 	switch {
 	case r.Method == http.MethodGet:
 		list := control.RolloutList{Rollouts: []protocol.Rollout{rollout}}
-		if !rollout.Stage.Over() {
+		if !rollout.Stage.Final() {
 			list.Progress = []protocol.RolloutProgress{{Rollout: rollout, LeftMS: 41_230, Share: 0.045, New: 40, NewFailed: 1, Old: 800, OldFailed: 3, Failures: 0.25, OldRunning: 17}}
 		}
 		_ = json.NewEncoder(w).Encode(list)
--- a/coordination/backpressure/backpressure_test.go
+++ b/coordination/backpressure/backpressure_test.go
@@ -74,7 +74,7 @@
 	told    time.Time // told is when the first answer with a limit came; zero before.
 	answers []time.Time
 	turn    int // turn is whose turn among the control instances it is to be asked while none leads.
-	marks   []protocol.PassedMark
+	marks   []protocol.SharedLimitsVersion
 }
 
 // fleet is gateways, control instances and a leader before one server.
@@ -102,7 +102,7 @@
 }
 
 func (f *fleet) join() {
-	m := &member{limits: NewLimits(WithChance(f.rnd.Float64)), life: f.rnd.Uint64(), next: f.now.Add(f.after()), marks: make([]protocol.PassedMark, controls)}
+	m := &member{limits: NewLimits(WithChance(f.rnd.Float64)), life: f.rnd.Uint64(), next: f.now.Add(f.after()), marks: make([]protocol.SharedLimitsVersion, controls)}
 	f.members = append(f.members, m)
 	for _, m := range f.members {
 		m.limits.SetGateways(len(f.members))
@@ -196,7 +196,7 @@
 	if m.cut || f.rnd.Float64() < f.loss {
 		return
 	}
-	reply := f.passed[m.turn].Answer(&protocol.PassedMsg{Held: m.marks[m.turn], Heard: m.limits.Words(f.now)}, f.now)
+	reply := f.passed[m.turn].Answer(&protocol.SharedLimitsMsg{Held: m.marks[m.turn], Heard: m.limits.Words(f.now)}, f.now)
 	if f.rnd.Float64() >= f.loss {
 		m.limits.TakePassed(reply.Heard, f.now)
 		m.marks[m.turn] = reply.Holds
@@ -329,7 +329,7 @@
 func TestOlderWordsAreOverruled(t *testing.T) {
 	b, l := NewBook(), NewLimits()
 	named := protocol.RateLimit{Named: true, PerSecond: 3}
-	b.Answer(&protocol.LimitsMsg{Gateway: "other", Heard: []protocol.HeardLimit{{Server: "s", Limit: named}}}, 1, start)
+	b.Answer(&protocol.LimitsMsg{Gateway: "other", Heard: []protocol.ReportedLimit{{Server: "s", Limit: named}}}, 1, start)
 	exchange := func(now time.Time) {
 		m, _ := l.Report(now)
 		reply := b.Answer(&m, 1, now)
@@ -402,11 +402,11 @@
 // TestPermitsNeedCounts checks that a leader gives a gateway no permits before it knows what
 // that one sent, and counts what was sent without a permit.
 func TestPermitsNeedCounts(t *testing.T) {
-	named := []protocol.HeardLimit{{Server: "s", Limit: protocol.RateLimit{Named: true, PerSecond: 2}}}
+	named := []protocol.ReportedLimit{{Server: "s", Limit: protocol.RateLimit{Named: true, PerSecond: 2}}}
 	ask := func(b *Book, m protocol.LimitsMsg, now time.Time) int {
 		m.Gateway, m.Heard = "g", named
 		if m.Wants == nil {
-			m.Wants = []protocol.PermitWant{{Server: "s", Count: 1}}
+			m.Wants = []protocol.PermitRequest{{Server: "s", Count: 1}}
 		}
 		return b.Answer(&m, 1, now).Grants[0].Count
 	}
@@ -420,7 +420,7 @@
 	if n := ask(b, protocol.LimitsMsg{Sent: counted}, now); n != 1 {
 		t.Errorf("%d permits to a gateway whose requests are counted; want 1", n)
 	}
-	ask(b, protocol.LimitsMsg{Wants: []protocol.PermitWant{{Server: "s", Alone: 4}}}, now)
+	ask(b, protocol.LimitsMsg{Wants: []protocol.PermitRequest{{Server: "s", Alone: 4}}}, now)
 	if n := ask(b, protocol.LimitsMsg{}, now.Add(time.Second)); n != 0 {
 		t.Errorf("%d permits a second behind 4 requests without one", n)
 	}
@@ -477,11 +477,11 @@
 func BenchmarkAnswer(b *testing.B) {
 	const servers, gateways, wants = 600, 360, 5
 	book, now := NewBook(), start
-	var heard []protocol.HeardLimit
+	var heard []protocol.ReportedLimit
 	var counted []protocol.SentRequests
 	for s := range servers {
 		id := "server-" + strconv.Itoa(s)
-		heard = append(heard, protocol.HeardLimit{Server: id, Limit: protocol.RateLimit{Named: true, PerSecond: 2}})
+		heard = append(heard, protocol.ReportedLimit{Server: id, Limit: protocol.RateLimit{Named: true, PerSecond: 2}})
 		counted = append(counted, protocol.SentRequests{Server: id})
 	}
 	for g := range gateways {
@@ -492,7 +492,7 @@
 		now = now.Add(time.Millisecond)
 		m := protocol.LimitsMsg{Gateway: strconv.Itoa(n % gateways), Term: 1, Held: book.Change()}
 		for w := range wants {
-			m.Wants = append(m.Wants, protocol.PermitWant{Server: heard[(n*wants+w)%servers].Server, Count: 1})
+			m.Wants = append(m.Wants, protocol.PermitRequest{Server: heard[(n*wants+w)%servers].Server, Count: 1})
 		}
 		book.Answer(&m, 1, now)
 	}
--- a/coordination/backpressure/book.go
+++ b/coordination/backpressure/book.go
@@ -79,7 +79,7 @@
 }
 
 // hear takes what a server said to a gateway, unless it said something else since.
-func (b *Book) hear(h *protocol.HeardLimit, now time.Time) {
+func (b *Book) hear(h *protocol.ReportedLimit, now time.Time) {
 	said := now.Add(-h.Ago)
 	e := b.entries[h.Server]
 	if e == nil {
@@ -111,7 +111,7 @@
 	e.counts[by] = true
 	for age, n := range row.Slots {
 		if n > 0 {
-			e.recent = append(e.recent, count{n, now.Add(-time.Duration(age) * protocol.SentSlot)})
+			e.recent = append(e.recent, count{n, now.Add(-time.Duration(age) * protocol.SentInterval)})
 		}
 	}
 }
@@ -160,7 +160,7 @@
 }
 
 // grant gives permits to a gateway. One whose earlier requests are not counted gets none.
-func (b *Book) grant(by lifeOf, w *protocol.PermitWant, now time.Time) protocol.PermitGrant {
+func (b *Book) grant(by lifeOf, w *protocol.PermitRequest, now time.Time) protocol.PermitGrant {
 	g := protocol.PermitGrant{Server: w.Server, Lasts: PermitLasts}
 	e := b.entries[w.Server]
 	if e == nil || !e.limit.Named {
--- a/coordination/backpressure/limits.go
+++ b/coordination/backpressure/limits.go
@@ -218,7 +218,7 @@
 	m.Term, m.Held = l.term, l.held
 	for server, s := range l.servers {
 		if !s.reported {
-			m.Heard = append(m.Heard, protocol.HeardLimit{Server: server, Limit: s.limit, Ago: now.Sub(s.said)})
+			m.Heard = append(m.Heard, protocol.ReportedLimit{Server: server, Limit: s.limit, Ago: now.Sub(s.said)})
 		}
 		if !s.limit.Named {
 			continue
@@ -250,9 +250,9 @@
 // want returns the permits that are to be asked for. None are asked for in advance: where
 // requests for one server are rare at each of many gateways, most of those would expire
 // while others lack them.
-func (s *limited) want(server string, now time.Time) protocol.PermitWant {
+func (s *limited) want(server string, now time.Time) protocol.PermitRequest {
 	count := max(0, s.lacking-s.expire(now))
-	w := protocol.PermitWant{Server: server, Count: count, Back: s.back}
+	w := protocol.PermitRequest{Server: server, Count: count, Back: s.back}
 	s.reporting = s.alone
 	if s.counted {
 		w.Alone = s.alone // Else they are among what was sent.
--- a/coordination/backpressure/passed.go
+++ b/coordination/backpressure/passed.go
@@ -33,35 +33,35 @@
 
 // Answer takes what servers said to a gateway and returns what the gateway lacks of what
 // they said to others.
-func (p *Passed) Answer(m *protocol.PassedMsg, now time.Time) protocol.PassedReply {
+func (p *Passed) Answer(m *protocol.SharedLimitsMsg, now time.Time) protocol.SharedLimitsReply {
 	maps.DeleteFunc(p.limits, func(_ string, l passedLimit) bool { return now.Sub(l.said) > passedKept })
 	held := m.Held.Change
 	if m.Held.Incarnation != p.incarnation {
 		held = 0
 	}
-	reply := protocol.PassedReply{Heard: p.since(held, now)}
+	reply := protocol.SharedLimitsReply{Heard: p.since(held, now)}
 	for i := range m.Heard {
 		p.hear(&m.Heard[i], now)
 	}
-	reply.Holds = protocol.PassedMark{Incarnation: p.incarnation, Change: p.change}
+	reply.Holds = protocol.SharedLimitsVersion{Incarnation: p.incarnation, Change: p.change}
 	return reply
 }
 
 // since returns the limits that changed behind a change.
-func (p *Passed) since(change uint64, now time.Time) (list []protocol.HeardLimit) {
+func (p *Passed) since(change uint64, now time.Time) (list []protocol.ReportedLimit) {
 	if change == p.change {
 		return nil
 	}
 	for server, l := range p.limits {
 		if l.change > change {
-			list = append(list, protocol.HeardLimit{Server: server, Limit: l.limit, Ago: now.Sub(l.said)})
+			list = append(list, protocol.ReportedLimit{Server: server, Limit: l.limit, Ago: now.Sub(l.said)})
 		}
 	}
 	return list
 }
 
 // hear takes what a server said to a gateway, unless it said something else since.
-func (p *Passed) hear(h *protocol.HeardLimit, now time.Time) {
+func (p *Passed) hear(h *protocol.ReportedLimit, now time.Time) {
 	l, known := p.limits[h.Server]
 	said := now.Add(-h.Ago)
 	if known && said.Before(l.said) {
@@ -78,10 +78,10 @@
 // Words returns the limits that servers named, or took back, in answers to this gateway.
 // The gateway reports all of them while no leader answers, also those that a leader had:
 // it may have told only some gateways before it failed.
-func (l *Limits) Words(now time.Time) (list []protocol.HeardLimit) {
+func (l *Limits) Words(now time.Time) (list []protocol.ReportedLimit) {
 	for server, s := range l.servers {
 		if s.heard {
-			list = append(list, protocol.HeardLimit{Server: server, Limit: s.limit, Ago: now.Sub(s.said)})
+			list = append(list, protocol.ReportedLimit{Server: server, Limit: s.limit, Ago: now.Sub(s.said)})
 		}
 	}
 	return list
@@ -90,14 +90,14 @@
 // TakePassed takes what servers said to other gateways, and reports whether a limit changed
 // by it. A later answer of the server to this gateway overrides it. The next leader gets it
 // with the gateway's report.
-func (l *Limits) TakePassed(rows []protocol.HeardLimit, now time.Time) (changed bool) {
+func (l *Limits) TakePassed(rows []protocol.ReportedLimit, now time.Time) (changed bool) {
 	for i := range rows {
 		changed = l.takePassed(&rows[i], now) || changed
 	}
 	return changed
 }
 
-func (l *Limits) takePassed(row *protocol.HeardLimit, now time.Time) bool {
+func (l *Limits) takePassed(row *protocol.ReportedLimit, now time.Time) bool {
 	s, said := l.servers[row.Server], now.Add(-row.Ago)
 	if s == nil && !row.Limit.Named || s != nil && !said.After(s.said) {
 		return false
--- a/coordination/backpressure/passed_test.go
+++ b/coordination/backpressure/passed_test.go
@@ -34,7 +34,7 @@
 		l := NewLimits()
 		l.Heard("s", limitOfTwo, start)
 		now := start.Add(2 * time.Second)
-		l.TakePassed([]protocol.HeardLimit{{Server: "s", Limit: protocol.RateLimit{Named: true, PerSecond: 9}, Ago: ago}}, now)
+		l.TakePassed([]protocol.ReportedLimit{{Server: "s", Limit: protocol.RateLimit{Named: true, PerSecond: 9}, Ago: ago}}, now)
 		if got := l.Limit("s"); got != want {
 			t.Errorf("an answer of %v ago, 2 s behind the gateway's own: goes by %+v, want %+v", ago, got, want)
 		}
@@ -45,11 +45,11 @@
 // knows to a gateway which holds a mark of the start before, and forgets limits in time.
 func TestPassedStartsAnew(t *testing.T) {
 	p := NewPassed(2)
-	p.Answer(&protocol.PassedMsg{Heard: []protocol.HeardLimit{{Server: "s", Limit: limitOfTwo}}}, start)
-	if reply := p.Answer(&protocol.PassedMsg{Held: protocol.PassedMark{Incarnation: 1, Change: 1}}, start); len(reply.Heard) != 1 {
+	p.Answer(&protocol.SharedLimitsMsg{Heard: []protocol.ReportedLimit{{Server: "s", Limit: limitOfTwo}}}, start)
+	if reply := p.Answer(&protocol.SharedLimitsMsg{Held: protocol.SharedLimitsVersion{Incarnation: 1, Change: 1}}, start); len(reply.Heard) != 1 {
 		t.Errorf("told %+v", reply.Heard)
 	}
-	if reply := p.Answer(&protocol.PassedMsg{}, start.Add(passedKept+time.Second)); len(reply.Heard) > 0 {
+	if reply := p.Answer(&protocol.SharedLimitsMsg{}, start.Add(passedKept+time.Second)); len(reply.Heard) > 0 {
 		t.Errorf("told %+v long after", reply.Heard)
 	}
 }
--- a/coordination/backpressure/sent.go
+++ b/coordination/backpressure/sent.go
@@ -7,7 +7,7 @@
 )
 
 // sentSlots cover the window.
-const sentSlots = int(Window / protocol.SentSlot)
+const sentSlots = int(Window / protocol.SentInterval)
 
 // sent counts the requests that a gateway sent to one server of late.
 type sent struct {
@@ -36,7 +36,7 @@
 
 // forget drops what lies behind the window.
 func (s *sent) forget(now time.Time) {
-	latest := now.UnixNano() / int64(protocol.SentSlot)
+	latest := now.UnixNano() / int64(protocol.SentInterval)
 	s.last = max(s.last, latest-int64(sentSlots))
 	for s.last < latest {
 		s.last++
--- a/coordination/limit/coordinator.go
+++ b/coordination/limit/coordinator.go
@@ -69,7 +69,7 @@
 	left := slots
 	for i := range total {
 		left -= given[i][protocol.ClassRegular] + given[i][protocol.ClassLow]
-		for class := range protocol.Classes {
+		for class := range protocol.NumClasses {
 			c.split(limiters, total[i].Workspace, class, given[i][class])
 		}
 	}
@@ -117,7 +117,7 @@
 				sums[row.Workspace] = s
 			}
 			s.Share = max(s.Share, row.Share)
-			for class := range protocol.Classes {
+			for class := range protocol.NumClasses {
 				s.Running[class] += row.Running[class]
 				s.Queued[class] += row.Queued[class]
 			}
@@ -160,9 +160,9 @@
 
 // divide shares slots out between workspaces: by their shares for regular
 // requests, and what is left likewise for those of low priority.
-func divide(slots int, rows []protocol.Demand) [][protocol.Classes]int {
-	given := make([][protocol.Classes]int, len(rows))
-	for class := range protocol.Classes {
+func divide(slots int, rows []protocol.Demand) [][protocol.NumClasses]int {
+	given := make([][protocol.NumClasses]int, len(rows))
+	for class := range protocol.NumClasses {
 		wants := make([]want, len(rows))
 		for i := range rows {
 			wants[i] = want{weight: rows[i].Share, slots: rows[i].Want(class)}
--- a/coordination/limit/limit.go
+++ b/coordination/limit/limit.go
@@ -71,8 +71,8 @@
 // space is one workspace at the limiter.
 type space struct {
 	demand protocol.Demand
-	limit  [protocol.Classes]int
-	queue  [protocol.Classes][]*request
+	limit  [protocol.NumClasses]int
+	queue  [protocol.NumClasses][]*request
 }
 
 // request is one that holds a slot or waits for one.
@@ -155,7 +155,7 @@
 // latest of the workspace with the longest queue for its share, those of low
 // priority before all others. So nobody can fill the queue against the rest.
 func (l *Limiter) last() *request {
-	for class := protocol.Classes - 1; class >= 0; class-- {
+	for class := protocol.NumClasses - 1; class >= 0; class-- {
 		var longest *space
 		for _, name := range l.names {
 			s := l.spaces[name]
@@ -237,7 +237,7 @@
 func (l *Limiter) borrowed() int {
 	n := 0
 	for _, s := range l.spaces {
-		for class := range protocol.Classes {
+		for class := range protocol.NumClasses {
 			n += max(0, s.demand.Running[class]-s.limit[class])
 		}
 	}
@@ -269,7 +269,7 @@
 }
 
 func (l *Limiter) next() *request {
-	for class := range protocol.Classes {
+	for class := range protocol.NumClasses {
 		var best *space
 		for _, name := range l.names {
 			s := l.spaces[name]
@@ -310,7 +310,7 @@
 func (l *Limiter) granted(m GrantMsg) {
 	l.until, l.spare = m.Until, m.Spare
 	for _, s := range l.spaces {
-		s.limit = [protocol.Classes]int{}
+		s.limit = [protocol.NumClasses]int{}
 	}
 	for _, row := range m.Rows {
 		if s := l.spaces[row.Workspace]; s != nil {
--- a/coordination/member/member.go
+++ b/coordination/member/member.go
@@ -136,7 +136,7 @@
 		}
 	}
 	for server, j := range s.joined {
-		if now.Sub(j.Seen) > protocol.JoinedKept {
+		if now.Sub(j.Seen) > protocol.JoinedRetention {
 			delete(s.joined, server)
 		}
 	}
@@ -144,7 +144,9 @@
 
 // expired reports whether a leaving record is to be dropped. It goes by the
 // time of its origin, so that a copy from another instance does not revive it.
-func expired(l protocol.Leaving, now time.Time) bool { return now.Sub(l.Seen) > protocol.LeavingKept }
+func expired(l protocol.Leaving, now time.Time) bool {
+	return now.Sub(l.Seen) > protocol.LeavingRetention
+}
 
 func withState(m protocol.Member, st protocol.MemberState) protocol.Member {
 	m.State = st
@@ -259,7 +261,7 @@
 		}
 	}
 	for _, j := range m.News.Joined {
-		if _, ok := s.joined[j.Instance.ID]; !ok && m.Now.Sub(j.Seen) <= protocol.JoinedKept {
+		if _, ok := s.joined[j.Instance.ID]; !ok && m.Now.Sub(j.Seen) <= protocol.JoinedRetention {
 			s.joined[j.Instance.ID] = &joinedRow{Joined: j, sends: s.sends()}
 			fresh = true
 			cmds = append(cmds, JoinedCmd{Joined: j})
@@ -327,8 +329,8 @@
 
 // pending returns the records that are still to be passed on, and counts one
 // send of each.
-func (s *State) pending() protocol.News {
-	n := protocol.News{From: s.self}
+func (s *State) pending() protocol.GossipMsg {
+	n := protocol.GossipMsg{From: s.self}
 	for _, name := range s.names() {
 		if r := s.rows[name]; r.sends > 0 {
 			r.sends--
@@ -351,10 +353,10 @@
 }
 
 // Full returns all records, as a synchronization carries them.
-func (s *State) Full() protocol.News { return s.full() }
+func (s *State) Full() protocol.GossipMsg { return s.full() }
 
-func (s *State) full() protocol.News {
-	n := protocol.News{From: s.self, Full: true}
+func (s *State) full() protocol.GossipMsg {
+	n := protocol.GossipMsg{From: s.self, Full: true}
 	for _, name := range s.names() {
 		n.Members = append(n.Members, s.rows[name].Member)
 	}
--- a/coordination/member/member_test.go
+++ b/coordination/member/member_test.go
@@ -58,7 +58,7 @@
 }
 
 // reach delivers news and reports whether the instance answered.
-func (c *cluster) reach(address string, n protocol.News) bool {
+func (c *cluster) reach(address string, n protocol.GossipMsg) bool {
 	if c.down[address] {
 		return false
 	}
@@ -169,9 +169,9 @@
 				t.Errorf("%d instances: %s does not know", n, name)
 			}
 		}
-		c.now = c.now.Add(protocol.JoinedKept)
+		c.now = c.now.Add(protocol.JoinedRetention)
 		c.run(5)
-		c.views[0].Update(NewsMsg{News: protocol.News{From: "late", Joined: []protocol.Joined{joined}}, Now: c.now})
+		c.views[0].Update(NewsMsg{News: protocol.GossipMsg{From: "late", Joined: []protocol.Joined{joined}}, Now: c.now})
 		for _, v := range c.views {
 			if rows := v.Full().Joined; len(rows) != 0 {
 				t.Errorf("%d instances: %s keeps %v", n, v.self, rows)
@@ -230,14 +230,14 @@
 	c.run(50)
 	c.update(c.views[0], ServerLeavingMsg{Leaving: protocol.Leaving{Server: "e1", Seen: c.now}, Rand: c.rnd.Uint64()})
 	c.run(20)
-	c.now = c.now.Add(protocol.LeavingKept)
+	c.now = c.now.Add(protocol.LeavingRetention)
 	c.run(200)
 	for _, v := range c.views {
 		if marks := v.Full().Leaving; len(marks) != 0 {
 			t.Errorf("%s keeps %v", v.self, marks)
 		}
 	}
-	old := protocol.News{From: "late", Leaving: []protocol.Leaving{{Server: "e1", Seen: c.now.Add(-2 * protocol.LeavingKept)}}}
+	old := protocol.GossipMsg{From: "late", Leaving: []protocol.Leaving{{Server: "e1", Seen: c.now.Add(-2 * protocol.LeavingRetention)}}}
 	if cmds := c.views[0].Update(NewsMsg{News: old, Now: c.now}); len(cmds) > 0 || len(c.views[0].Full().Leaving) > 0 {
 		t.Errorf("a late copy was taken in: %v", cmds)
 	}
--- a/coordination/member/message.go
+++ b/coordination/member/message.go
@@ -17,7 +17,7 @@
 
 // NewsMsg is what another instance sent.
 type NewsMsg struct {
-	News protocol.News
+	News protocol.GossipMsg
 	Now  time.Time
 	Rand uint64
 }
@@ -69,21 +69,21 @@
 type ProbeCmd struct {
 	Name    string
 	Address string
-	News    protocol.News
+	News    protocol.GossipMsg
 	Via     []string
 }
 
 // PushCmd sends news and awaits nothing.
 type PushCmd struct {
 	Address string
-	News    protocol.News
+	News    protocol.GossipMsg
 }
 
 // SyncCmd sends all records; the answer, all of the other's, comes back as a
 // [NewsMsg].
 type SyncCmd struct {
 	Address string
-	News    protocol.News
+	News    protocol.GossipMsg
 }
 
 // LeavingCmd tells the tables of a leaving backend server.
--- a/coordination/place/lane.go
+++ b/coordination/place/lane.go
@@ -48,7 +48,7 @@
 	runningAt time.Time
 
 	// agreed are those of all gateways, if they were received.
-	agreed protocol.LaneTerms
+	agreed protocol.LaneParams
 }
 
 const (
@@ -66,8 +66,8 @@
 )
 
 // Own returns what this gateway has seen by itself.
-func (l *Lanes) Own() protocol.LaneTerms {
-	t := protocol.LaneTerms{Mean: l.mean, Seen: l.seen, Parts: protocol.LaneParts{Short: l.shortWork()}}
+func (l *Lanes) Own() protocol.LaneParams {
+	t := protocol.LaneParams{Mean: l.mean, Seen: l.seen, Parts: protocol.LaneShares{Short: l.shortWork()}}
 	if l.read > 0 {
 		t.Parts.Tokens = l.long / l.read
 	}
@@ -114,12 +114,12 @@
 }
 
 // Agree takes the terms of all gateways, so that all make the same lanes.
-func (l *Lanes) Agree(t protocol.LaneTerms) { l.agreed = t }
+func (l *Lanes) Agree(t protocol.LaneParams) { l.agreed = t }
 
 // Together returns the terms of several gateways: means by the prompts that each has
 // seen, and what their short prompts keep busy in all.
-func Together(terms []protocol.LaneTerms) protocol.LaneTerms {
-	var all protocol.LaneTerms
+func Together(terms []protocol.LaneParams) protocol.LaneParams {
+	var all protocol.LaneParams
 	for _, t := range terms {
 		n := float64(min(t.Seen, laneTrust))
 		all.Mean += t.Mean * n
@@ -146,12 +146,12 @@
 // requests began after 1.2 s, and the 80 of the long lane ran one each. Of that day's
 // requests from 24 to 40 s 3,153 were late by tokens alone, 779 by work alone, which
 // made long prompts late on calm days, and 546 so.
-func longServers(p protocol.LaneParts, servers int) int {
+func longServers(p protocol.LaneShares, servers int) int {
 	return atLeastOne(longPart(p, servers), servers)
 }
 
 // longPart returns the part of some servers that is for long prompts, from 0 to 1.
-func longPart(p protocol.LaneParts, servers int) float64 {
+func longPart(p protocol.LaneShares, servers int) float64 {
 	share := min(p.Tokens, 1-p.Short/shortFill/float64(servers))
 	return max(share, min(p.Tokens, p.Work))
 }
@@ -166,9 +166,9 @@
 
 // Observe notes a prompt, with how many of its tokens other requests may share,
 // and returns its lane and how the servers are parted between the lanes.
-func (l *Lanes) Observe(tokens, shared int) (Lane, protocol.LaneParts) {
+func (l *Lanes) Observe(tokens, shared int) (Lane, protocol.LaneShares) {
 	if tokens <= 0 {
-		return LaneAny, protocol.LaneParts{}
+		return LaneAny, protocol.LaneShares{}
 	}
 	weight := max(laneWeight, 1/float64(l.seen+1))
 	l.seen++
@@ -226,7 +226,7 @@
 }
 
 // divide returns the lanes of each region of a view.
-func divide(v *View, rows []row, parts protocol.LaneParts) []regionLanes {
+func divide(v *View, rows []row, parts protocol.LaneShares) []regionLanes {
 	lanes := make([]regionLanes, v.regions)
 	for _, r := range rows {
 		lanes[v.Servers[r.index].region].servers++
--- a/coordination/place/lane_test.go
+++ b/coordination/place/lane_test.go
@@ -27,7 +27,7 @@
 }
 
 // observed returns the parts that gateways agree on behind some seconds of a load.
-func observed(load []kind, gateways, slots int) protocol.LaneParts {
+func observed(load []kind, gateways, slots int) protocol.LaneShares {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	type event struct {
 		at      time.Time
@@ -57,7 +57,7 @@
 			}
 		}
 	}
-	var terms []protocol.LaneTerms
+	var terms []protocol.LaneParams
 	for i := range lanes {
 		terms = append(terms, lanes[i].Own())
 	}
@@ -107,13 +107,13 @@
 // TestLanesWithoutReports checks that a gateway without a word of the leader parts the
 // servers by what it saw itself.
 func TestLanesWithoutReports(t *testing.T) {
-	if n := longServers(protocol.LaneParts{Tokens: 0.6}, 10); n != 6 {
+	if n := longServers(protocol.LaneShares{Tokens: 0.6}, 10); n != 6 {
 		t.Errorf("%d of 10 servers by tokens alone", n)
 	}
-	if n := longServers(protocol.LaneParts{Tokens: 0.6, Work: 0.5, Short: 100}, 10); n != 5 {
+	if n := longServers(protocol.LaneShares{Tokens: 0.6, Work: 0.5, Short: 100}, 10); n != 5 {
 		t.Errorf("%d of 10 servers where short prompts need more than there are", n)
 	}
-	if n := longServers(protocol.LaneParts{Tokens: 0.01}, 2); n != 1 {
+	if n := longServers(protocol.LaneShares{Tokens: 0.01}, 2); n != 1 {
 		t.Errorf("%d of 2 servers for few long prompts", n)
 	}
 }
--- a/coordination/place/ledger.go
+++ b/coordination/place/ledger.go
@@ -21,7 +21,7 @@
 	Domain  string
 	Avoid   []string
 	Copies  float64 // Copies are the tokens a millisecond that a server copies from another; 0 where it cannot.
-	Parts   protocol.LaneParts
+	Parts   protocol.LaneShares
 	Target  time.Duration // Target is when the first event is in time.
 	Gap     time.Duration // Gap is the longest pause between events in time.
 }
--- a/coordination/place/ledger_test.go
+++ b/coordination/place/ledger_test.go
@@ -12,7 +12,7 @@
 
 // prompt is a long one that holds streams up where it is read.
 func prompt(tokens int) PromptMsg {
-	return PromptMsg{Service: "model", Prompt: tokens, Shared: tokens / 2, Answer: 100, Target: 2 * time.Second, Gap: 500 * time.Millisecond, Parts: protocol.LaneParts{Tokens: 1}}
+	return PromptMsg{Service: "model", Prompt: tokens, Shared: tokens / 2, Answer: 100, Target: 2 * time.Second, Gap: 500 * time.Millisecond, Parts: protocol.LaneShares{Tokens: 1}}
 }
 
 // place places a prompt and fails the test where there is no place.
@@ -43,7 +43,7 @@
 // where fewer run, and waits for another prompt rather than hold up two streams.
 func TestLedgerSparesStreams(t *testing.T) {
 	l, v := NewLedger(NewLoads()), fleet(3)
-	lane := inLane(v, candidates(v, ChooseMsg{Service: "model", Now: start}), ChooseMsg{Lane: LaneLong, Parts: protocol.LaneParts{Tokens: 1}})
+	lane := inLane(v, candidates(v, ChooseMsg{Service: "model", Now: start}), ChooseMsg{Lane: LaneLong, Parts: protocol.LaneShares{Tokens: 1}})
 	a, b := &v.Servers[lane[0].index], &v.Servers[lane[1].index]
 	// Two streams run at a; b reads a short prompt and has no stream.
 	for range 2 {
@@ -61,7 +61,7 @@
 // not put one behind the other under a stream: together they hold it up.
 func TestLedgerCountsWholeBlocks(t *testing.T) {
 	l, v := NewLedger(NewLoads()), fleet(2)
-	lane := inLane(v, candidates(v, ChooseMsg{Service: "model", Now: start}), ChooseMsg{Lane: LaneLong, Parts: protocol.LaneParts{Tokens: 0.5}})
+	lane := inLane(v, candidates(v, ChooseMsg{Service: "model", Now: start}), ChooseMsg{Lane: LaneLong, Parts: protocol.LaneShares{Tokens: 0.5}})
 	only := &v.Servers[lane[0].index]
 	st := &stay{server: only.ID, reads: start.Add(-time.Second), ends: start.Add(time.Minute)}
 	l.book(only.ID).stays[1], l.placed[1] = st, st
@@ -208,7 +208,7 @@
 		a.Observe(500, 0)
 		b.Observe(9000, 0)
 	}
-	terms := Together([]protocol.LaneTerms{a.Own(), b.Own()})
+	terms := Together([]protocol.LaneParams{a.Own(), b.Own()})
 	if terms.Mean < 4000 || terms.Mean > 5500 {
 		t.Fatalf("the mean of all is %+v", terms)
 	}
--- a/coordination/place/near_test.go
+++ b/coordination/place/near_test.go
@@ -87,7 +87,7 @@
 	} {
 		v := spreadOver(regions, 3, sixDomains...)
 		at := func(lane Lane, prefix uint64, now time.Time) string {
-			m := ChooseMsg{Service: "model", Domain: "b-1", Lane: lane, Parts: protocol.LaneParts{Tokens: 0.5}, Prefix: prefix, Rand: 3, Now: now}
+			m := ChooseMsg{Service: "model", Domain: "b-1", Lane: lane, Parts: protocol.LaneShares{Tokens: 0.5}, Prefix: prefix, Rand: 3, Now: now}
 			i, ok := Choose(v, m)
 			if !ok {
 				t.Fatalf("%s: no server", name)
@@ -260,7 +260,7 @@
 		inLanes := map[int]int{}
 		for _, lane := range []Lane{LaneLong, LaneShort} {
 			lanes[lane] = map[string]int{}
-			m := ChooseMsg{Service: "model", Domain: "a-1", Now: start, Lane: lane, Parts: protocol.LaneParts{Tokens: 0.7}}
+			m := ChooseMsg{Service: "model", Domain: "a-1", Now: start, Lane: lane, Parts: protocol.LaneShares{Tokens: 0.7}}
 			for _, r := range inLane(v, candidates(v, m), m) {
 				lanes[lane][v.Servers[r.index].location.Region]++
 				inLanes[r.index]++
@@ -348,7 +348,7 @@
 				v.Servers[i].Cell.ReportedLoad(rnd.IntN(24), start)
 			}
 			for i := 0; b.Loop(); i++ {
-				Choose(v, ChooseMsg{Service: "model", Domain: "b-1", Prefix: mix(uint64(i)), Lane: LaneLong + Lane(i%2), Parts: protocol.LaneParts{Tokens: 0.6}, Now: start})
+				Choose(v, ChooseMsg{Service: "model", Domain: "b-1", Prefix: mix(uint64(i)), Lane: LaneLong + Lane(i%2), Parts: protocol.LaneShares{Tokens: 0.6}, Now: start})
 			}
 		})
 	}
@@ -362,7 +362,7 @@
 	for _, prefix := range []uint64{0, 42} {
 		for _, lane := range []Lane{LaneLong, LaneShort} {
 			v := spreadOver(regions, 4, sixDomains...)
-			m := ChooseMsg{Service: "model", Domain: "b-1", Lane: lane, Parts: protocol.LaneParts{Tokens: 0.5}, Prefix: prefix, Rand: 3, Now: start}
+			m := ChooseMsg{Service: "model", Domain: "b-1", Lane: lane, Parts: protocol.LaneShares{Tokens: 0.5}, Prefix: prefix, Rand: 3, Now: start}
 			for _, r := range inLane(v, candidates(v, m), m) {
 				own := 8 // Half full is not so light that requests go across.
 				if v.Servers[r.index].location.Region == "b" {
@@ -383,7 +383,7 @@
 // TestOneRegionHasOneLane checks that servers whose domains have no region are in the
 // same lanes as the others where there is one region alone.
 func TestOneRegionHasOneLane(t *testing.T) {
-	m := ChooseMsg{Service: "model", Now: start, Lane: LaneLong, Parts: protocol.LaneParts{Tokens: 0.5}}
+	m := ChooseMsg{Service: "model", Now: start, Lane: LaneLong, Parts: protocol.LaneShares{Tokens: 0.5}}
 	want := spreadOver(nil, 3, "a-1", "a-2", "d-1")
 	got := spreadOver(topology.New(map[string]string{"a-1": "a", "a-2": "a"}), 3, "a-1", "a-2", "d-1")
 	if w, g := inLane(want, candidates(want, m), m), inLane(got, candidates(got, m), m); !slices.Equal(w, g) {
--- a/coordination/place/place.go
+++ b/coordination/place/place.go
@@ -142,7 +142,7 @@
 	Rand    uint64 // Rand is fresh randomness.
 	Avoid   []string
 	Lane    Lane
-	Parts   protocol.LaneParts
+	Parts   protocol.LaneShares
 	Brief   bool // Brief says that little is lost if the server stops before the request has ended.
 	Most    int  // Most is how many requests of this gateway a server may have; 0 means no bound.
 	Now     time.Time
--- a/coordination/place/place_test.go
+++ b/coordination/place/place_test.go
@@ -166,7 +166,7 @@
 func TestLanes(t *testing.T) {
 	var l, even Lanes
 	lanes := map[Lane]int{}
-	var parts protocol.LaneParts
+	var parts protocol.LaneShares
 	for i := range 400 {
 		tokens := 800
 		if i%5 == 0 {
@@ -224,7 +224,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			v := fleet(n)
 			for i := 0; b.Loop(); i++ {
-				Choose(v, ChooseMsg{Service: "model", Prefix: mix(uint64(i)), Lane: LaneLong + Lane(i%2), Parts: protocol.LaneParts{Tokens: 0.6}, Now: start})
+				Choose(v, ChooseMsg{Service: "model", Prefix: mix(uint64(i)), Lane: LaneLong + Lane(i%2), Parts: protocol.LaneShares{Tokens: 0.6}, Now: start})
 			}
 		})
 	}
--- a/coordination/place/placements_test.go
+++ b/coordination/place/placements_test.go
@@ -76,7 +76,7 @@
 	}
 	v := NewView(list, nil)
 	l := NewLedger(NewLoads())
-	m := PromptMsg{Service: "s", Prompt: 4000, Shared: 3000, Prefix: 7, Parts: protocol.LaneParts{Tokens: 1}, Target: time.Second, Gap: time.Second}
+	m := PromptMsg{Service: "s", Prompt: 4000, Shared: 3000, Prefix: 7, Parts: protocol.LaneShares{Tokens: 1}, Target: time.Second, Gap: time.Second}
 	first, ok := l.Place(v, m, now)
 	if !ok {
 		t.Fatal("no place")
--- a/coordination/place/vector.go
+++ b/coordination/place/vector.go
@@ -95,7 +95,7 @@
 // the mark from, with the changes, or the whole ones that the answer holds. An answer
 // without changes under another mark is for another list of servers, whose loads are
 // whole, if there are any.
-func Renewed(held []byte, from protocol.LoadMark, whole, changes []byte, to protocol.LoadMark) ([]byte, error) {
+func Renewed(held []byte, from protocol.LoadVersion, whole, changes []byte, to protocol.LoadVersion) ([]byte, error) {
 	if len(whole) > 0 || from.Incarnation != to.Incarnation || (len(changes) == 0 && from != to) {
 		return whole, nil
 	}
--- a/coordination/poll/poll.go
+++ b/coordination/poll/poll.go
@@ -34,7 +34,7 @@
 	}
 	var used, rest []int
 	for i := range v.Servers {
-		if v.Servers[i].Used() {
+		if v.Servers[i].ReportDue() {
 			used = append(used, i)
 			continue
 		}
--- a/coordination/quarantine/fleet_test.go
+++ b/coordination/quarantine/fleet_test.go
@@ -218,7 +218,7 @@
 		return
 	}
 	f.keeper.Take(g.name, list, func(string) bool { return false }, f.now)
-	news, watch := f.logged().News(known), protocol.Watch(f.keeper.Watched(), mark)
+	news, watch := f.logged().UpdateSince(known), protocol.NewWatchUpdate(f.keeper.Watched(), mark)
 	if f.rnd.IntN(10) == 0 {
 		return
 	}
--- a/coordination/quarantine/gate.go
+++ b/coordination/quarantine/gate.go
@@ -39,7 +39,7 @@
 }
 
 // Hear takes the leader's word on what is held and watched; nil is for no change.
-func (g *Gate) Hear(n *protocol.QuarantineNews, w *protocol.WatchNews, now time.Time) {
+func (g *Gate) Hear(n *protocol.QuarantineUpdate, w *protocol.WatchUpdate, now time.Time) {
 	if n != nil {
 		g.take(n)
 	}
@@ -52,7 +52,7 @@
 }
 
 // take takes what changed of what is held.
-func (g *Gate) take(n *protocol.QuarantineNews) {
+func (g *Gate) take(n *protocol.QuarantineUpdate) {
 	before := g.held
 	if n.Whole {
 		g.held = make(map[protocol.Fingerprint]*heldRequest, len(n.Held))
@@ -73,7 +73,7 @@
 // watch takes the requests whose good ends are to be reported, and reports those of a moment ago.
 func (g *Gate) watch(list []protocol.Fingerprint, now time.Time) {
 	before := g.watched
-	g.watched, g.mark = make(map[protocol.Fingerprint]bool, len(list)), protocol.WatchMark(list)
+	g.watched, g.mark = make(map[protocol.Fingerprint]bool, len(list)), protocol.WatchHash(list)
 	for _, f := range list {
 		g.watched[f] = true
 		if ago, ok := g.well.Ago(f.Quick, now); ok && !before[f] {
--- a/coordination/quarantine/gate_test.go
+++ b/coordination/quarantine/gate_test.go
@@ -28,7 +28,7 @@
 
 // hears tells the gate of requests that are held, tried so often at gateway "g".
 func (g *gateway) hears(change uint64, whole bool, trials int, names ...string) {
-	n := &protocol.QuarantineNews{Changes: change, Whole: whole}
+	n := &protocol.QuarantineUpdate{Changes: change, Whole: whole}
 	for _, name := range names {
 		n.Held = append(n.Held, protocol.HeldRequest{Fingerprint: named(name), Servers: 3, Trials: trials, Trial: "g"})
 	}
@@ -48,7 +48,7 @@
 	if !g.passes("a", false) || g.passes("c", false) || g.Held() != 1 {
 		t.Error("behind the whole not just c is held")
 	}
-	g.Hear(&protocol.QuarantineNews{Changes: 4, Free: []protocol.Fingerprint{named("c")}}, nil, g.now)
+	g.Hear(&protocol.QuarantineUpdate{Changes: 4, Free: []protocol.Fingerprint{named("c")}}, nil, g.now)
 	if !g.passes("c", false) {
 		t.Error("c is held though it is free")
 	}
@@ -82,7 +82,7 @@
 	if told(g) != 0 {
 		t.Error("told of a request that nobody asks for")
 	}
-	g.Hear(nil, &protocol.WatchNews{Requests: []protocol.Fingerprint{named("a")}}, g.now.Add(time.Second))
+	g.Hear(nil, &protocol.WatchUpdate{Requests: []protocol.Fingerprint{named("a")}}, g.now.Add(time.Second))
 	if told(g) != 1 {
 		t.Error("not told of a good end of a moment ago")
 	}
@@ -93,7 +93,7 @@
 	}
 	late := newGateway()
 	late.endsWell("a")
-	late.Hear(nil, &protocol.WatchNews{Requests: []protocol.Fingerprint{named("a")}}, late.now.Add(2*trustTime))
+	late.Hear(nil, &protocol.WatchUpdate{Requests: []protocol.Fingerprint{named("a")}}, late.now.Add(2*trustTime))
 	if told(late) != 0 {
 		t.Error("told of a good end of long ago")
 	}
--- a/coordination/quota/allowance.go
+++ b/coordination/quota/allowance.go
@@ -80,7 +80,7 @@
 }
 
 // Configure puts the quotas of a configuration in force.
-func (a *Allowance) Configure(workspaces []protocol.Tenancy) {
+func (a *Allowance) Configure(workspaces []protocol.WorkspaceSpec) {
 	kept := map[string]*space{}
 	for i := range workspaces {
 		w := &workspaces[i]
@@ -145,13 +145,13 @@
 }
 
 // Wants returns what the allowance would ask for now.
-func (a *Allowance) Wants(now time.Time) []protocol.QuotaWant {
-	var wants []protocol.QuotaWant
+func (a *Allowance) Wants(now time.Time) []protocol.QuotaRequest {
+	var wants []protocol.QuotaRequest
 	for name, s := range a.spaces {
 		held := s.held(now)
 		want := max(0, s.lacking+s.inAdvance(now)-held)
 		if want > 0 || s.unspent > 0 || s.own.owed > 0 {
-			wants = append(wants, protocol.QuotaWant{Workspace: name, Units: want, Waiting: min(want, s.lacking), Back: s.unspent, Alone: s.own.owed})
+			wants = append(wants, protocol.QuotaRequest{Workspace: name, Units: want, Waiting: min(want, s.lacking), Back: s.unspent, Alone: s.own.owed})
 			s.unspent = 0 // If the message is lost, so are they.
 		}
 	}
@@ -160,7 +160,7 @@
 
 // Acknowledged notes that the coordinator has what was asked for: it knows of what was
 // spent alone.
-func (a *Allowance) Acknowledged(wants []protocol.QuotaWant) {
+func (a *Allowance) Acknowledged(wants []protocol.QuotaRequest) {
 	for _, w := range wants {
 		if s := a.spaces[w.Workspace]; s != nil {
 			s.own.owed = max(0, s.own.owed-w.Alone)
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -78,7 +78,7 @@
 // Configure puts the quotas of a configuration in force. A bucket that is new
 // begins with what its rate gave in the time in which nothing was granted: an earlier
 // coordinator may have given the rest away just before.
-func (c *Coordinator) Configure(workspaces []protocol.Tenancy, now time.Time) {
+func (c *Coordinator) Configure(workspaces []protocol.WorkspaceSpec, now time.Time) {
 	kept := map[string]*bucket{}
 	for i := range workspaces {
 		w := &workspaces[i]
@@ -158,7 +158,7 @@
 
 // Grant returns a part of a workspace's quota, and where it falls short, when
 // more is to be had.
-func (c *Coordinator) Grant(w protocol.QuotaWant, now time.Time) protocol.QuotaGrant {
+func (c *Coordinator) Grant(w protocol.QuotaRequest, now time.Time) protocol.QuotaGrant {
 	g := protocol.QuotaGrant{Workspace: w.Workspace, Lasts: GrantLasts}
 	b := c.buckets[w.Workspace]
 	if b == nil {
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -26,16 +26,16 @@
 // most the rate times the window and the burst, and one large request more.
 func TestCoordinatorKeepsToTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := protocol.Tenancy{Name: "w", Rate: rapid.Float64Range(10, 1000).Draw(t, "rate")}
+		w := protocol.WorkspaceSpec{Name: "w", Rate: rapid.Float64Range(10, 1000).Draw(t, "rate")}
 		w.Burst = w.Rate * rapid.Float64Range(0, 4).Draw(t, "burst")
 		c := NewCoordinator(window)
-		c.Configure([]protocol.Tenancy{w}, start)
+		c.Configure([]protocol.WorkspaceSpec{w}, start)
 		now := start
 		var grants []grant
 		for range rapid.IntRange(1, 200).Draw(t, "asks") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
 			want := w.Rate * rapid.Float64Range(0, 3).Draw(t, "want")
-			g := c.Grant(protocol.QuotaWant{Workspace: "w", Units: want}, now)
+			g := c.Grant(protocol.QuotaRequest{Workspace: "w", Units: want}, now)
 			if g.Units < want && g.Wait <= 0 {
 				t.Fatalf("%.0f of %.0f without a time to come back", g.Units, want)
 			}
@@ -60,12 +60,12 @@
 // holds is granted as well, and that small ones then wait for it.
 func TestLargeRequestsAreLetIn(t *testing.T) {
 	c := NewCoordinator(window)
-	c.Configure([]protocol.Tenancy{{Name: "w", Rate: 100, Burst: 100}}, start)
+	c.Configure([]protocol.WorkspaceSpec{{Name: "w", Rate: 100, Burst: 100}}, start)
 	now := start.Add(10 * time.Second)
-	if g := c.Grant(protocol.QuotaWant{Workspace: "w", Units: 100}, now); g.Units < 100 {
+	if g := c.Grant(protocol.QuotaRequest{Workspace: "w", Units: 100}, now); g.Units < 100 {
 		t.Fatalf("granted %.0f of 100", g.Units)
 	}
-	if g := c.Grant(protocol.QuotaWant{Workspace: "w", Units: 1}, now); g.Units > 0 || g.Wait <= 0 {
+	if g := c.Grant(protocol.QuotaRequest{Workspace: "w", Units: 1}, now); g.Units > 0 || g.Wait <= 0 {
 		t.Errorf("granted %.0f right behind it, to come back in %v", g.Units, g.Wait)
 	}
 }
@@ -73,7 +73,7 @@
 // TestAllowance walks a gateway's part through asking, spending, expiry and denial.
 func TestAllowance(t *testing.T) {
 	p := NewAllowance(window)
-	p.Configure([]protocol.Tenancy{{Name: "w", Rate: 100, Burst: 100}})
+	p.Configure([]protocol.WorkspaceSpec{{Name: "w", Rate: 100, Burst: 100}})
 	p.Heard(2, start)
 	if v, _ := p.Take("free", 1e9, start); v != Taken {
 		t.Error("a workspace without a quota was limited")
@@ -104,11 +104,11 @@
 // half of the rate together.
 func TestAllowanceAlone(t *testing.T) {
 	const gateways = 4
-	w := protocol.Tenancy{Name: "w", Rate: 1000, Burst: 500}
+	w := protocol.WorkspaceSpec{Name: "w", Rate: 1000, Burst: 500}
 	taken := 0.0
 	for range gateways {
 		p := NewAllowance(window)
-		p.Configure([]protocol.Tenancy{w})
+		p.Configure([]protocol.WorkspaceSpec{w})
 		p.Heard(gateways, start)
 		for ms := 1500; ms < 9500; ms += 5 {
 			if v, _ := p.Take("w", 10, start.Add(time.Duration(ms)*time.Millisecond)); v == Taken {
@@ -129,7 +129,7 @@
 		want  Verdict
 	}{"plenty": {nil, Taken}, "little left": {[]string{"w"}, Denied}} {
 		p := NewAllowance(window)
-		p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
+		p.Configure([]protocol.WorkspaceSpec{{Name: "w", Rate: 1000, Burst: 1000}})
 		p.Heard(40, start)
 		p.Short(c.short)
 		now := start.Add(time.Second)
@@ -147,7 +147,7 @@
 func TestAloneSoon(t *testing.T) {
 	for gateways, after := range map[int]time.Duration{8: aloneAfter, 360: 360 * aloneMember} {
 		p := NewAllowance(window)
-		p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
+		p.Configure([]protocol.WorkspaceSpec{{Name: "w", Rate: 1000, Burst: 1000}})
 		p.Heard(gateways, start)
 		if v, _ := p.Take("w", 1, start.Add(after)); v != Ask {
 			t.Errorf("%d gateways: after %v it said %d", gateways, after, v)
@@ -161,9 +161,9 @@
 // TestShort checks which workspaces are told to be short of their quota.
 func TestShort(t *testing.T) {
 	c := NewCoordinator(window)
-	c.Configure([]protocol.Tenancy{{Name: "much", Rate: 1000, Burst: 1000}, {Name: "little", Rate: 1000, Burst: 1000}}, start)
+	c.Configure([]protocol.WorkspaceSpec{{Name: "much", Rate: 1000, Burst: 1000}, {Name: "little", Rate: 1000, Burst: 1000}}, start)
 	now := start.Add(10 * time.Second)
-	c.Grant(protocol.QuotaWant{Workspace: "little", Units: 900}, now)
+	c.Grant(protocol.QuotaRequest{Workspace: "little", Units: 900}, now)
 	if got := c.Short(now); len(got) != 1 || got[0] != "little" {
 		t.Errorf("short: %v", got)
 	}
@@ -176,11 +176,11 @@
 // not spent under a lower one.
 func TestLowerQuotaDropsParts(t *testing.T) {
 	p := NewAllowance(window)
-	p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
+	p.Configure([]protocol.WorkspaceSpec{{Name: "w", Rate: 1000, Burst: 1000}})
 	p.Heard(1, start)
 	p.Take("w", 1, start)
 	p.Granted([]protocol.QuotaGrant{{Workspace: "w", Units: 900, Lasts: GrantLasts}}, start, start)
-	p.Configure([]protocol.Tenancy{{Name: "w", Rate: 10, Burst: 10}})
+	p.Configure([]protocol.WorkspaceSpec{{Name: "w", Rate: 10, Burst: 10}})
 	if v, _ := p.Take("w", 500, start); v == Taken {
 		t.Error("500 units of the former quota were spent")
 	}
@@ -191,13 +191,13 @@
 // of it before.
 func TestNothingIsLostInParts(t *testing.T) {
 	const gateways, units = 40, 50.0
-	w := protocol.Tenancy{Name: "w", Rate: 1000, Burst: 1000}
+	w := protocol.WorkspaceSpec{Name: "w", Rate: 1000, Burst: 1000}
 	c := NewCoordinator(window)
-	c.Configure([]protocol.Tenancy{w}, start)
+	c.Configure([]protocol.WorkspaceSpec{w}, start)
 	allowances := make([]*Allowance, gateways)
 	for i := range allowances {
 		allowances[i] = NewAllowance(window)
-		allowances[i].Configure([]protocol.Tenancy{w})
+		allowances[i].Configure([]protocol.WorkspaceSpec{w})
 	}
 	now, spent := start, 0.0
 	ask := func(p *Allowance) {
@@ -237,12 +237,12 @@
 // TestBucketHoldsNoMoreThanItsSize checks that neither a change of the quota nor
 // what is given back fills a bucket above its size.
 func TestBucketHoldsNoMoreThanItsSize(t *testing.T) {
-	w := protocol.Tenancy{Name: "w", Rate: 1000}
+	w := protocol.WorkspaceSpec{Name: "w", Rate: 1000}
 	size, ahead := w.Rate/10, w.Rate*debt.Seconds()
 	for name, back := range map[string]float64{"new": 0, "given back": 1e6} {
 		c := NewCoordinator(window)
-		c.Configure([]protocol.Tenancy{w}, start)
-		g := c.Grant(protocol.QuotaWant{Workspace: "w", Units: 1e9, Back: back}, start)
+		c.Configure([]protocol.WorkspaceSpec{w}, start)
+		g := c.Grant(protocol.QuotaRequest{Workspace: "w", Units: 1e9, Back: back}, start)
 		if g.Units > size+ahead {
 			t.Errorf("%s: granted %.0f of a bucket of %.0f, and %.0f ahead", name, g.Units, size, ahead)
 		}
@@ -253,7 +253,7 @@
 // longer for it: the coordinator counts it as over by then.
 func TestPartLastsFromItsQuestion(t *testing.T) {
 	p := NewAllowance(window)
-	p.Configure([]protocol.Tenancy{{Name: "w", Rate: 100, Burst: 100}})
+	p.Configure([]protocol.WorkspaceSpec{{Name: "w", Rate: 100, Burst: 100}})
 	late := start.Add(GrantLasts)
 	p.Heard(1, late)
 	p.Granted([]protocol.QuotaGrant{{Workspace: "w", Units: 50, Lasts: GrantLasts}}, start, late)
@@ -267,7 +267,7 @@
 // told what it said, the next one a moment later.
 func TestDenialIsShort(t *testing.T) {
 	p := NewAllowance(window)
-	p.Configure([]protocol.Tenancy{{Name: "w", Rate: 100, Burst: 100}})
+	p.Configure([]protocol.WorkspaceSpec{{Name: "w", Rate: 100, Burst: 100}})
 	p.Heard(1, start)
 	p.Granted([]protocol.QuotaGrant{{Workspace: "w", Wait: time.Hour}}, start, start)
 	if v, wait := p.Take("w", 50, start); v != Denied || wait != time.Hour {
@@ -289,7 +289,7 @@
 		want  bool
 	}{"often": {50 * time.Millisecond, true}, "rarely": {1500 * time.Millisecond, false}} {
 		p := NewAllowance(window)
-		p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
+		p.Configure([]protocol.WorkspaceSpec{{Name: "w", Rate: 1000, Burst: 1000}})
 		now := start
 		for range 60 {
 			now = now.Add(c.pause)
@@ -327,17 +327,17 @@
 // back and how long nothing was granted before.
 func TestWindowIsExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := protocol.Tenancy{Name: "w", Rate: rapid.Float64Range(10, 1000).Draw(t, "rate")}
+		w := protocol.WorkspaceSpec{Name: "w", Rate: rapid.Float64Range(10, 1000).Draw(t, "rate")}
 		w.Burst = w.Rate * rapid.Float64Range(0, 4).Draw(t, "burst")
 		c := NewCoordinator(window, WithQuiet(time.Duration(rapid.IntRange(0, 60).Draw(t, "quiet"))*time.Second))
-		c.Configure([]protocol.Tenancy{w}, start)
+		c.Configure([]protocol.WorkspaceSpec{w}, start)
 		now, held := start, 0.0
 		var spent []grant
 		for range rapid.IntRange(1, 300).Draw(t, "asks") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond)
 			back := held * rapid.Float64Range(0, 1).Draw(t, "back")
 			want := w.Rate * rapid.Float64Range(0, 3).Draw(t, "want")
-			g := c.Grant(protocol.QuotaWant{Workspace: "w", Units: want, Back: back}, now)
+			g := c.Grant(protocol.QuotaRequest{Workspace: "w", Units: want, Back: back}, now)
 			spent = append(spent, grant{now, g.Units - back})
 			held = g.Units // Of the part before, what was not given back is spent.
 		}
@@ -350,16 +350,16 @@
 // TestHotWorkspaceGetsItsQuota checks that a workspace which asks for several times
 // its quota, through many gateways, gets nearly all of it in each window.
 func TestHotWorkspaceGetsItsQuota(t *testing.T) {
-	w := protocol.Tenancy{Name: "w", Rate: 1000, Burst: 1000}
+	w := protocol.WorkspaceSpec{Name: "w", Rate: 1000, Burst: 1000}
 	for _, gateways := range []int{8, 76, 295} {
 		c := NewCoordinator(window)
-		c.Configure([]protocol.Tenancy{w}, start)
+		c.Configure([]protocol.WorkspaceSpec{w}, start)
 		now, granted := start, 0.0
 		const seconds, asks = 40, 100
 		for i := range seconds * asks {
 			now = now.Add(time.Second / asks)
 			want := 5 * w.Rate / asks * (0.5 + float64(i%gateways)/float64(gateways)) // Five times the rate, unevenly.
-			granted += c.Grant(protocol.QuotaWant{Workspace: "w", Units: want}, now).Units
+			granted += c.Grant(protocol.QuotaRequest{Workspace: "w", Units: want}, now).Units
 		}
 		allowed := seconds * (w.Rate + w.Burst/window.Seconds())
 		if part := granted / allowed; part < 0.94 || part > 1.01 {
@@ -371,22 +371,22 @@
 // TestWaitIsEnough checks that what is told to be there after a while is there then,
 // whether the bucket or the last window is what lacks.
 func TestWaitIsEnough(t *testing.T) {
-	w := protocol.Tenancy{Name: "w", Rate: 1000, Burst: 1000}
+	w := protocol.WorkspaceSpec{Name: "w", Rate: 1000, Burst: 1000}
 	for name, asked := range map[string]time.Duration{"the bucket": time.Second, "the window": 7600 * time.Millisecond} {
 		c := NewCoordinator(window)
-		c.Configure([]protocol.Tenancy{w}, start)
+		c.Configure([]protocol.WorkspaceSpec{w}, start)
 		now := start.Add(20 * time.Second) // The bucket is full.
 		end := now.Add(asked)
 		var last protocol.QuotaGrant
 		for now.Before(end) {
 			now = now.Add(10 * time.Millisecond)
-			last = c.Grant(protocol.QuotaWant{Workspace: "w", Units: 50}, now)
+			last = c.Grant(protocol.QuotaRequest{Workspace: "w", Units: 50}, now)
 		}
 		if last.Wait <= 0 {
 			t.Fatalf("%s: all was granted", name)
 		}
 		now = now.Add(last.Wait)
-		if g := c.Grant(protocol.QuotaWant{Workspace: "w", Units: 1}, now); g.Units < 1 {
+		if g := c.Grant(protocol.QuotaRequest{Workspace: "w", Units: 1}, now); g.Units < 1 {
 			t.Errorf("%s: after %v nothing was there", name, last.Wait)
 		}
 	}
@@ -403,7 +403,7 @@
 		time.Hour:              1000,
 	} {
 		c := NewCoordinator(window, WithQuiet(quiet))
-		c.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}}, start)
+		c.Configure([]protocol.WorkspaceSpec{{Name: "w", Rate: 1000, Burst: 1000}}, start)
 		if got := c.buckets["w"].level; got != want {
 			t.Errorf("after %v the bucket holds %.0f, want %.0f", quiet, got, want)
 		}
@@ -415,21 +415,21 @@
 // a tenth more than the quota in any window.
 func TestChangesOfCoordinatorKeepToTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := protocol.Tenancy{Name: "w", Rate: 1000, Burst: 1000}
+		w := protocol.WorkspaceSpec{Name: "w", Rate: 1000, Burst: 1000}
 		away := time.Duration(rapid.IntRange(200, 5000).Draw(t, "away")) * time.Millisecond
 		change := start.Add(time.Duration(rapid.IntRange(0, 20_000).Draw(t, "change")) * time.Millisecond)
 		known := time.Duration(rapid.Float64Range(0, 1).Draw(t, "known") * float64(away)) // What is not logged does not count.
 		c := NewCoordinator(window, WithQuiet(time.Hour))
-		c.Configure([]protocol.Tenancy{w}, start)
+		c.Configure([]protocol.WorkspaceSpec{w}, start)
 		var spent []grant
 		ask := func(from, until time.Time) {
 			for now := from; now.Before(until); now = now.Add(50 * time.Millisecond) {
-				spent = append(spent, grant{now, c.Grant(protocol.QuotaWant{Workspace: "w", Units: 400}, now).Units})
+				spent = append(spent, grant{now, c.Grant(protocol.QuotaRequest{Workspace: "w", Units: 400}, now).Units})
 			}
 		}
 		ask(start, change)
 		c = NewCoordinator(window, WithQuiet(known))
-		c.Configure([]protocol.Tenancy{w}, change.Add(away))
+		c.Configure([]protocol.WorkspaceSpec{w}, change.Add(away))
 		ask(change.Add(away), change.Add(away+10*time.Second))
 		bound := w.Rate*window.Seconds() + w.Burst
 		if sum := most(spent); sum > 1.1*bound {
@@ -442,7 +442,7 @@
 // soon, and asks again once it was answered.
 func TestAloneWhenOverdue(t *testing.T) {
 	p := NewAllowance(window)
-	p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
+	p.Configure([]protocol.WorkspaceSpec{{Name: "w", Rate: 1000, Burst: 1000}})
 	p.Heard(295, start)
 	p.Overdue(start)
 	p.Overdue(start.Add(aloneOverdue)) // It is told again and again.
@@ -465,11 +465,11 @@
 func TestAloneAsBefore(t *testing.T) {
 	const seconds, cost = 4, 10.0
 	for _, gateways := range []int{8, 76, 295} {
-		w := protocol.Tenancy{Name: "w", Rate: 100 * float64(gateways), Burst: 100 * float64(gateways)}
+		w := protocol.WorkspaceSpec{Name: "w", Rate: 100 * float64(gateways), Burst: 100 * float64(gateways)}
 		used, busy, taken := 0.0, 0.0, 0.0
 		for i := range gateways {
 			p := NewAllowance(window)
-			p.Configure([]protocol.Tenancy{w})
+			p.Configure([]protocol.WorkspaceSpec{w})
 			perSecond := 0
 			if i%4 == 0 {
 				perSecond = 40 // A quarter of the gateways has all of the use, the whole rate.
@@ -508,12 +508,12 @@
 // quota is told later and later moments, which lie a quota's pace apart; that what is
 // asked for in advance delays nobody; and that nobody is told more than a window.
 func TestCallersComeBackInTurn(t *testing.T) {
-	w := protocol.Tenancy{Name: "w", Rate: 1000, Burst: 1000}
+	w := protocol.WorkspaceSpec{Name: "w", Rate: 1000, Burst: 1000}
 	c := NewCoordinator(window)
-	c.Configure([]protocol.Tenancy{w}, start)
+	c.Configure([]protocol.WorkspaceSpec{w}, start)
 	now := start.Add(time.Minute)
 	ask := func(units, waiting float64) time.Duration {
-		return c.Grant(protocol.QuotaWant{Workspace: "w", Units: units, Waiting: waiting}, now).Wait
+		return c.Grant(protocol.QuotaRequest{Workspace: "w", Units: units, Waiting: waiting}, now).Wait
 	}
 	ask(1600, 1600) // All that the bucket holds and lends.
 	first := ask(100, 100)
@@ -545,7 +545,7 @@
 		want     time.Duration
 	}{"soon": {1, 400 * time.Millisecond}, "a small part": {295, aloneReturn}} {
 		p := NewAllowance(window)
-		p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
+		p.Configure([]protocol.WorkspaceSpec{{Name: "w", Rate: 1000, Burst: 1000}})
 		p.Heard(c.gateways, start)
 		p.Overdue(start)
 		now := start.Add(aloneOverdue + time.Millisecond)
@@ -564,7 +564,7 @@
 
 // fleet is a coordinator with its gateways, as their callers see them.
 type fleet struct {
-	w         protocol.Tenancy
+	w         protocol.WorkspaceSpec
 	c         *Coordinator // c is nil while nobody grants anything.
 	gateways  []*Allowance
 	now       time.Time
@@ -572,12 +572,12 @@
 	spent     []grant
 }
 
-func newFleet(gateways int, w protocol.Tenancy) *fleet {
+func newFleet(gateways int, w protocol.WorkspaceSpec) *fleet {
 	f := &fleet{w: w, now: start, lastAsked: make([]time.Time, gateways)}
 	draw := rand.New(rand.NewPCG(1, uint64(gateways)))
 	for range gateways {
 		p := NewAllowance(window, WithChance(draw.Float64))
-		p.Configure([]protocol.Tenancy{w})
+		p.Configure([]protocol.WorkspaceSpec{w})
 		f.gateways = append(f.gateways, p)
 	}
 	return f
@@ -586,7 +586,7 @@
 // elect has another coordinator grant from now on, after an outage.
 func (f *fleet) elect(quiet time.Duration) {
 	f.c = NewCoordinator(window, WithQuiet(quiet))
-	f.c.Configure([]protocol.Tenancy{f.w}, f.now)
+	f.c.Configure([]protocol.WorkspaceSpec{f.w}, f.now)
 }
 
 // ask has a gateway ask the coordinator, or find that there is none.
@@ -630,7 +630,7 @@
 	for _, gateways := range []int{8, 76, 295} {
 		for _, away := range []time.Duration{300 * time.Millisecond, 1600 * time.Millisecond, 5 * time.Second} {
 			for _, hot := range []time.Duration{100 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
-				w := protocol.Tenancy{Name: "w", Rate: 100_000, Burst: 100_000}
+				w := protocol.WorkspaceSpec{Name: "w", Rate: 100_000, Burst: 100_000}
 				f := newFleet(gateways, w)
 				f.elect(time.Hour)
 				begins := start.Add(20 * time.Second)
@@ -675,12 +675,12 @@
 // what they used before: neither one each nor none.
 func TestAloneWithLittleLeft(t *testing.T) {
 	const gateways, units, seconds = 295, 2000.0, 2
-	w := protocol.Tenancy{Name: "w", Rate: 100_000, Burst: 100_000}
+	w := protocol.WorkspaceSpec{Name: "w", Rate: 100_000, Burst: 100_000}
 	draw := rand.New(rand.NewPCG(1, 2))
 	taken := 0.0
 	for range gateways {
 		p := NewAllowance(window, WithChance(draw.Float64))
-		p.Configure([]protocol.Tenancy{w})
+		p.Configure([]protocol.WorkspaceSpec{w})
 		now := start
 		for range 6 { // A request each 6 s, a third of the rate for all together.
 			now = now.Add(6 * time.Second)
@@ -705,9 +705,9 @@
 // TestBurstIsNotGoneOnWith checks that a gateway which spent a burst right before it
 // goes on alone does not go on at that pace: the burst is in a window once.
 func TestBurstIsNotGoneOnWith(t *testing.T) {
-	w := protocol.Tenancy{Name: "w", Rate: 1000, Burst: 1000}
+	w := protocol.WorkspaceSpec{Name: "w", Rate: 1000, Burst: 1000}
 	p := NewAllowance(window)
-	p.Configure([]protocol.Tenancy{w})
+	p.Configure([]protocol.WorkspaceSpec{w})
 	p.Heard(1, start)
 	p.Granted([]protocol.QuotaGrant{{Workspace: "w", Units: 5000, Lasts: GrantLasts}}, start, start)
 	for range 250 {
@@ -731,7 +731,7 @@
 func TestOwnPartGoesByTheWindow(t *testing.T) {
 	for _, window := range []time.Duration{4 * time.Second, 8 * time.Second, 40 * time.Second} {
 		p := NewAllowance(window)
-		p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
+		p.Configure([]protocol.WorkspaceSpec{{Name: "w", Rate: 1000, Burst: 1000}})
 		p.Heard(295, start)
 		p.Granted([]protocol.QuotaGrant{{Workspace: "w", Units: 4000, Lasts: GrantLasts}}, start, start)
 		p.Take("w", 4000, start)
--- a/coordination/rollout/answers.go
+++ b/coordination/rollout/answers.go
@@ -31,7 +31,7 @@
 }
 
 // Add counts an answer.
-func Add(a *protocol.Answers, one Answer) {
+func Add(a *protocol.AnswerCounts, one Answer) {
 	if one.Bad {
 		a.Bad++
 	} else {
@@ -54,8 +54,8 @@
 }
 
 // since returns what was counted behind an earlier state of the same counts.
-func since(a, before protocol.Answers) protocol.Answers {
-	return protocol.Answers{
+func since(a, before protocol.AnswerCounts) protocol.AnswerCounts {
+	return protocol.AnswerCounts{
 		Good:  a.Good - before.Good,
 		Bad:   a.Bad - before.Bad,
 		First: sinceEach(a.First, before.First),
@@ -76,7 +76,7 @@
 
 // Counters adds up the reports of all gateways, whose counts only rise.
 type Counters struct {
-	known map[counterKey]protocol.Answers
+	known map[counterKey]protocol.AnswerCounts
 }
 
 // counterKey names one row of one life of a gateway.
@@ -89,7 +89,7 @@
 }
 
 // NewCounters returns an empty book.
-func NewCounters() *Counters { return &Counters{known: map[counterKey]protocol.Answers{}} }
+func NewCounters() *Counters { return &Counters{known: map[counterKey]protocol.AnswerCounts{}} }
 
 // Take returns what a report holds that the ones before did not. A report that comes
 // twice, or behind a later one, holds nothing new.
--- a/coordination/rollout/load_test.go
+++ b/coordination/rollout/load_test.go
@@ -126,7 +126,7 @@
 		if r.Stage == protocol.RolloutMoving {
 			moved = at
 		}
-		if r.Stage.Over() {
+		if r.Stage.Final() {
 			out.stage, out.at, out.reason, out.share = r.Stage, at, step.Reason, float64(tried)/float64(arrived)
 			return out
 		}
--- a/coordination/rollout/reference.go
+++ b/coordination/rollout/reference.go
@@ -33,7 +33,7 @@
 type mix struct{ good, bad float64 }
 
 // add takes answers, and fades those before.
-func (r *reference) add(a *protocol.Answers, now time.Time) {
+func (r *reference) add(a *protocol.AnswerCounts, now time.Time) {
 	if !r.at.IsZero() {
 		r.fade(now.Sub(r.at))
 	}
@@ -58,7 +58,7 @@
 	}
 }
 
-func (m *mix) add(a *protocol.Answers) {
+func (m *mix) add(a *protocol.AnswerCounts) {
 	m.good += float64(a.Good)
 	m.bad += float64(a.Bad)
 }
--- a/coordination/rollout/rollout.go
+++ b/coordination/rollout/rollout.go
@@ -82,7 +82,7 @@
 func Next(r *protocol.Rollout, m TickMsg) (protocol.StageRolloutMsg, bool) {
 	step := protocol.StageRolloutMsg{Service: r.Service, Number: r.Number, Stage: r.Stage}
 	switch {
-	case r.Stage.Over():
+	case r.Stage.Final():
 		return step, false
 	case m.Assessment.Bad:
 		step.Stage, step.Reason = protocol.RolloutRolledBack, m.Assessment.Reason
--- a/coordination/rollout/rollout_test.go
+++ b/coordination/rollout/rollout_test.go
@@ -152,7 +152,7 @@
 func TestReportsAreCountedOnce(t *testing.T) {
 	b := NewCounters()
 	row := func(good, bad int64) []protocol.EvidenceRow {
-		return []protocol.EvidenceRow{{Route: "r", New: true, Server: "i", Answers: protocol.Answers{Good: good, Bad: bad, First: []int64{0, good}}}}
+		return []protocol.EvidenceRow{{Route: "r", New: true, Server: "i", Answers: protocol.AnswerCounts{Good: good, Bad: bad, First: []int64{0, good}}}}
 	}
 	var sum int64
 	take := func(life uint64, rows []protocol.EvidenceRow) {
--- a/coordination/usage/usage.go
+++ b/coordination/usage/usage.go
@@ -5,7 +5,7 @@
 // leads, adds the gateways' counts up. Counts are totals since the gateway's
 // start and are reported again until a leader has them, so a lost or doubled message
 // does no harm. What is reported for a window is settled in the replicated log
-// first; see protocol.SettleMsg.
+// first; see protocol.SettleUsageMsg.
 package usage
 
 import (
--- a/protocol/batch.go
+++ b/protocol/batch.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// LoadMark names a version of the loads of all servers, as one instance tells them. An
+// LoadVersion names a version of the loads of all servers, as one instance tells them. An
 // asker that holds that version is told only what changed since.
-type LoadMark struct {
+type LoadVersion struct {
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64   // Incarnation is drawn at each start of the instance that tells the loads.
 	Version     uint64   // Version rises with each change; 0 for none.
@@ -22,11 +22,11 @@
 	Number   uint64 // Number is the document that the relay holds.
 	Lister   uint64 // Lister and Servers are the term and the version of the list that it holds.
 	Servers  uint64
-	Rollouts uint64   // Rollouts is the change of the roll-outs that it holds.
-	Loads    LoadMark // Loads are the loads that it holds.
+	Rollouts uint64      // Rollouts is the change of the roll-outs that it holds.
+	Loads    LoadVersion // Loads are the loads that it holds.
 	Sums     SumsMsg
 	Placed   []Placement // Placed are places that the relay gave since its last batch.
-	Readings []Reading   // Readings are those that its gateways and its own ledger told since.
+	Readings []Prefill   // Readings are those that its gateways and its own ledger told since.
 	Parts    []BatchPart
 
 	Quarantined uint64 // Quarantined and Watched are as in SyncMsg, of the relay itself.
@@ -77,7 +77,7 @@
 	Term     uint64
 	Usage    []BatchUsage
 	Counted  int64 // Counted is in nanoseconds since 1970; 0 for none.
-	Wants    []BatchWant
+	Wants    []BatchQuotaRequest
 	Pressure []BatchPressure
 	Trials   []TrialReport
 
@@ -92,8 +92,8 @@
 	Count     int64
 }
 
-// BatchWant is a QuotaWant without the names of the fields.
-type BatchWant struct {
+// BatchQuotaRequest is a QuotaWant without the names of the fields.
+type BatchQuotaRequest struct {
 	_         struct{} `cbor:",toarray"`
 	Workspace string
 	Units     float64
@@ -141,7 +141,7 @@
 	Lanes       []LanesRow
 	Rollouts    []Rollout
 	Changes     uint64
-	Loads       LoadMark          // Loads names the loads that the relay holds with this answer.
+	Loads       LoadVersion       // Loads names the loads that the relay holds with this answer.
 	Whole       []byte            // Whole are all loads; empty where LoadChanges tells them.
 	LoadChanges []byte            // LoadChanges are what changed; see place.Vector.
 	Distrusted  map[string][]byte // Distrusted are the servers to pass over, by the gateways' domain.
@@ -151,8 +151,8 @@
 	Readings    []byte            // Readings are those of others that the relay was not told yet, packed by the order of the list.
 	Answers     []BatchAnswer     // Answers are in the order of the parts.
 
-	Quarantine *QuarantineNews // Quarantine is what the relay lacks of it; nil for nothing.
-	Watch      *WatchNews
+	Quarantine *QuarantineUpdate // Quarantine is what the relay lacks of it; nil for nothing.
+	Watch      *WatchUpdate
 }
 
 // LanesRow is one row of BatchLanes.
--- a/protocol/catalog.go
+++ b/protocol/catalog.go
@@ -8,7 +8,7 @@
 	Number     uint64
 	Routes     []PathRoute
 	Services   []ServiceSpec
-	Workspaces []Tenancy
+	Workspaces []WorkspaceSpec
 	Edge       EdgeLimits
 }
 
@@ -28,19 +28,19 @@
 	Host      string
 	Prefix    string // Prefix begins and ends with a slash.
 	Kind      RouteKind
-	Timeout   time.Duration // Timeout is the longest that a request is held.
-	Target    time.Duration // Target is when an answer, or its first event, is in time.
-	TargetGap time.Duration // TargetGap is the longest pause between events in time.
-	Priority  int           // Priority is the rank, 0 first.
-	Split     []Weighted    // Split is never empty and weighs more than 0 in all.
-	Attempts  int           // Attempts bounds the servers that one request is sent to.
-	Open      bool          // Open routes need no workspace key.
-	Affinity  bool          // Affinity keeps requests with the same prompt prefix together.
-	Resumable bool          // Resumable streams may go on at another server.
+	Timeout   time.Duration     // Timeout is the longest that a request is held.
+	Target    time.Duration     // Target is when an answer, or its first event, is in time.
+	TargetGap time.Duration     // TargetGap is the longest pause between events in time.
+	Priority  int               // Priority is the rank, 0 first.
+	Split     []WeightedService // Split is never empty and weighs more than 0 in all.
+	Attempts  int               // Attempts bounds the servers that one request is sent to.
+	Open      bool              // Open routes need no workspace key.
+	Affinity  bool              // Affinity keeps requests with the same prompt prefix together.
+	Resumable bool              // Resumable streams may go on at another server.
 }
 
-// Weighted is a service with its part of a route's requests.
-type Weighted struct {
+// WeightedService is a service with its part of a route's requests.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
@@ -65,8 +65,8 @@
 	DomainPrices map[string]float64 // DomainPrices are what a server costs a second, by failure domain.
 }
 
-// Tenancy is a workspace with its keys and its quota.
-type Tenancy struct {
+// WorkspaceSpec is a workspace with its keys and its quota.
+type WorkspaceSpec struct {
 	Name        string
 	Keys        []string
 	Priority    int
@@ -125,7 +125,7 @@
 }
 
 // Cost is what the call takes from a workspace's quota.
-func (c *Call) Cost(w *Tenancy) float64 {
+func (c *Call) Cost(w *WorkspaceSpec) float64 {
 	switch {
 	case !w.Tokens:
 		return 1
--- a/protocol/claim.go
+++ b/protocol/claim.go
@@ -101,16 +101,16 @@
 
 // Command is what the replicated log carries: one of its parts is set.
 type Command struct {
-	At       int64        `json:"at"` // At is the leader's time, in ms.
-	Apply    *ApplyMsg    `json:"apply,omitempty"`
-	Claim    *ClaimMsg    `json:"claim,omitempty"`
-	Finish   *FinishMsg   `json:"finish,omitempty"`
-	Transfer *TransferMsg `json:"transfer,omitempty"`
-	Put      *PutMsg      `json:"put,omitempty"`
-	Settle   *SettleMsg   `json:"settle,omitempty"`
-	Base     *BaseMsg     `json:"base,omitempty"`
-	Hold     *HoldMsg     `json:"hold,omitempty"`
-	Tally    *TallyMsg    `json:"tally,omitempty"`
+	At       int64           `json:"at"` // At is the leader's time, in ms.
+	Apply    *ApplyMsg       `json:"apply,omitempty"`
+	Claim    *ClaimMsg       `json:"claim,omitempty"`
+	Finish   *FinishMsg      `json:"finish,omitempty"`
+	Transfer *TransferMsg    `json:"transfer,omitempty"`
+	Put      *PutDocumentMsg `json:"put,omitempty"`
+	Settle   *SettleUsageMsg `json:"settle,omitempty"`
+	Base     *BaselineMsg    `json:"base,omitempty"`
+	Hold     *DutyHolderMsg  `json:"hold,omitempty"`
+	Tally    *TallyMsg       `json:"tally,omitempty"`
 
 	BeginRollout *BeginRolloutMsg `json:"begin_rollout,omitempty"`
 	StageRollout *StageRolloutMsg `json:"stage_rollout,omitempty"`
@@ -120,14 +120,14 @@
 
 // Result is what a command came to.
 type Result struct {
-	Apply *ApplyReplyMsg `json:"apply,omitempty"`
-	Claim *ClaimReply    `json:"claim,omitempty"`
-	Put   *PutReply      `json:"put,omitempty"`
-
-	Settle *SettleReply `json:"settle,omitempty"`
-	Base   *BaseReply   `json:"base,omitempty"`
-	Hold   *HoldReply   `json:"hold,omitempty"`
-	Tally  *TallyReply  `json:"tally,omitempty"`
+	Apply *ApplyReplyMsg    `json:"apply,omitempty"`
+	Claim *ClaimReply       `json:"claim,omitempty"`
+	Put   *PutDocumentReply `json:"put,omitempty"`
+
+	Settle *SettleUsageReply `json:"settle,omitempty"`
+	Base   *BaselineReply    `json:"base,omitempty"`
+	Hold   *DutyHolderReply  `json:"hold,omitempty"`
+	Tally  *TallyReply       `json:"tally,omitempty"`
 
 	BeginRollout *BeginRolloutReply `json:"begin_rollout,omitempty"`
 	StageRollout *StageRolloutReply `json:"stage_rollout,omitempty"`
--- a/protocol/limit.go
+++ b/protocol/limit.go
@@ -5,7 +5,7 @@
 const (
 	ClassRegular = iota // ClassRegular holds the priorities normal and high.
 	ClassLow            // ClassLow holds the priority low.
-	Classes
+	NumClasses
 )
 
 // ClassOf returns the class of a priority.
@@ -19,9 +19,9 @@
 // Demand is what one workspace asks of one pool through one instance.
 type Demand struct {
 	Workspace string
-	Share     int          // Share is the workspace's weight against the others.
-	Running   [Classes]int // Running are requests that hold a slot, by class.
-	Queued    [Classes]int // Queued are requests that wait for one, by class.
+	Share     int             // Share is the workspace's weight against the others.
+	Running   [NumClasses]int // Running are requests that hold a slot, by class.
+	Queued    [NumClasses]int // Queued are requests that wait for one, by class.
 }
 
 // Want returns how many slots the workspace could use in a class.
@@ -38,7 +38,7 @@
 // Grant is how many slots one workspace may use through one instance.
 type Grant struct {
 	Workspace string
-	Slots     [Classes]int
+	Slots     [NumClasses]int
 }
 
 // GrantMsg answers a [DemandMsg]. It is a lease: it holds for a while and is
--- a/protocol/limits.go
+++ b/protocol/limits.go
@@ -10,45 +10,45 @@
 	Life    uint64 // Life differs with each start of the gateway.
 	Term    uint64 // Term is the leader's that Held is of.
 	Held    uint64 // Held is the change of the leader's limits that the gateway holds.
-	Heard   []HeardLimit
+	Heard   []ReportedLimit
 	Sent    []SentRequests
-	Wants   []PermitWant
+	Wants   []PermitRequest
 }
 
-// LimitsMark names the limits that the leader of a term knows.
-type LimitsMark struct {
+// LimitsVersion names the limits that the leader of a term knows.
+type LimitsVersion struct {
 	Term   uint64
 	Change uint64 // Change is 0 where it knows none.
 }
 
-// PassedMsg asks a control instance what servers said of their limits to other gateways,
+// SharedLimitsMsg asks a control instance what servers said of their limits to other gateways,
 // while no leader answers.
-type PassedMsg struct {
-	Held  PassedMark   // Held is what the gateway has of this control instance.
-	Heard []HeardLimit // Heard is what servers said to the gateway itself.
+type SharedLimitsMsg struct {
+	Held  SharedLimitsVersion // Held is what the gateway has of this control instance.
+	Heard []ReportedLimit     // Heard is what servers said to the gateway itself.
 }
 
-// PassedReply is the answer.
-type PassedReply struct {
-	Holds PassedMark
-	Heard []HeardLimit // Heard is what came behind the mark that the gateway held.
+// SharedLimitsReply is the answer.
+type SharedLimitsReply struct {
+	Holds SharedLimitsVersion
+	Heard []ReportedLimit // Heard is what came behind the mark that the gateway held.
 }
 
-// PassedMark names the limits that a control instance passes on.
-type PassedMark struct {
+// SharedLimitsVersion names the limits that a control instance passes on.
+type SharedLimitsVersion struct {
 	Incarnation uint64 // Incarnation differs with each start of the instance.
 	Change      uint64
 }
 
-// HeardLimit is what a server said of its limit in an answer to a gateway.
-type HeardLimit struct {
+// ReportedLimit is what a server said of its limit in an answer to a gateway.
+type ReportedLimit struct {
 	Server string
 	Limit  RateLimit
 	Ago    time.Duration
 }
 
-// SentSlot is the time that each number in SentRequests is of.
-const SentSlot = 250 * time.Millisecond
+// SentInterval is the time that each number in SentRequests is of.
+const SentInterval = 250 * time.Millisecond
 
 // SentRequests tells how many requests a gateway sent to a server.
 type SentRequests struct {
@@ -56,8 +56,8 @@
 	Slots  []int // Slots are by age, the latest SentSlot first.
 }
 
-// PermitWant asks for permits to send requests to a server that limits them.
-type PermitWant struct {
+// PermitRequest asks for permits to send requests to a server that limits them.
+type PermitRequest struct {
 	Server string
 	Count  int
 	Back   int // Back are earlier permits that expired unused.
--- a/protocol/list.go
+++ b/protocol/list.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Onto returns the servers that are listed once a list is told to one that holds some,
+// ApplyTo returns the servers that are listed once a list is told to one that holds some,
 // in the order of their ids.
-func (l *ServerList) Onto(held []Instance) []Instance {
+func (l *ServerList) ApplyTo(held []Instance) []Instance {
 	servers := make(map[string]Instance, len(held)+len(l.Servers))
 	if !l.Whole {
 		for _, in := range held {
--- a/protocol/observe.go
+++ b/protocol/observe.go
@@ -16,6 +16,6 @@
 type ObserveReply struct {
 	Leads      bool
 	Term       uint64
-	Quarantine *QuarantineNews // Quarantine is what the asker lacks; nil for nothing.
-	Watch      *WatchNews      // Watch are the requests to be told of, where the asker has others; nil for no change.
+	Quarantine *QuarantineUpdate // Quarantine is what the asker lacks; nil for nothing.
+	Watch      *WatchUpdate      // Watch are the requests to be told of, where the asker has others; nil for no change.
 }
--- a/protocol/peer.go
+++ b/protocol/peer.go
@@ -63,13 +63,13 @@
 	return m.State > o.State
 }
 
-// LeavingKept is how long the record of a leaving server is kept, far longer
+// LeavingRetention is how long the record of a leaving server is kept, far longer
 // than the platform's list lags.
-const LeavingKept = time.Hour
+const LeavingRetention = time.Hour
 
 // Leaving is the record that a backend server takes no new work. It is never
 // taken back: identities of servers are not reused. It is dropped once it is
-// older than [LeavingKept].
+// older than [LeavingRetention].
 type Leaving struct {
 	Server string    `json:"server"`
 	At     time.Time `json:"at"`     // At is when the server goes; zero when unknown.
@@ -77,9 +77,9 @@
 	Origin string    `json:"origin"` // Origin is how it was learned: notice, list, report or refusal.
 }
 
-// JoinedKept is how long the record of a joined server is kept: far longer than
+// JoinedRetention is how long the record of a joined server is kept: far longer than
 // it takes each instance to read the platform's list for itself.
-const JoinedKept = 5 * time.Minute
+const JoinedRetention = 5 * time.Minute
 
 // Joined is the record that a backend server is new in the platform's list. It
 // saves the others from reading the whole list often.
@@ -88,9 +88,9 @@
 	Seen     time.Time `json:"seen"` // Seen is when it was listed first, by whoever read it.
 }
 
-// News is what instances tell each other: records that changed, or on a
+// GossipMsg is what instances tell each other: records that changed, or on a
 // synchronization all of them.
-type News struct {
+type GossipMsg struct {
 	From    string
 	Members []Member
 	Leaving []Leaving
@@ -104,12 +104,12 @@
 // ProbeReplyMsg tells whether the probed instance answered.
 type ProbeReplyMsg struct{ Alive bool }
 
-// FetchMsg asks a peer for the configuration in force there.
-type FetchMsg struct{ Above uint64 }
+// FetchConfigMsg asks a peer for the configuration in force there.
+type FetchConfigMsg struct{ Above uint64 }
 
-// FetchReplyMsg carries the configuration in its canonical form, or none when
+// FetchConfigReplyMsg carries the configuration in its canonical form, or none when
 // the peer holds nothing above the asked number.
-type FetchReplyMsg struct {
+type FetchConfigReplyMsg struct {
 	Found  bool
 	Number uint64
 	Config []byte
--- a/protocol/quarantine.go
+++ b/protocol/quarantine.go
@@ -66,8 +66,8 @@
 	Entries []Quarantined // Entries are in the order of their changes.
 }
 
-// QuarantineNews is what somebody lacks of the quarantine.
-type QuarantineNews struct {
+// QuarantineUpdate is what somebody lacks of the quarantine.
+type QuarantineUpdate struct {
 	_       struct{} `cbor:",toarray"`
 	Changes uint64   // Changes is up to where it tells.
 	Whole   bool     // Whole says that nothing but this is held.
@@ -85,12 +85,12 @@
 	Until   int64  // Until is when it is tried next, in ms since 1970.
 }
 
-// News returns what somebody lacks who knows the changes up to one; nil for nothing.
-func (l *QuarantineLog) News(known uint64) *QuarantineNews {
+// UpdateSince returns what somebody lacks who knows the changes up to one; nil for nothing.
+func (l *QuarantineLog) UpdateSince(known uint64) *QuarantineUpdate {
 	if known == l.Changes {
 		return nil
 	}
-	n := &QuarantineNews{Changes: l.Changes, Whole: known < l.Floor || known > l.Changes || known == 0}
+	n := &QuarantineUpdate{Changes: l.Changes, Whole: known < l.Floor || known > l.Changes || known == 0}
 	if n.Whole {
 		known = 0
 	}
@@ -106,8 +106,8 @@
 	return n
 }
 
-// Take returns the quarantine with the news in it.
-func (l *QuarantineLog) Take(n *QuarantineNews) QuarantineLog {
+// Apply returns the quarantine with the news in it.
+func (l *QuarantineLog) Apply(n *QuarantineUpdate) QuarantineLog {
 	next := QuarantineLog{Changes: n.Changes, Floor: l.Floor}
 	if n.Whole {
 		next.Floor = n.Changes // What came before is known as a whole only.
@@ -125,7 +125,7 @@
 }
 
 // told returns the requests that the news tell of.
-func (n *QuarantineNews) told() map[Fingerprint]bool {
+func (n *QuarantineUpdate) told() map[Fingerprint]bool {
 	set := make(map[Fingerprint]bool, len(n.Held)+len(n.Free))
 	for i := range n.Held {
 		set[n.Held[i].Fingerprint] = true
@@ -136,14 +136,14 @@
 	return set
 }
 
-// WatchNews are the requests whose good ends are to be told.
-type WatchNews struct {
+// WatchUpdate are the requests whose good ends are to be told.
+type WatchUpdate struct {
 	_        struct{} `cbor:",toarray"`
 	Requests []Fingerprint
 }
 
-// WatchMark names a list of requests: equal lists have the same mark, and an empty one 0.
-func WatchMark(list []Fingerprint) uint64 {
+// WatchHash names a list of requests: equal lists have the same mark, and an empty one 0.
+func WatchHash(list []Fingerprint) uint64 {
 	if len(list) == 0 {
 		return 0
 	}
@@ -157,10 +157,10 @@
 	return max(1, d.Sum64())
 }
 
-// Watch returns what somebody lacks who has the list of a mark; nil for nothing.
-func Watch(list []Fingerprint, held uint64) *WatchNews {
-	if WatchMark(list) == held {
+// NewWatchUpdate returns what somebody lacks who has the list of a mark; nil for nothing.
+func NewWatchUpdate(list []Fingerprint, held uint64) *WatchUpdate {
+	if WatchHash(list) == held {
 		return nil
 	}
-	return &WatchNews{Requests: list}
+	return &WatchUpdate{Requests: list}
 }
--- a/protocol/rollout.go
+++ b/protocol/rollout.go
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// Over reports whether the stage is final.
-func (s RolloutStage) Over() bool { return s >= RolloutCompleted }
+// Final reports whether the stage is final.
+func (s RolloutStage) Final() bool { return s >= RolloutCompleted }
 
 // Rollout is the newest roll-out of a service, as the log has it.
 type Rollout struct {
@@ -166,11 +166,11 @@
 	Route   string
 	New     bool   // New says that servers of the new version answered.
 	Server  string // Server is the one of the new version that did; empty for the others, which count together.
-	Answers Answers
+	Answers AnswerCounts
 }
 
-// Answers counts answers by how they went and by how long they took.
-type Answers struct {
+// AnswerCounts counts answers by how they went and by how long they took.
+type AnswerCounts struct {
 	_     struct{} `cbor:",toarray"`
 	Good  int64
 	Bad   int64   // Bad are failures, and answers that broke off or came not at all.
--- a/protocol/says.go
+++ b/protocol/says.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// ServerSays is what a backend server says of itself beside an answer. The zero value is
+// ServerFeedback is what a backend server says of itself beside an answer. The zero value is
 // of one that says nothing: it takes whatever comes.
-type ServerSays struct {
+type ServerFeedback struct {
 	Limit RateLimit
 	// LimitUnread says that it named a limit that could not be read: the one before holds.
 	LimitUnread bool
--- a/protocol/uplink.go
+++ b/protocol/uplink.go
@@ -14,7 +14,7 @@
 	Term       uint64 // Term is the leader's that Usage is for: what that one has is left out.
 	Usage      []UsageRow
 	Counted    time.Time // Counted is up to when Usage tells all that the gateway counted, by the clock that it counts by.
-	Wants      []QuotaWant
+	Wants      []QuotaRequest
 	Pressure   []Pressure
 	Done       []PlaceDone
 	Domain     string       // Domain is the gateway's failure domain.
@@ -24,10 +24,10 @@
 	Gateways   int          // Gateways are how many a leader counted last; 0 before the first answer.
 	Rollouts   uint64       // Rollouts is the change of the roll-outs that it keeps to; 0 before the first.
 	Trials     []TrialReport
-	Loads      LoadMark  // Loads are the loads that the gateway holds.
-	Relayed    bool      // Relayed asks an instance that does not lead to pass the question on to the leader.
-	Readings   []Reading // Readings are of prompts that it placed by itself, those that it did not tell yet.
-	ReadingsAt uint64    // ReadingsAt is up to where it has heard of the term's log of readings.
+	Loads      LoadVersion // Loads are the loads that the gateway holds.
+	Relayed    bool        // Relayed asks an instance that does not lead to pass the question on to the leader.
+	Readings   []Prefill   // Readings are of prompts that it placed by itself, those that it did not tell yet.
+	ReadingsAt uint64      // ReadingsAt is up to where it has heard of the term's log of readings.
 
 	Observations []Observation // Observations are of servers that ended under requests, and of such requests, that the leader of Term lacks.
 	Quarantined  *uint64       // Quarantined is the change of the quarantine that it keeps to, 0 before the first; nil from a build that knows none.
@@ -36,10 +36,10 @@
 	Features Features // Features are those of the gateway's build.
 }
 
-// KnowsStarts reports whether the gateway's build names servers by their starts. The first
+// SupportsIncarnations reports whether the gateway's build names servers by their starts. The first
 // that did told no features; it is known by its quarantine, which came with it.
-func (m *SyncMsg) KnowsStarts() bool {
-	return m.Quarantined != nil || m.Features.Has(FeatureStarts)
+func (m *SyncMsg) SupportsIncarnations() bool {
+	return m.Quarantined != nil || m.Features.Has(FeatureIncarnations)
 }
 
 // QuarantineChange is the change of the quarantine that the gateway keeps to.
@@ -50,8 +50,8 @@
 	return *m.Quarantined
 }
 
-// Reading tells that a server was given shared parts of prompts to read.
-type Reading struct {
+// Prefill tells that a server was given shared parts of prompts to read.
+type Prefill struct {
 	_      struct{} `cbor:",toarray"`
 	Server string
 	Links  []uint32 // Links are the front halves of the hashes of prompt links.
@@ -74,7 +74,7 @@
 	Domain  string   // Domain is the gateway's failure domain.
 	Avoid   []string // Avoid are servers that the request was sent to before.
 	Copies  float64  // Copies are the tokens a millisecond that a server copies from another; 0 where it cannot.
-	Parts   LaneParts
+	Parts   LaneShares
 	Target  time.Duration // Target is when the first event is in time.
 	Gap     time.Duration // Gap is the longest pause between events in time.
 }
@@ -105,8 +105,8 @@
 	Count     int64
 }
 
-// QuotaWant asks for a part of a workspace's quota.
-type QuotaWant struct {
+// QuotaRequest asks for a part of a workspace's quota.
+type QuotaRequest struct {
 	Workspace string
 	Units     float64 // Units are requests or tokens, as the quota counts.
 	Waiting   float64 // Waiting are those of them that requests wait for; the rest is asked for in advance.
@@ -118,7 +118,7 @@
 // for the answer, and the size of a SyncReply grows with the number of servers.
 type QuotaMsg struct {
 	Gateway string
-	Wants   []QuotaWant
+	Wants   []QuotaRequest
 	Done    []PlaceDone // Done are ends of requests that the leader placed.
 }
 
@@ -135,19 +135,19 @@
 	Begun   int64   // Begun counts answers that began, since the gateway's start.
 	Slow    int64   // Slow counts those of them that used up much of their target.
 	Work    float64 // Work is the mean number running over the last second.
-	Lanes   LaneTerms
+	Lanes   LaneParams
 }
 
-// LaneTerms say which prompts of a service are long, and what they ask of its
+// LaneParams say which prompts of a service are long, and what they ask of its
 // servers.
-type LaneTerms struct {
+type LaneParams struct {
 	Mean  float64 // Mean is a prompt's length in tokens; those above it are long.
 	Seen  int     // Seen is how many prompts the terms rest on.
-	Parts LaneParts
+	Parts LaneShares
 }
 
-// LaneParts say how a service's servers are parted between long and short prompts.
-type LaneParts struct {
+// LaneShares say how a service's servers are parted between long and short prompts.
+type LaneShares struct {
 	Tokens float64 // Tokens is the part that long prompts have of all tokens to be read, 0 to 1.
 	Work   float64 // Work is the part that they have of all servers' time, 0 to 1.
 	Short  float64 // Short is how many servers the short prompts keep busy.
@@ -156,7 +156,7 @@
 // ServiceLanes are the terms that all gateways keep to.
 type ServiceLanes struct {
 	Service string
-	Terms   LaneTerms
+	Terms   LaneParams
 }
 
 // LeaderMsg asks a control instance who leads. An instance that does not know keeps
@@ -196,15 +196,15 @@
 	Rollouts   []Rollout // Rollouts are the newest of each service, where the gateway keeps to others.
 	Changes    uint64    // Changes is the change of the roll-outs that the leader vouches for.
 	Trials     []TrialGrant
-	Loads      []byte   // Loads are the requests that the servers have from all gateways, in the order of their names; empty to a gateway with another list, or with LoadChanges.
-	Loaded     LoadMark // Loaded names the loads that the gateway holds with this answer.
+	Loads      []byte      // Loads are the requests that the servers have from all gateways, in the order of their names; empty to a gateway with another list, or with LoadChanges.
+	Loaded     LoadVersion // Loaded names the loads that the gateway holds with this answer.
 	// LoadChanges are what changed of the loads that the gateway holds; see place.Vector.
 	LoadChanges []byte
 	Readings    []byte // Readings are those of other gateways behind where the asker stands, packed by the order of its list.
 	ReadingsAt  uint64 // ReadingsAt is where it stands behind them; 0 where the answer tells of none.
 
-	Quarantine *QuarantineNews // Quarantine is what the asker lacks of it; nil for nothing.
-	Watch      *WatchNews      // Watch are the requests whose good ends are to be told, where the asker has others; nil for no change.
+	Quarantine *QuarantineUpdate // Quarantine is what the asker lacks of it; nil for nothing.
+	Watch      *WatchUpdate      // Watch are the requests whose good ends are to be told, where the asker has others; nil for no change.
 
 	Limits uint64 // Limits is the change of the limits that servers name, as the leader of Term knows them; 0 for none.
 }
@@ -225,20 +225,20 @@
 	Wait      time.Duration // Wait is when more is to be had, where Units falls short.
 }
 
-// PutMsg asks for an opaque document to be accepted; the highest number holds.
-type PutMsg struct {
+// PutDocumentMsg asks for an opaque document to be accepted; the highest number holds.
+type PutDocumentMsg struct {
 	Number uint64 `json:"number"`
 	Data   []byte `json:"data"`
 }
 
-// PutReply tells which document holds.
-type PutReply struct {
+// PutDocumentReply tells which document holds.
+type PutDocumentReply struct {
 	Number uint64 `json:"number"`
 }
 
-// SettleMsg fixes the counts of a window before they are first reported, so
+// SettleUsageMsg fixes the counts of a window before they are first reported, so
 // that every repeat is the same.
-type SettleMsg struct {
+type SettleUsageMsg struct {
 	Window int64            `json:"window"`
 	Counts map[string]int64 `json:"counts"`
 	Sent   bool             `json:"sent,omitempty"` // Sent says that the platform has taken the report.
@@ -266,33 +266,33 @@
 	Rows []TallyRow `json:"rows"`
 }
 
-// HoldMsg names the holder of the duties and its fencing token. It is committed
+// DutyHolderMsg names the holder of the duties and its fencing token. It is committed
 // before the holder's first call.
-type HoldMsg struct {
+type DutyHolderMsg struct {
 	Holder string `json:"holder"`
 	Token  uint64 `json:"token"`
 }
 
-// HoldReply tells the highest token, and who held the duties before its holder.
-type HoldReply struct {
+// DutyHolderReply tells the highest token, and who held the duties before its holder.
+type DutyHolderReply struct {
 	Token  uint64 `json:"token"`
 	Former string `json:"former,omitempty"`
 }
 
-// BaseMsg fixes how many servers a service had when it was first seen: what its
+// BaselineMsg fixes how many servers a service had when it was first seen: what its
 // operators took for enough. With 0 servers it only asks.
-type BaseMsg struct {
+type BaselineMsg struct {
 	Service string `json:"service"`
 	Servers int    `json:"servers"`
 }
 
-// BaseReply returns what is fixed.
-type BaseReply struct {
+// BaselineReply returns what is fixed.
+type BaselineReply struct {
 	Servers int `json:"servers"`
 }
 
-// SettleReply returns what is settled for the window.
-type SettleReply struct {
+// SettleUsageReply returns what is settled for the window.
+type SettleUsageReply struct {
 	Counts map[string]int64 `json:"counts"`
 	Sent   bool             `json:"sent,omitempty"`
 }
--- a/state/backends.go
+++ b/state/backends.go
@@ -40,9 +40,9 @@
 	return max(float64(own), float64(s.Report.Running+s.Report.Waiting)+float64(own-s.OwnAt))
 }
 
-// Used reports whether this process sent to the server since it last asked for
+// ReportDue reports whether this process sent to the server since it last asked for
 // its load, or never asked.
-func (s *Server) Used() bool { return s.AskedAt.IsZero() || s.Counters.Sent.Load() != s.SentAt }
+func (s *Server) ReportDue() bool { return s.AskedAt.IsZero() || s.Counters.Sent.Load() != s.SentAt }
 
 // Silent reports whether the server missed its last load reports.
 func (s *Server) Silent() bool { return s.Missed > maxMissed }
@@ -113,7 +113,7 @@
 	defer b.mu.Unlock()
 	rows := make(map[string]*Server, len(list))
 	for id, j := range b.joined {
-		if now.Sub(j.Seen) > protocol.JoinedKept {
+		if now.Sub(j.Seen) > protocol.JoinedRetention {
 			delete(b.joined, id)
 			continue
 		}
@@ -148,7 +148,7 @@
 func (b *Backends) Join(j protocol.Joined, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if j.Instance.Kind == protocol.InstanceEntry || now.Sub(j.Seen) > protocol.JoinedKept {
+	if j.Instance.Kind == protocol.InstanceEntry || now.Sub(j.Seen) > protocol.JoinedRetention {
 		return
 	}
 	b.joined[j.Instance.ID] = j
@@ -161,7 +161,7 @@
 // forget drops the marks of servers that are long gone. It needs b.mu.
 func (b *Backends) forget(now time.Time) {
 	for id, l := range b.leaving {
-		if b.rows[id] == nil && now.Sub(l.Seen) > protocol.LeavingKept {
+		if b.rows[id] == nil && now.Sub(l.Seen) > protocol.LeavingRetention {
 			delete(b.leaving, id)
 		}
 	}
@@ -202,8 +202,8 @@
 	return b
 }
 
-// WantReport has a server's load asked for in the next round.
-func (b *Backends) WantReport(id string) {
+// RequestReport has a server's load asked for in the next round.
+func (b *Backends) RequestReport(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if row := b.rows[id]; row != nil {
--- a/state/document_test.go
+++ b/state/document_test.go
@@ -18,7 +18,7 @@
 }
 
 func put(number uint64, data string) protocol.Command {
-	return protocol.Command{Put: &protocol.PutMsg{Number: number, Data: []byte(data)}}
+	return protocol.Command{Put: &protocol.PutDocumentMsg{Number: number, Data: []byte(data)}}
 }
 
 // TestHighestDocumentHolds checks that only a higher number changes the
@@ -41,8 +41,8 @@
 // so that every report of it is the same.
 func TestFirstCountsStay(t *testing.T) {
 	m := NewMachine()
-	settle := func(window int64, counts map[string]int64, sent bool) *protocol.SettleReply {
-		return applyAll(m, protocol.Command{Settle: &protocol.SettleMsg{Window: window, Counts: counts, Sent: sent}}).Settle
+	settle := func(window int64, counts map[string]int64, sent bool) *protocol.SettleUsageReply {
+		return applyAll(m, protocol.Command{Settle: &protocol.SettleUsageMsg{Window: window, Counts: counts, Sent: sent}}).Settle
 	}
 	settle(5, map[string]int64{"a": 3}, false)
 	second := settle(5, map[string]int64{"a": 4}, false)
@@ -58,8 +58,8 @@
 // an older token takes nothing back.
 func TestHolder(t *testing.T) {
 	m := NewMachine()
-	hold := func(holder string, token uint64) *protocol.HoldReply {
-		return applyAll(m, protocol.Command{Hold: &protocol.HoldMsg{Holder: holder, Token: token}}).Hold
+	hold := func(holder string, token uint64) *protocol.DutyHolderReply {
+		return applyAll(m, protocol.Command{Hold: &protocol.DutyHolderMsg{Holder: holder, Token: token}}).Hold
 	}
 	if got := hold("a", 1); got.Former != "" || got.Token != 1 {
 		t.Errorf("the first holder got %+v", got)
@@ -80,12 +80,12 @@
 func TestSnapshotHoldsAll(t *testing.T) {
 	m := NewMachine()
 	applyAll(m, put(9, "{}"),
-		protocol.Command{Settle: &protocol.SettleMsg{Window: 1, Counts: map[string]int64{"a": 1}}},
-		protocol.Command{Settle: &protocol.SettleMsg{Window: 1, Sent: true}},
+		protocol.Command{Settle: &protocol.SettleUsageMsg{Window: 1, Counts: map[string]int64{"a": 1}}},
+		protocol.Command{Settle: &protocol.SettleUsageMsg{Window: 1, Sent: true}},
 		protocol.Command{Tally: &protocol.TallyMsg{Rows: []protocol.TallyRow{{Gateway: "g", Life: 7, Window: 3, Workspace: "w", Count: 5}}}},
-		protocol.Command{Base: &protocol.BaseMsg{Service: "s", Servers: 9}},
-		protocol.Command{Hold: &protocol.HoldMsg{Holder: "a", Token: 1}},
-		protocol.Command{Hold: &protocol.HoldMsg{Holder: "b", Token: 2}})
+		protocol.Command{Base: &protocol.BaselineMsg{Service: "s", Servers: 9}},
+		protocol.Command{Hold: &protocol.DutyHolderMsg{Holder: "a", Token: 1}},
+		protocol.Command{Hold: &protocol.DutyHolderMsg{Holder: "b", Token: 2}})
 	data, err := m.Image().Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -97,7 +97,7 @@
 	if diff := cmp.Diff(m.Image(), again.Image(), cmp.AllowUnexported(claim{})); diff != "" {
 		t.Error(diff)
 	}
-	if got := applyAll(again, protocol.Command{Base: &protocol.BaseMsg{Service: "s", Servers: 2}}); got.Base.Servers != 9 {
+	if got := applyAll(again, protocol.Command{Base: &protocol.BaselineMsg{Service: "s", Servers: 2}}); got.Base.Servers != 9 {
 		t.Errorf("the first number of servers is %d, want 9", got.Base.Servers)
 	}
 	if got := again.Settled(1); got == nil || !got.Sent {
--- a/state/machine.go
+++ b/state/machine.go
@@ -19,10 +19,10 @@
 	config []byte // config is the canonical form.
 	claims *Claims
 
-	document protocol.PutMsg // document is the opaque one that holds.
+	document protocol.PutDocumentMsg // document is the opaque one that holds.
 	windows  windows
 	tallies  tallies
-	hold     protocol.HoldMsg
+	hold     protocol.DutyHolderMsg
 	former   string // former held the duties before the holder.
 	rollouts rollouts
 
@@ -88,28 +88,28 @@
 
 // put takes a document with a higher number in place of the one that holds. A
 // resend, or an older one, changes nothing and learns what holds.
-func (m *Machine) put(p *protocol.PutMsg) *protocol.PutReply {
+func (m *Machine) put(p *protocol.PutDocumentMsg) *protocol.PutDocumentReply {
 	if p.Number > m.document.Number {
 		m.document = *p
 	}
-	return &protocol.PutReply{Number: m.document.Number}
+	return &protocol.PutDocumentReply{Number: m.document.Number}
 }
 
 // take names a holder of the duties with a higher token. Former is who may have
 // acted last before it.
-func (m *Machine) take(h *protocol.HoldMsg) *protocol.HoldReply {
+func (m *Machine) take(h *protocol.DutyHolderMsg) *protocol.DutyHolderReply {
 	if h.Token > m.hold.Token {
 		m.former, m.hold = m.hold.Holder, *h
 	}
-	return &protocol.HoldReply{Token: m.hold.Token, Former: m.former}
+	return &protocol.DutyHolderReply{Token: m.hold.Token, Former: m.former}
 }
 
 // base fixes a service's first number of servers. With 0 it only tells it.
-func (m *Machine) base(b *protocol.BaseMsg) *protocol.BaseReply {
+func (m *Machine) base(b *protocol.BaselineMsg) *protocol.BaselineReply {
 	if _, ok := m.bases[b.Service]; !ok && b.Servers > 0 {
 		m.bases[b.Service] = b.Servers
 	}
-	return &protocol.BaseReply{Servers: m.bases[b.Service]}
+	return &protocol.BaselineReply{Servers: m.bases[b.Service]}
 }
 
 // Document returns the opaque document that holds; number 0 means none.
@@ -118,7 +118,7 @@
 }
 
 // Settled returns what is settled for a window, or nil.
-func (m *Machine) Settled(window int64) *protocol.SettleReply { return m.windows.get(window) }
+func (m *Machine) Settled(window int64) *protocol.SettleUsageReply { return m.windows.get(window) }
 
 // Rollouts returns the newest roll-out of each service.
 func (m *Machine) Rollouts() []protocol.Rollout { return m.rollouts.list() }
@@ -153,12 +153,12 @@
 	Config json.RawMessage `json:"config,omitempty"`
 	Claims []*claim        `json:"claims"`
 
-	Document protocol.PutMsg      `json:"document"`
-	Windows  []protocol.SettleMsg `json:"windows,omitempty"`
-	Tallies  []protocol.TallyRow  `json:"tallies,omitempty"`
-	Bases    map[string]int       `json:"bases,omitempty"`
-	Hold     protocol.HoldMsg     `json:"hold"`
-	Former   string               `json:"former,omitempty"`
+	Document protocol.PutDocumentMsg   `json:"document"`
+	Windows  []protocol.SettleUsageMsg `json:"windows,omitempty"`
+	Tallies  []protocol.TallyRow       `json:"tallies,omitempty"`
+	Bases    map[string]int            `json:"bases,omitempty"`
+	Hold     protocol.DutyHolderMsg    `json:"hold"`
+	Former   string                    `json:"former,omitempty"`
 
 	Rollouts       []protocol.Rollout `json:"rollouts,omitempty"`
 	RolloutCount   uint64             `json:"rollout_count,omitempty"`
--- a/state/quarantine_test.go
+++ b/state/quarantine_test.go
@@ -76,7 +76,7 @@
 		held := map[protocol.Fingerprint]bool{}
 		tell := func() {
 			l := m.QuarantineLog()
-			news := l.News(known)
+			news := l.UpdateSince(known)
 			if news == nil {
 				return
 			}
@@ -195,7 +195,7 @@
 	if len(l.Entries) != leastKept || held != mostQuarantined-2000+1 {
 		t.Errorf("%d entries are left, %d of them held", len(l.Entries), held)
 	}
-	if news := l.News(known); news == nil || !news.Whole || len(news.Held) != held {
+	if news := l.UpdateSince(known); news == nil || !news.Whole || len(news.Held) != held {
 		t.Errorf("somebody who knew what was forgotten is told %+v", news)
 	}
 }
--- a/state/replay_test.go
+++ b/state/replay_test.go
@@ -18,8 +18,8 @@
 func TestCommandsOutlastAnUpdate(t *testing.T) {
 	for name, c := range map[string]protocol.Command{
 		"counts":   {At: 17, Tally: &protocol.TallyMsg{Rows: []protocol.TallyRow{{Gateway: "g", Life: 1 << 63, Window: 3, Workspace: "w", Count: 4}}}},
-		"document": {At: 18, Put: &protocol.PutMsg{Number: 9, Data: []byte{0, 255, '{'}}},
-		"window":   {Settle: &protocol.SettleMsg{Window: 5, Counts: map[string]int64{"w": 7}}},
+		"document": {At: 18, Put: &protocol.PutDocumentMsg{Number: 9, Data: []byte{0, 255, '{'}}},
+		"window":   {Settle: &protocol.SettleUsageMsg{Window: 5, Counts: map[string]int64{"w": 7}}},
 		"claim":    {At: 19, Claim: &protocol.ClaimMsg{IssuedAt: 4}},
 		"question": {Tally: &protocol.TallyMsg{}},
 	} {
--- a/state/rollouts.go
+++ b/state/rollouts.go
@@ -34,7 +34,7 @@
 	if last != nil && repeats(last, m, now) {
 		return &protocol.BeginRolloutReply{Taken: true, Rollout: *last}
 	}
-	if last != nil && !last.Stage.Over() {
+	if last != nil && !last.Stage.Final() {
 		return &protocol.BeginRolloutReply{Rollout: *last}
 	}
 	next := &protocol.Rollout{Service: m.Service, Version: m.Version, LimitMS: m.LimitMS, BeganAt: now}
@@ -71,7 +71,7 @@
 	if last.Stage == protocol.RolloutCompleted {
 		return true // The service is there.
 	}
-	return last.LimitMS == m.LimitMS && (!last.Stage.Over() || now-last.BeganAt <= m.RepeatMS)
+	return last.LimitMS == m.LimitMS && (!last.Stage.Final() || now-last.BeganAt <= m.RepeatMS)
 }
 
 // stage takes a running roll-out further. It never goes back, and what is over stays.
@@ -80,7 +80,7 @@
 	if last == nil {
 		return &protocol.StageRolloutReply{}
 	}
-	if last.Number != m.Number || last.Stage.Over() || m.Stage <= last.Stage {
+	if last.Number != m.Number || last.Stage.Final() || m.Stage <= last.Stage {
 		return &protocol.StageRolloutReply{Rollout: *last}
 	}
 	next := *last
@@ -88,7 +88,7 @@
 	if len(m.Former) > 0 {
 		next.Former = m.Former
 	}
-	if next.Stage.Over() {
+	if next.Stage.Final() {
 		next.EndedAt = now
 	}
 	r.put(&next)
--- a/state/rollouts_test.go
+++ b/state/rollouts_test.go
@@ -62,7 +62,7 @@
 			s := protocol.RolloutStage(rapid.IntRange(0, 3).Draw(t, "stage"))
 			got := stage(m, 2, number, s, "v1").Stage
 			switch {
-			case got < last, last.Over() && got != last, number != 1 && got != last:
+			case got < last, last.Final() && got != last, number != 1 && got != last:
 				t.Fatalf("from %v to %v by a step to %v of number %d", last, got, s, number)
 			}
 			last = got
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -65,11 +65,11 @@
 	if got := <-b.Changed(); got != "e1" {
 		t.Errorf("told of %s", got)
 	}
-	b.SetList(list, now.Add(2*protocol.LeavingKept))
+	b.SetList(list, now.Add(2*protocol.LeavingRetention))
 	if len(b.Leaving()) != 1 {
 		t.Error("the mark of a listed server was dropped")
 	}
-	b.SetList(list[1:], now.Add(2*protocol.LeavingKept))
+	b.SetList(list[1:], now.Add(2*protocol.LeavingRetention))
 	if len(b.Leaving()) != 0 {
 		t.Error("the mark of a server that is long gone was kept")
 	}
@@ -87,7 +87,7 @@
 	if b.View().Find("new") == nil {
 		t.Error("a list that is behind took a new server away")
 	}
-	b.SetList(listed, now.Add(protocol.JoinedKept+time.Second))
+	b.SetList(listed, now.Add(protocol.JoinedRetention+time.Second))
 	if b.View().Find("new") != nil {
 		t.Error("a server that no list ever had is kept for ever")
 	}
--- a/transport/codec_test.go
+++ b/transport/codec_test.go
@@ -66,8 +66,8 @@
 	m := protocol.SyncMsg{
 		Gateway: "gateway-17", Life: 1 << 63, Number: 12, Servers: 3, Lister: 2, Domain: "a",
 		Usage:    []protocol.UsageRow{{Window: 12345, Workspace: "w", Count: 17}},
-		Wants:    []protocol.QuotaWant{{Workspace: "w", Units: 1234.5}},
-		Pressure: []protocol.Pressure{{Service: "model", Begun: 12, Work: 0.3, Lanes: protocol.LaneTerms{Mean: 6000, Seen: 4}}},
+		Wants:    []protocol.QuotaRequest{{Workspace: "w", Units: 1234.5}},
+		Pressure: []protocol.Pressure{{Service: "model", Begun: 12, Work: 0.3, Lanes: protocol.LaneParams{Mean: 6000, Seen: 4}}},
 		Done:     []protocol.PlaceDone{{Term: 1, Number: 4, First: 20 * time.Millisecond, Took: time.Second}},
 		Clock:    time.Date(2026, 1, 2, 3, 4, 5, 678901234, time.UTC),
 	}
--- a/transport/control/batch.go
+++ b/transport/control/batch.go
@@ -106,7 +106,7 @@
 func (u *Uplink) answerCommon(m *protocol.BatchMsg, reply *protocol.BatchReply, now time.Time) {
 	var all protocol.SyncReply // all is the answer to a gateway that holds what the relay does.
 	// A relay whose batches can be read knows the starts of servers.
-	held := protocol.SyncMsg{Lister: m.Lister, Servers: m.Servers, Features: protocol.FeatureStarts}
+	held := protocol.SyncMsg{Lister: m.Lister, Servers: m.Servers, Features: protocol.FeatureIncarnations}
 	u.renewRollouts()
 	u.answerChanges(m.Rollouts, &all)
 	tellQuarantine(u.quarantined.Load(), u.keeper.Watched(), m.Quarantined, m.Watched, &all)
@@ -155,7 +155,7 @@
 		p.Usage = append(p.Usage, protocol.BatchUsage{Window: r.Window, Workspace: r.Workspace, Count: r.Count})
 	}
 	for _, w := range m.Wants {
-		p.Wants = append(p.Wants, protocol.BatchWant{Workspace: w.Workspace, Units: w.Units, Waiting: w.Waiting, Back: w.Back, Alone: w.Alone})
+		p.Wants = append(p.Wants, protocol.BatchQuotaRequest{Workspace: w.Workspace, Units: w.Units, Waiting: w.Waiting, Back: w.Back, Alone: w.Alone})
 	}
 	for _, r := range m.Pressure {
 		p.Pressure = append(p.Pressure, protocol.BatchPressure{Begun: r.Begun, Slow: r.Slow, Work: float32(r.Work), BatchLanes: packLanes(r.Service, r.Lanes)})
@@ -176,7 +176,7 @@
 		m.Usage = append(m.Usage, protocol.UsageRow{Window: r.Window, Workspace: r.Workspace, Count: r.Count})
 	}
 	for _, w := range p.Wants {
-		m.Wants = append(m.Wants, protocol.QuotaWant{Workspace: w.Workspace, Units: w.Units, Waiting: w.Waiting, Back: w.Back, Alone: w.Alone})
+		m.Wants = append(m.Wants, protocol.QuotaRequest{Workspace: w.Workspace, Units: w.Units, Waiting: w.Waiting, Back: w.Back, Alone: w.Alone})
 	}
 	for _, r := range p.Pressure {
 		m.Pressure = append(m.Pressure, protocol.Pressure{Service: r.Service, Begun: r.Begun, Slow: r.Slow, Work: float64(r.Work), Lanes: unpackLanes(r.BatchLanes)})
@@ -203,11 +203,11 @@
 }
 
 // packLanes returns a service's terms in single precision, which is enough for estimates.
-func packLanes(service string, t protocol.LaneTerms) protocol.BatchLanes {
+func packLanes(service string, t protocol.LaneParams) protocol.BatchLanes {
 	return protocol.BatchLanes{Service: service, Seen: t.Seen, Mean: float32(t.Mean), Tokens: float32(t.Parts.Tokens), Busy: float32(t.Parts.Work), Short: float32(t.Parts.Short)}
 }
 
 // unpackLanes returns the terms that packLanes packed.
-func unpackLanes(l protocol.BatchLanes) protocol.LaneTerms {
-	return protocol.LaneTerms{Seen: l.Seen, Mean: float64(l.Mean), Parts: protocol.LaneParts{Tokens: float64(l.Tokens), Work: float64(l.Busy), Short: float64(l.Short)}}
+func unpackLanes(l protocol.BatchLanes) protocol.LaneParams {
+	return protocol.LaneParams{Seen: l.Seen, Mean: float64(l.Mean), Parts: protocol.LaneShares{Tokens: float64(l.Tokens), Work: float64(l.Busy), Short: float64(l.Short)}}
 }
--- a/transport/control/control_test.go
+++ b/transport/control/control_test.go
@@ -94,7 +94,7 @@
 func (s *fakeSource) Order(context.Context, Duty, Order) error { return nil }
 
 func parse(number uint64, _ []byte) (*protocol.Catalog, error) {
-	return &protocol.Catalog{Number: number, Workspaces: []protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}}}, nil
+	return &protocol.Catalog{Number: number, Workspaces: []protocol.WorkspaceSpec{{Name: "w", Rate: 1000, Burst: 1000}}}, nil
 }
 
 func noPeers() (string, []string) { return "10.0.0.1:7000", []string{"10.0.0.1:7000", "10.0.0.2:7000"} }
@@ -243,7 +243,7 @@
 	}
 	g.set(2, true)
 	// With a list of its own the gateway is not kept waiting while the bucket fills.
-	got := sync1(t, u, protocol.SyncMsg{Gateway: "a", Lister: 1, Wants: []protocol.QuotaWant{{Workspace: "w", Units: 5000}}})
+	got := sync1(t, u, protocol.SyncMsg{Gateway: "a", Lister: 1, Wants: []protocol.QuotaRequest{{Workspace: "w", Units: 5000}}})
 	if got.Gateways != 1 || len(got.Grants) != 1 || got.Grants[0].Units > 960 {
 		t.Errorf("got %+v", got)
 	}
@@ -477,7 +477,7 @@
 		u := NewUplink(newFakeGroup(), noPeers, parse, 8*time.Second, WithQuiet(func() time.Duration { return c.quiet }))
 		u.Install(5, nil)
 		want := 2 * time.Second.Seconds() * 1000 // More than any bucket holds.
-		got := sync1(t, u, protocol.SyncMsg{Gateway: "g", Lister: 1, Wants: []protocol.QuotaWant{{Workspace: "w", Units: want}}}).Grants[0].Units
+		got := sync1(t, u, protocol.SyncMsg{Gateway: "g", Lister: 1, Wants: []protocol.QuotaRequest{{Workspace: "w", Units: want}}}).Grants[0].Units
 		const rate, ahead = 1000, 600 // ahead is what a request may take of what is to come.
 		if least := rate * c.want.Seconds(); got < least+ahead || got > least+ahead+rate/10 {
 			t.Errorf("after %v without a command %.0f units are granted", c.quiet, got)
@@ -544,7 +544,7 @@
 func TestNextLeaderPlansFromTheLog(t *testing.T) {
 	g := newFakeGroup()
 	ctx := context.Background()
-	if _, err := g.Propose(ctx, protocol.Command{Base: &protocol.BaseMsg{Service: "s", Servers: 18}}); err != nil {
+	if _, err := g.Propose(ctx, protocol.Command{Base: &protocol.BaselineMsg{Service: "s", Servers: 18}}); err != nil {
 		t.Fatal(err)
 	}
 	d := newDuties(g, &fakeSource{}, "b")
@@ -602,7 +602,7 @@
 	u.SetServers(1, []protocol.Instance{{ID: "a", Service: "s", Slots: 4}, {ID: "b", Service: "s", Slots: 4}, {ID: "c", Service: "s", Slots: 4}})
 	next := func() protocol.PlaceReply {
 		var reply protocol.PlaceReply
-		m := protocol.PlaceMsg{Service: "s", Prompt: 1, Answer: 1_000_000, Parts: protocol.LaneParts{Tokens: 1}, Target: time.Second, Gap: time.Second}
+		m := protocol.PlaceMsg{Service: "s", Prompt: 1, Answer: 1_000_000, Parts: protocol.LaneShares{Tokens: 1}, Target: time.Second, Gap: time.Second}
 		if err := u.Place(m, &reply); err != nil || reply.Server == "" {
 			t.Fatalf("placed %+v, %v", reply, err)
 		}
--- a/transport/control/copies.go
+++ b/transport/control/copies.go
@@ -28,12 +28,12 @@
 	lanes      []protocol.ServiceLanes
 	gateways   int
 	clock      time.Time
-	mark       protocol.LoadMark // mark names the leader's loads that are held.
-	vector     place.Vector      // vector is those loads under this relay's own versions, for its gateways.
+	mark       protocol.LoadVersion // mark names the leader's loads that are held.
+	vector     place.Vector         // vector is those loads under this relay's own versions, for its gateways.
 	distrusted map[string][]byte
 
 	readings *place.Readings
-	fresh    []protocol.Reading // fresh are readings that were not yet sent to the leader.
+	fresh    []protocol.Prefill // fresh are readings that were not yet sent to the leader.
 
 	incarnation uint64 // incarnation is drawn with each new copies: versions of loads and placed requests go by it.
 	view        *place.View
@@ -57,14 +57,14 @@
 // ask puts into the next batch what is held here, and what the leader was not told yet.
 func (c *copies) ask(m *protocol.BatchMsg) {
 	m.Lister, m.Servers, m.Rollouts, m.Loads = c.lister, c.version, c.changes, c.mark
-	m.Quarantined, m.Watched = c.quarantine.Changes, protocol.WatchMark(c.watched)
+	m.Quarantined, m.Watched = c.quarantine.Changes, protocol.WatchHash(c.watched)
 	m.Placed = c.places.Fresh()
 	m.Readings, c.fresh = c.fresh, nil
 }
 
 // read takes readings that one of the relay's gateways tells, and keeps them for the next
 // batch.
-func (c *copies) read(rows []protocol.Reading) {
+func (c *copies) read(rows []protocol.Prefill) {
 	now := clock.Now()
 	for _, r := range rows {
 		c.readings.Add(c.incarnation, r.Server, r.Links)
@@ -103,7 +103,7 @@
 	c.leader, c.term, c.number = leader, r.Term, r.Number
 	c.short, c.gateways, c.clock = r.Short, r.Gateways, time.Unix(0, r.Clock)
 	if r.Quarantine != nil {
-		c.quarantine = c.quarantine.Take(r.Quarantine)
+		c.quarantine = c.quarantine.Apply(r.Quarantine)
 	}
 	if r.Watch != nil {
 		c.watched = r.Watch.Requests
@@ -122,7 +122,7 @@
 	if len(loads) == len(c.order) {
 		c.loads.Replace(c.order, loads, c.distrusted)
 	} else {
-		c.mark = protocol.LoadMark{} // All are asked for next.
+		c.mark = protocol.LoadVersion{} // All are asked for next.
 	}
 	c.places.Note(r.Placed, clock.Now())
 	return nil
@@ -137,7 +137,7 @@
 		if err != nil {
 			return err
 		}
-		c.take(r.Lister, r.Version, list.Onto(c.servers))
+		c.take(r.Lister, r.Version, list.ApplyTo(c.servers))
 		c.readings.List(c.order)
 		news = true
 	}
@@ -174,7 +174,7 @@
 	reply.Short, reply.Lanes, reply.Gateways, reply.Clock = c.short, c.lanes, c.gateways, c.clock
 	if c.holds(m) && !c.startless(m) && len(c.vector.Values()) == len(c.order) {
 		reply.Distrusted = bytes.Clone(c.distrusted[m.Domain])
-		tellLoads(&c.vector, protocol.LoadMark{Incarnation: c.incarnation, Version: c.vector.Version()}, m.Loads, reply)
+		tellLoads(&c.vector, protocol.LoadVersion{Incarnation: c.incarnation, Version: c.vector.Version()}, m.Loads, reply)
 		reply.Readings, reply.ReadingsAt = c.readings.Since(m.ReadingsAt)
 	}
 	reply.Grants, reply.Trials = grantsOf(own), own.Trials
@@ -190,7 +190,7 @@
 	if placed, ok := c.places.Place(c.view, prompt(m), clock.Now()); ok {
 		if len(placed.Fresh) > 0 {
 			c.readings.Add(c.incarnation, placed.Server, placed.Fresh)
-			c.fresh = append(c.fresh, protocol.Reading{Server: placed.Server, Links: placed.Fresh})
+			c.fresh = append(c.fresh, protocol.Prefill{Server: placed.Server, Links: placed.Fresh})
 		}
 		*reply = placeReply(&placed, c.term, c.incarnation)
 	}
--- a/transport/control/fleet.go
+++ b/transport/control/fleet.go
@@ -40,20 +40,20 @@
 // Unsettled returns the services whose first number of servers is not known here,
 // with the number that there is. The number is 0 until the log was asked whether
 // one is settled: what a later leader finds is not what was there first.
-func (f *Fleet) Unsettled(now time.Time) []protocol.BaseMsg {
+func (f *Fleet) Unsettled(now time.Time) []protocol.BaselineMsg {
 	catalog := f.uplink.Catalog()
 	servers, listed := f.uplink.Servers()
 	if catalog == nil || !listed {
 		return nil
 	}
-	var rows []protocol.BaseMsg
+	var rows []protocol.BaselineMsg
 	for i := range catalog.Services {
 		s := &catalog.Services[i]
 		if _, ok := f.bases[s.Name]; ok || s.Scaling == nil {
 			continue
 		}
 		if !f.asked[s.Name] {
-			rows = append(rows, protocol.BaseMsg{Service: s.Name})
+			rows = append(rows, protocol.BaselineMsg{Service: s.Name})
 			continue
 		}
 		// Whether servers may be ordered now does not matter to how many there are.
@@ -63,7 +63,7 @@
 			f.first[s.Name] = count{servers: n, since: now}
 		}
 		if n > 0 && now.Sub(f.first[s.Name].since) >= baseSteady {
-			rows = append(rows, protocol.BaseMsg{Service: s.Name, Servers: n})
+			rows = append(rows, protocol.BaselineMsg{Service: s.Name, Servers: n})
 		}
 	}
 	return rows
--- a/transport/control/limits.go
+++ b/transport/control/limits.go
@@ -41,7 +41,7 @@
 
 // Passed tells a gateway that no leader answers what servers said of their limits to
 // others.
-func (u *Uplink) Passed(m protocol.PassedMsg, reply *protocol.PassedReply) error {
+func (u *Uplink) Passed(m protocol.SharedLimitsMsg, reply *protocol.SharedLimitsReply) error {
 	u.passing.Lock()
 	defer u.passing.Unlock()
 	*reply = u.passed.Answer(&m, clock.Now())
@@ -85,7 +85,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.limits, r.listLate = protocol.LimitsMark{Term: reply.Term, Change: reply.Change}, reply.ListLate
+	r.limits, r.listLate = protocol.LimitsVersion{Term: reply.Term, Change: reply.Change}, reply.ListLate
 }
 
 // watchLimits asks the leader again and again which limits it has, and whether its list is
--- a/transport/control/limits_test.go
+++ b/transport/control/limits_test.go
@@ -27,7 +27,7 @@
 		t.Errorf("change %d though no server names a limit", r.Limits)
 	}
 	limit := protocol.RateLimit{Named: true, PerSecond: 2}
-	first := limitsOf(t, u, protocol.LimitsMsg{Gateway: "g", Heard: []protocol.HeardLimit{{Server: "a@5", Limit: limit}}})
+	first := limitsOf(t, u, protocol.LimitsMsg{Gateway: "g", Heard: []protocol.ReportedLimit{{Server: "a@5", Limit: limit}}})
 	other := sync1(t, u, protocol.SyncMsg{Gateway: "other"})
 	if !first.Leads || other.Limits != first.Change || first.Change == 0 {
 		t.Errorf("leads %v, change %d, and %d to another gateway", first.Leads, first.Change, other.Limits)
@@ -50,7 +50,7 @@
 func TestOnlyALeaderGivesPermits(t *testing.T) {
 	group := newFakeGroup()
 	u := newUplink(group)
-	heard := []protocol.HeardLimit{{Server: "a", Limit: protocol.RateLimit{Named: true, PerSecond: 2}}}
+	heard := []protocol.ReportedLimit{{Server: "a", Limit: protocol.RateLimit{Named: true, PerSecond: 2}}}
 	limitsOf(t, u, protocol.LimitsMsg{Gateway: "g", Heard: heard})
 	group.leads = false
 	if r := limitsOf(t, u, protocol.LimitsMsg{Gateway: "g", Heard: heard}); r.Leads || len(r.Grants) > 0 || u.LimitedServers() != nil {
--- a/transport/control/load.go
+++ b/transport/control/load.go
@@ -47,7 +47,7 @@
 
 // lanes returns the terms of all gateways together, by service. It needs u.mu.
 func (u *Uplink) lanes() []protocol.ServiceLanes {
-	terms := map[string][]protocol.LaneTerms{}
+	terms := map[string][]protocol.LaneParams{}
 	for _, g := range u.gateways {
 		for _, p := range g.pressure {
 			if p.Lanes.Seen > 0 {
--- a/transport/control/orders.go
+++ b/transport/control/orders.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		return r, err
 	}
-	if r.Stage.Over() {
+	if r.Stage.Final() {
 		return r, eris.Wrapf(ErrNoRollout, "the last one of service %q is %s", service, r.Stage)
 	}
 	return o.store.StageRollout(ctx, protocol.StageRolloutMsg{Service: service, Number: r.Number, Stage: protocol.RolloutRolledBack, Reason: "an operator turned it back"})
--- a/transport/control/passed_test.go
+++ b/transport/control/passed_test.go
@@ -11,19 +11,19 @@
 // said of their limits to other gateways, once to each.
 func TestPassedNeedsNoLeader(t *testing.T) {
 	u := newUplink(&fakeGroup{})
-	ask := func(m protocol.PassedMsg) (reply protocol.PassedReply) {
+	ask := func(m protocol.SharedLimitsMsg) (reply protocol.SharedLimitsReply) {
 		if err := u.Passed(m, &reply); err != nil {
 			t.Fatal(err)
 		}
 		return reply
 	}
 	limit := protocol.RateLimit{Named: true, PerSecond: 2}
-	ask(protocol.PassedMsg{Heard: []protocol.HeardLimit{{Server: "s", Limit: limit, Ago: time.Second}}})
-	other := ask(protocol.PassedMsg{})
+	ask(protocol.SharedLimitsMsg{Heard: []protocol.ReportedLimit{{Server: "s", Limit: limit, Ago: time.Second}}})
+	other := ask(protocol.SharedLimitsMsg{})
 	if len(other.Heard) != 1 || other.Heard[0].Limit != limit || other.Heard[0].Ago < time.Second {
 		t.Fatalf("another gateway is told %+v", other.Heard)
 	}
-	if again := ask(protocol.PassedMsg{Held: other.Holds}); len(again.Heard) > 0 {
+	if again := ask(protocol.SharedLimitsMsg{Held: other.Holds}); len(again.Heard) > 0 {
 		t.Errorf("it is told again: %+v", again.Heard)
 	}
 }
--- a/transport/control/quarantine.go
+++ b/transport/control/quarantine.go
@@ -81,8 +81,8 @@
 // tellQuarantine tells an asker what it lacks of the quarantine, and of the requests whose
 // good ends are to be told.
 func tellQuarantine(l *protocol.QuarantineLog, watched []protocol.Fingerprint, held, mark uint64, reply *protocol.SyncReply) {
-	reply.Quarantine = l.News(held)
-	reply.Watch = protocol.Watch(watched, mark)
+	reply.Quarantine = l.UpdateSince(held)
+	reply.Watch = protocol.NewWatchUpdate(watched, mark)
 }
 
 // Quarantine returns the requests that are held, as dumps show them.
--- a/transport/control/quarantine_test.go
+++ b/transport/control/quarantine_test.go
@@ -149,7 +149,7 @@
 	leader.InstallQuarantine(protocol.QuarantineLog{Changes: 5, Entries: []protocol.Quarantined{
 		{Fingerprint: bodyPrint("old"), Change: 2}, {Fingerprint: bodyPrint("bad"), Change: 5},
 	}})
-	mark := protocol.WatchMark([]protocol.Fingerprint{bodyPrint("worse")})
+	mark := protocol.WatchHash([]protocol.Fingerprint{bodyPrint("worse")})
 	r = within(t, asked(relay, protocol.SyncMsg{Gateway: "g", Lister: 1, Quarantined: new(uint64(4)), Watched: mark}), "the second answer")
 	if r.Watch != nil {
 		t.Errorf("told again whom to watch: %+v", r.Watch)
--- a/transport/control/quota_test.go
+++ b/transport/control/quota_test.go
@@ -13,7 +13,7 @@
 func TestQuotaNeedsALeader(t *testing.T) {
 	g := newFakeGroup()
 	u := newUplink(g)
-	m := protocol.QuotaMsg{Gateway: "g", Wants: []protocol.QuotaWant{{Workspace: "w", Units: 1}}}
+	m := protocol.QuotaMsg{Gateway: "g", Wants: []protocol.QuotaRequest{{Workspace: "w", Units: 1}}}
 	ask := func() (reply protocol.QuotaReply) {
 		if err := u.Quota(m, &reply); err != nil {
 			t.Fatal(err)
@@ -67,7 +67,7 @@
 	for _, gateways := range []int{30, 300, 986, 1972} {
 		s := newSizeWorld(gateways, changedLoads)
 		s.ask(s.gateways, 0, changedLoads)
-		m := protocol.QuotaMsg{Gateway: "edge-a1-77", Wants: []protocol.QuotaWant{{Workspace: "workspace-77", Units: 12000, Waiting: 12000}}}
+		m := protocol.QuotaMsg{Gateway: "edge-a1-77", Wants: []protocol.QuotaRequest{{Workspace: "workspace-77", Units: 12000, Waiting: 12000}}}
 		var reply protocol.QuotaReply
 		if err := s.leader.Quota(m, &reply); err != nil || !reply.Leads {
 			t.Fatalf("%+v, %v", reply, err)
--- a/transport/control/readings_test.go
+++ b/transport/control/readings_test.go
@@ -11,7 +11,7 @@
 func TestReadingsOfAllGateways(t *testing.T) {
 	u := newUplink(newFakeGroup())
 	u.SetServers(1, []protocol.Instance{{ID: "b", Service: "s"}, {ID: "a", Service: "s"}})
-	first := sync1(t, u, protocol.SyncMsg{Gateway: "g", Readings: []protocol.Reading{{Server: "b", Links: []uint32{7, 8}}}})
+	first := sync1(t, u, protocol.SyncMsg{Gateway: "g", Readings: []protocol.Prefill{{Server: "b", Links: []uint32{7, 8}}}})
 	if len(first.Readings) > 0 || first.ReadingsAt != 0 {
 		t.Errorf("readings %v up to %d for a gateway without the list", first.Readings, first.ReadingsAt)
 	}
--- a/transport/control/relay.go
+++ b/transport/control/relay.go
@@ -65,10 +65,10 @@
 	underWay   int                  // underWay are the batches without an answer yet.
 	asked      string               // asked is the leader that the latest batch went to.
 	answerTime link.AnswerTime
-	limits     protocol.LimitsMark // limits are those of the leader, as of its last answer.
-	listLate   bool                // listLate says that its list was out of date then.
-	overdue    bool                // overdue says that the leader is late with the answer to a batch, and none came since.
-	stopped    bool                // stopped says that Run has ended: nobody answers questions any more.
+	limits     protocol.LimitsVersion // limits are those of the leader, as of its last answer.
+	listLate   bool                   // listLate says that its list was out of date then.
+	overdue    bool                   // overdue says that the leader is late with the answer to a batch, and none came since.
+	stopped    bool                   // stopped says that Run has ended: nobody answers questions any more.
 }
 
 // question is one of a gateway that waits for its answer.
--- a/transport/control/relay_test.go
+++ b/transport/control/relay_test.go
@@ -149,7 +149,7 @@
 		if err != nil {
 			return err
 		}
-		g.servers, g.m.Lister, g.m.Servers = list.Onto(g.servers), r.Lister, r.Version
+		g.servers, g.m.Lister, g.m.Servers = list.ApplyTo(g.servers), r.Lister, r.Version
 		return nil
 	}
 	if r.Loaded.Version == 0 {
@@ -221,7 +221,7 @@
 
 func sortedByID(list []protocol.Instance) []protocol.Instance {
 	all := protocol.ServerList{Whole: true, Servers: list}
-	return all.Onto(nil)
+	return all.ApplyTo(nil)
 }
 
 // TestRelayAsksBehindTheQuestion checks that a question which comes in while a batch is
@@ -395,7 +395,7 @@
 	granted := func(instances ...*Uplink) float64 {
 		total := 0.0
 		for i := range 12 {
-			m := protocol.SyncMsg{Gateway: fmt.Sprint("g", i), Lister: 1, Wants: []protocol.QuotaWant{{Workspace: "w", Units: 400, Waiting: 400}}}
+			m := protocol.SyncMsg{Gateway: fmt.Sprint("g", i), Lister: 1, Wants: []protocol.QuotaRequest{{Workspace: "w", Units: 400, Waiting: 400}}}
 			r := within(t, asked(instances[i%len(instances)], m), "an answer")
 			if len(r.Grants) != 1 || r.Grants[0].Lasts <= 0 || (r.Grants[0].Units < 400 && r.Grants[0].Wait <= 0) {
 				t.Errorf("granted %+v", r.Grants)
@@ -429,7 +429,7 @@
 	next := func(u *Uplink) protocol.PlaceReply {
 		t.Helper()
 		var reply protocol.PlaceReply
-		m := protocol.PlaceMsg{Service: "s", Prompt: 1, Answer: 1_000_000, Parts: protocol.LaneParts{Tokens: 1}, Target: time.Second, Gap: time.Second}
+		m := protocol.PlaceMsg{Service: "s", Prompt: 1, Answer: 1_000_000, Parts: protocol.LaneShares{Tokens: 1}, Target: time.Second, Gap: time.Second}
 		if err := u.Place(m, &reply); err != nil || reply.Server == "" || reply.Term != 3 {
 			t.Fatalf("placed %+v, %v", reply, err)
 		}
@@ -571,7 +571,7 @@
 	first, _ := newRelayOf(t, w, "first")
 	second, _ := newRelayOf(t, w, "second")
 	held, known, rows := map[string]protocol.SyncReply{}, map[string]map[uint32]string{}, map[string]int{}
-	ask := func(u *Uplink, gateway string, told ...protocol.Reading) {
+	ask := func(u *Uplink, gateway string, told ...protocol.Prefill) {
 		before := held[gateway]
 		m := protocol.SyncMsg{Gateway: gateway, Relayed: true, Readings: told, ReadingsAt: before.ReadingsAt, Lister: before.Lister, Servers: before.Version}
 		r := within(t, asked(u, m), "an answer to "+gateway)
@@ -593,8 +593,8 @@
 		ask(second, "g2")
 	}
 	everyone()
-	ask(first, "g1", protocol.Reading{Server: "b", Links: []uint32{7}})
-	ask(leader, "g0", protocol.Reading{Server: "a", Links: []uint32{8}})
+	ask(first, "g1", protocol.Prefill{Server: "b", Links: []uint32{7}})
+	ask(leader, "g0", protocol.Prefill{Server: "a", Links: []uint32{8}})
 	everyone()
 	everyone()
 	want := map[uint32]string{7: "b", 8: "a"}
--- a/transport/control/report.go
+++ b/transport/control/report.go
@@ -102,7 +102,7 @@
 	limit, cancel := context.WithTimeout(ctx, callTime)
 	defer cancel()
 	counts := d.uplink.Used(window)
-	result, err := d.group.Propose(limit, protocol.Command{Settle: &protocol.SettleMsg{Window: window, Counts: counts}})
+	result, err := d.group.Propose(limit, protocol.Command{Settle: &protocol.SettleUsageMsg{Window: window, Counts: counts}})
 	if err != nil || result.Settle == nil {
 		d.log.Warn().Err(err).Int64("window", window).Msg("usage not settled")
 		return false
@@ -122,6 +122,6 @@
 	}
 	d.log.Info().Int64("window", window).Uint64("token", duty.Token).Interface("counts", result.Settle.Counts).Msg("usage reported")
 	d.reports.done[window] = true
-	_, _ = d.group.Propose(limit, protocol.Command{Settle: &protocol.SettleMsg{Window: window, Sent: true}}) // Only saves a repeat.
+	_, _ = d.group.Propose(limit, protocol.Command{Settle: &protocol.SettleUsageMsg{Window: window, Sent: true}}) // Only saves a repeat.
 	return true
 }
--- a/transport/control/rollouts.go
+++ b/transport/control/rollouts.go
@@ -70,7 +70,7 @@
 	u.rolled = l.Changes
 	trials := map[uint64]*trial{}
 	for _, r := range l.Latest {
-		if r.Stage.Over() {
+		if r.Stage.Final() {
 			continue
 		}
 		t := u.trials[r.Number]
--- a/transport/control/rollouts_test.go
+++ b/transport/control/rollouts_test.go
@@ -131,9 +131,9 @@
 	r := newRolling(t)
 	r.sync()
 	r.m.Trials[0].Rows = []protocol.EvidenceRow{
-		{Route: "r", Answers: protocol.Answers{Good: 400}},
-		{Route: "r", New: true, Server: "b", Answers: protocol.Answers{Good: 3, Bad: 5}},
-		{Route: "r", New: true, Server: "c", Answers: protocol.Answers{Good: 3, Bad: 5}},
+		{Route: "r", Answers: protocol.AnswerCounts{Good: 400}},
+		{Route: "r", New: true, Server: "b", Answers: protocol.AnswerCounts{Good: 3, Bad: 5}},
+		{Route: "r", New: true, Server: "c", Answers: protocol.AnswerCounts{Good: 3, Bad: 5}},
 	}
 	r.sync()
 	steps := r.uplink.steps(1, clock.Now())
@@ -155,7 +155,7 @@
 	r := newRolling(t)
 	r.sync()
 	r.propose(protocol.Command{StageRollout: &protocol.StageRolloutMsg{Service: "s", Number: 1, Stage: protocol.RolloutMoving, Former: []string{"v1"}}})
-	r.uplink.hold(1, nil, &protocol.Catalog{Routes: []protocol.PathRoute{{Timeout: time.Hour, Split: []protocol.Weighted{{Service: "s", Weight: 1}}}}})
+	r.uplink.hold(1, nil, &protocol.Catalog{Routes: []protocol.PathRoute{{Timeout: time.Hour, Split: []protocol.WeightedService{{Service: "s", Weight: 1}}}}})
 	now := clock.Now()
 	r.uplink.mu.Lock()
 	r.uplink.renewRollouts()
--- a/transport/control/share_test.go
+++ b/transport/control/share_test.go
@@ -38,7 +38,7 @@
 	}
 	for name, m := range map[string]protocol.SyncMsg{
 		"that found no relay":  {Features: protocol.OwnFeatures, Gateways: 986},
-		"of an earlier build":  {Features: protocol.FeatureStarts},
+		"of an earlier build":  {Features: protocol.FeatureIncarnations},
 		"that is linked to it": {Features: protocol.OwnFeatures, Gateways: 80, Lister: 1, Servers: 1},
 	} {
 		if r := ask(5, m); !r.Leads {
--- a/transport/control/size_test.go
+++ b/transport/control/size_test.go
@@ -225,12 +225,12 @@
 	for i := range 3 {
 		g.m.Usage = append(g.m.Usage, protocol.UsageRow{Window: 354358471, Workspace: fmt.Sprintf("wuti%d", 600+i), Count: g.begun + int64(number)})
 	}
-	g.m.Wants = append(g.m.Wants, protocol.QuotaWant{Workspace: "w", Units: 10.5, Waiting: 3.25})
+	g.m.Wants = append(g.m.Wants, protocol.QuotaRequest{Workspace: "w", Units: 10.5, Waiting: 3.25})
 	for _, service := range []string{"assistant-llm", "records-app"} {
-		g.m.Pressure = append(g.m.Pressure, protocol.Pressure{Service: service, Begun: g.begun, Slow: g.begun / 9, Work: 7.7, Lanes: protocol.LaneTerms{Mean: 3021.7, Seen: 812, Parts: protocol.LaneParts{Tokens: 0.71, Work: 0.4, Short: 3.3}}})
+		g.m.Pressure = append(g.m.Pressure, protocol.Pressure{Service: service, Begun: g.begun, Slow: g.begun / 9, Work: 7.7, Lanes: protocol.LaneParams{Mean: 3021.7, Seen: 812, Parts: protocol.LaneShares{Tokens: 0.71, Work: 0.4, Short: 3.3}}})
 	}
 	if w == wholeLoads {
-		g.m.Loads = protocol.LoadMark{}
+		g.m.Loads = protocol.LoadVersion{}
 	}
 }
 
--- a/transport/control/startless.go
+++ b/transport/control/startless.go
@@ -14,7 +14,9 @@
 }
 
 // startless reports whether a gateway is to be told of servers by their names alone.
-func (l *listing) startless(m *protocol.SyncMsg) bool { return l.names.starts && !m.KnowsStarts() }
+func (l *listing) startless(m *protocol.SyncMsg) bool {
+	return l.names.starts && !m.SupportsIncarnations()
+}
 
 // withoutStarts returns the whole list with the servers' names alone. Such a gateway sends
 // a name on to the server itself, which turns away what names it otherwise: told of starts,
--- a/transport/control/steps.go
+++ b/transport/control/steps.go
@@ -126,7 +126,7 @@
 	}
 	for i := range u.catalog.Routes {
 		r := &u.catalog.Routes[i]
-		if slices.ContainsFunc(r.Split, func(w protocol.Weighted) bool { return w.Service == service }) {
+		if slices.ContainsFunc(r.Split, func(w protocol.WeightedService) bool { return w.Service == service }) {
 			longest = max(longest, r.Timeout)
 		}
 	}
--- a/transport/control/tenure.go
+++ b/transport/control/tenure.go
@@ -53,7 +53,7 @@
 func (d *Duties) hold(ctx context.Context, t *tenure) bool {
 	limit, cancel := context.WithTimeout(ctx, callTime)
 	defer cancel()
-	result, err := d.group.Propose(limit, protocol.Command{Hold: &protocol.HoldMsg{Holder: d.holder, Token: t.term}})
+	result, err := d.group.Propose(limit, protocol.Command{Hold: &protocol.DutyHolderMsg{Holder: d.holder, Token: t.term}})
 	if err != nil || result.Hold == nil || result.Hold.Token != t.term {
 		return false
 	}
--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -291,7 +291,7 @@
 
 // takeReadings notes what servers were given to read, as a gateway or a relay tells: from
 // is the incarnation of the instance that passes it on. It needs u.mu.
-func (u *Uplink) takeReadings(from uint64, rows []protocol.Reading, now time.Time) {
+func (u *Uplink) takeReadings(from uint64, rows []protocol.Prefill, now time.Time) {
 	for _, r := range rows {
 		u.readings.Add(from, r.Server, r.Links)
 		u.places.NoteRead(r.Server, r.Links, now)
@@ -320,7 +320,7 @@
 
 // tellLoads puts the loads of all servers into an answer, or what changed since those that
 // the asker holds, where that is known and shorter. The mark now names those of v.
-func tellLoads(v *place.Vector, now, held protocol.LoadMark, reply *protocol.SyncReply) {
+func tellLoads(v *place.Vector, now, held protocol.LoadVersion, reply *protocol.SyncReply) {
 	reply.Loaded = now
 	changes, ok := []byte(nil), false
 	if held.Incarnation == now.Incarnation {
@@ -416,8 +416,8 @@
 }
 
 // mark returns the mark of the loads that answers tell now. It needs u.mu.
-func (u *Uplink) mark() protocol.LoadMark {
-	return protocol.LoadMark{Incarnation: u.incarnation, Version: u.vector.Version()}
+func (u *Uplink) mark() protocol.LoadVersion {
+	return protocol.LoadVersion{Incarnation: u.incarnation, Version: u.vector.Version()}
 }
 
 // distrusted returns the listed servers that the gateways of a domain are to pass
--- a/transport/forward/copy.go
+++ b/transport/forward/copy.go
@@ -11,7 +11,7 @@
 // promptMemory is what a gateway knows of where the shared parts of prompts lie.
 type promptMemory struct {
 	holders    *place.Holders
-	unreported []protocol.Reading // unreported are readings that the leader does not know of.
+	unreported []protocol.Prefill // unreported are readings that the leader does not know of.
 	term       uint64             // term is of the leader whose log of readings is followed,
 	position   uint64             // and position is up to where.
 }
@@ -51,7 +51,7 @@
 	case !read:
 		g.prompts.holders.Unread(at.ID, x.newLinks)
 	case x.placed.Server == "":
-		g.prompts.unreported = append(g.prompts.unreported, protocol.Reading{Server: at.ID, Links: x.newLinks})
+		g.prompts.unreported = append(g.prompts.unreported, protocol.Prefill{Server: at.ID, Links: x.newLinks})
 	}
 	x.newLinks = nil
 }
--- a/transport/forward/dialect.go
+++ b/transport/forward/dialect.go
@@ -46,5 +46,5 @@
 	Close   bool          // Close says that the server ends the connection.
 	Weights string        // Weights is the version of the model's weights that makes the answer; empty where it is not said.
 	Encoded bool          // Encoded says that the body is not what the server made.
-	Says    protocol.ServerSays
+	Says    protocol.ServerFeedback
 }
--- a/transport/forward/exchange.go
+++ b/transport/forward/exchange.go
@@ -30,14 +30,14 @@
 
 	index     *Index
 	route     *protocol.PathRoute
-	workspace *protocol.Tenancy // workspace is nil on a route that needs none.
+	workspace *protocol.WorkspaceSpec // workspace is nil on a route that needs none.
 	service   string
 	prefix    uint64
 	chain     []protocol.PromptLink // chain are the shared parts of the prompt.
 	newLinks  []uint32              // newLinks are the links that the present server was not known to hold.
 	lane      place.Lane
-	parts     protocol.LaneParts // parts say how the servers are parted between the lanes.
-	size      float64            // size is the prompt's length as a multiple of the mean one.
+	parts     protocol.LaneShares // parts say how the servers are parted between the lanes.
+	size      float64             // size is the prompt's length as a multiple of the mean one.
 	start     time.Time
 	deadline  time.Time
 
--- a/transport/forward/forward_test.go
+++ b/transport/forward/forward_test.go
@@ -65,8 +65,8 @@
 }
 
 // says reads what a server says of itself.
-func says(h *fasthttp.ResponseHeader) protocol.ServerSays {
-	var s protocol.ServerSays
+func says(h *fasthttp.ResponseHeader) protocol.ServerFeedback {
+	var s protocol.ServerFeedback
 	if text := string(h.Peek("Limit")); text != "" {
 		s.Limit.Named = true
 		s.Limit.PerSecond, _ = strconv.ParseFloat(text, 64)
@@ -158,9 +158,9 @@
 }
 
 // install puts a catalog with one route in force.
-func (w *world) install(r protocol.PathRoute, spaces ...protocol.Tenancy) {
+func (w *world) install(r protocol.PathRoute, spaces ...protocol.WorkspaceSpec) {
 	w.number++
-	r.Host, r.Prefix, r.Split = "h", "/r/", []protocol.Weighted{{Service: "s", Weight: 1}}
+	r.Host, r.Prefix, r.Split = "h", "/r/", []protocol.WeightedService{{Service: "s", Weight: 1}}
 	if r.Timeout == 0 {
 		r.Timeout = patience
 	}
@@ -379,7 +379,7 @@
 // not known to be the newest.
 func TestKeys(t *testing.T) {
 	w := newWorld(t)
-	w.install(protocol.PathRoute{Attempts: 1}, protocol.Tenancy{Name: "w", Keys: []string{"k"}})
+	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}})
 	w.backend("a", func(c net.Conn, req *fasthttp.Request) { say(c, 200, "", string(req.Header.Peek("Workspace"))) })
 	if got := w.ask("Key: k"); got.status != 200 || got.body != "w" {
 		t.Errorf("with a key: %+v", got)
@@ -505,7 +505,7 @@
 	w := newWorld(t)
 	w.g.cfg.Revoke = time.Hour
 	w.g.confirmed.Store(0) // Not sure of its configuration yet.
-	w.install(protocol.PathRoute{Attempts: 1}, protocol.Tenancy{Name: "w", Keys: []string{"k"}})
+	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}})
 	w.backend("a", good)
 	call := &fasthttp.Request{}
 	call.Header.SetHost("h")
@@ -516,7 +516,7 @@
 	x.call = plain{}.Call(call)
 	x.index = w.g.index.Load()
 	x.route = x.index.Route(x.call.Host, x.call.Path)
-	w.install(protocol.PathRoute{Attempts: 1}, protocol.Tenancy{Name: "w", Keys: []string{"other"}})
+	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"other"}})
 	w.g.Confirm(clock.Now(), 1)
 	if refusal := x.authenticate(); refusal == nil || refusal.Code != protocol.CodeUnauthorized {
 		t.Errorf("got %+v", refusal)
@@ -527,7 +527,7 @@
 // not sent once the gateway may no longer trust keys.
 func TestUnsureBeforeTheAttempt(t *testing.T) {
 	w := newWorld(t)
-	w.install(protocol.PathRoute{Attempts: 1}, protocol.Tenancy{Name: "w", Keys: []string{"k"}, Rate: 10, Burst: 10})
+	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}, Rate: 10, Burst: 10})
 	a := w.backend("a", good)
 	w.g.syncNow = func() {
 		w.g.cfg.Revoke = time.Nanosecond // The confirmation is too old from here on.
@@ -571,7 +571,7 @@
 // told when to come back if there is none.
 func TestQuotaIsAskedFor(t *testing.T) {
 	w := newWorld(t)
-	w.install(protocol.PathRoute{Attempts: 1}, protocol.Tenancy{Name: "w", Keys: []string{"k"}, Rate: 10, Burst: 10})
+	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}, Rate: 10, Burst: 10})
 	w.backend("a", good)
 	units := 1.0
 	w.g.syncNow = func() {
@@ -593,7 +593,7 @@
 // from an answer that holds nothing else, and that it is then not asked for twice.
 func TestQuotaIsAskedForApart(t *testing.T) {
 	w := newWorld(t)
-	w.install(protocol.PathRoute{Attempts: 1}, protocol.Tenancy{Name: "w", Keys: []string{"k"}, Rate: 10, Burst: 10})
+	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}, Rate: 10, Burst: 10})
 	w.backend("a", good)
 	w.g.WantsApart(true)
 	w.g.quotaNow = func() {
@@ -633,7 +633,7 @@
 			t.Errorf("%s went to %q, want %q", path, got, want)
 		}
 	}
-	r := &protocol.PathRoute{Split: []protocol.Weighted{{Service: "x", Weight: 90}, {Service: "y", Weight: 10}, {Service: "z"}}}
+	r := &protocol.PathRoute{Split: []protocol.WeightedService{{Service: "x", Weight: 90}, {Service: "y", Weight: 10}, {Service: "z"}}}
 	n := map[string]int{}
 	for i := range 2000 {
 		n[Split(r, fmt.Sprint(i))]++
@@ -684,7 +684,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t)
-			w.install(protocol.PathRoute{Kind: protocol.RouteRepeatable, Attempts: 2}, protocol.Tenancy{Name: "w", Keys: []string{"k"}})
+			w.install(protocol.PathRoute{Kind: protocol.RouteRepeatable, Attempts: 2}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}})
 			var once sync.Once
 			serve := func(conn net.Conn, req *fasthttp.Request) {
 				serve := good
@@ -764,7 +764,7 @@
 		{"answered", good, 1},
 	} {
 		w := newWorld(t)
-		w.install(protocol.PathRoute{Kind: protocol.RouteRepeatable, Attempts: 2}, protocol.Tenancy{Name: "w", Keys: []string{"k"}})
+		w.install(protocol.PathRoute{Kind: protocol.RouteRepeatable, Attempts: 2}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}})
 		w.backend("a", c.serve)
 		w.backend("b", c.serve)
 		w.ask("Key: k")
--- a/transport/forward/index.go
+++ b/transport/forward/index.go
@@ -13,7 +13,7 @@
 type Index struct {
 	*protocol.Catalog
 	hosts    map[string][]*protocol.PathRoute // hosts have their routes with the longest prefix first.
-	keys     map[string]*protocol.Tenancy
+	keys     map[string]*protocol.WorkspaceSpec
 	services map[string]*protocol.ServiceSpec
 }
 
@@ -22,7 +22,7 @@
 	ix := &Index{
 		Catalog:  c,
 		hosts:    map[string][]*protocol.PathRoute{},
-		keys:     map[string]*protocol.Tenancy{},
+		keys:     map[string]*protocol.WorkspaceSpec{},
 		services: map[string]*protocol.ServiceSpec{},
 	}
 	for i := range c.Routes {
@@ -62,7 +62,7 @@
 }
 
 // Workspace returns the workspace that holds a key, or nil.
-func (ix *Index) Workspace(key string) *protocol.Tenancy { return ix.keys[key] }
+func (ix *Index) Workspace(key string) *protocol.WorkspaceSpec { return ix.keys[key] }
 
 // Service returns a service by its name, or nil.
 func (ix *Index) Service(name string) *protocol.ServiceSpec { return ix.services[name] }
--- a/transport/forward/limiting.go
+++ b/transport/forward/limiting.go
@@ -133,7 +133,7 @@
 }
 
 // Words returns what servers said to this gateway of their limits.
-func (g *Gateway) Words() []protocol.HeardLimit {
+func (g *Gateway) Words() []protocol.ReportedLimit {
 	w := &g.words
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -141,7 +141,7 @@
 }
 
 // TakePassed takes what servers said to other gateways.
-func (g *Gateway) TakePassed(rows []protocol.HeardLimit) {
+func (g *Gateway) TakePassed(rows []protocol.ReportedLimit) {
 	w := &g.words
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/transport/forward/move_test.go
+++ b/transport/forward/move_test.go
@@ -404,11 +404,11 @@
 }
 
 // installMoves puts a route of streams in force whose servers can move runs.
-func (w *world) installMoves(resumable bool, spaces ...protocol.Tenancy) {
+func (w *world) installMoves(resumable bool, spaces ...protocol.WorkspaceSpec) {
 	w.number++
 	w.g.Install(&protocol.Catalog{
 		Number:     w.number,
-		Routes:     []protocol.PathRoute{{Host: "h", Prefix: "/r/", Kind: protocol.RouteStream, Resumable: resumable, Attempts: 3, Timeout: patience, Split: []protocol.Weighted{{Service: "s", Weight: 1}}}},
+		Routes:     []protocol.PathRoute{{Host: "h", Prefix: "/r/", Kind: protocol.RouteStream, Resumable: resumable, Attempts: 3, Timeout: patience, Split: []protocol.WeightedService{{Service: "s", Weight: 1}}}},
 		Services:   []protocol.ServiceSpec{{Name: "s", CopyRate: 100}},
 		Workspaces: spaces,
 	})
@@ -545,7 +545,7 @@
 // is the same one.
 func TestMovedRunNeedsNoNewConfiguration(t *testing.T) {
 	f := newFakeEngines(t, moveFaults{stop: 200, target: 200, unbegun: true}, "a", "b")
-	f.w.installMoves(false, protocol.Tenancy{Name: "w", Keys: []string{"k"}})
+	f.w.installMoves(false, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}})
 	f.onStop = func() { f.w.g.confirmed.Store(0) }
 	if got := f.w.ask("Key: k"); got.status != 200 || got.broken {
 		t.Errorf("status %d, verdict %q, broken %v", got.status, got.verdict, got.broken)
@@ -556,7 +556,7 @@
 // as the gateway is not sure of its configuration any more, is not called unrun.
 func TestUnsureBehindAnAttempt(t *testing.T) {
 	w := newWorld(t)
-	w.install(protocol.PathRoute{Kind: protocol.RouteStream, Resumable: true, Attempts: 3}, protocol.Tenancy{Name: "w", Keys: []string{"k"}})
+	w.install(protocol.PathRoute{Kind: protocol.RouteStream, Resumable: true, Attempts: 3}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}})
 	for _, id := range []string{"a", "b"} {
 		w.backend(id, func(c net.Conn, _ *fasthttp.Request) {
 			w.g.confirmed.Store(0)
--- a/transport/forward/quarantine_test.go
+++ b/transport/forward/quarantine_test.go
@@ -25,13 +25,13 @@
 }
 
 // quarantine has the gateway told of a quarantine.
-func (w *world) quarantine(n *protocol.QuarantineNews, watched ...protocol.Fingerprint) {
-	w.g.SetQuarantine(&protocol.SyncReply{Leads: true, Quarantine: n, Watch: &protocol.WatchNews{Requests: watched}})
+func (w *world) quarantine(n *protocol.QuarantineUpdate, watched ...protocol.Fingerprint) {
+	w.g.SetQuarantine(&protocol.SyncReply{Leads: true, Quarantine: n, Watch: &protocol.WatchUpdate{Requests: watched}})
 }
 
 // heldNews are the news that a request is held.
-func heldNews(change uint64, body string, trials int, gateway string) *protocol.QuarantineNews {
-	return &protocol.QuarantineNews{Changes: change, Held: []protocol.HeldRequest{{
+func heldNews(change uint64, body string, trials int, gateway string) *protocol.QuarantineUpdate {
+	return &protocol.QuarantineUpdate{Changes: change, Held: []protocol.HeldRequest{{
 		Fingerprint: bodyPrint(body),
 		Servers:     3,
 		Trials:      trials,
@@ -55,7 +55,7 @@
 	if got := w.send("other"); got.status != 200 {
 		t.Errorf("another request got %+v", got)
 	}
-	w.quarantine(&protocol.QuarantineNews{Changes: 2, Free: []protocol.Fingerprint{bodyPrint("bad")}})
+	w.quarantine(&protocol.QuarantineUpdate{Changes: 2, Free: []protocol.Fingerprint{bodyPrint("bad")}})
 	if got := w.send("bad"); got.status != 200 {
 		t.Errorf("once it is free it got %+v", got)
 	}
@@ -65,10 +65,10 @@
 // to others.
 func TestHeldRequestTakesNoQuota(t *testing.T) {
 	w := newWorld(t)
-	w.install(protocol.PathRoute{Attempts: 1}, protocol.Tenancy{Name: "w", Keys: []string{"k"}, Rate: 1})
+	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}, Rate: 1})
 	w.backend("a", good)
 	bad := (&quarantine.Request{Caller: "w", Host: "h", Path: "/r/x", Body: []byte("bad")}).Fingerprint()
-	w.quarantine(&protocol.QuarantineNews{Changes: 1, Held: []protocol.HeldRequest{{Fingerprint: bad, Servers: 3}}})
+	w.quarantine(&protocol.QuarantineUpdate{Changes: 1, Held: []protocol.HeldRequest{{Fingerprint: bad, Servers: 3}}})
 	for range 3 {
 		if got := w.send("bad", "Key: k"); got.status != 503 {
 			t.Fatalf("got %+v", got)
--- a/transport/forward/room_test.go
+++ b/transport/forward/room_test.go
@@ -83,7 +83,7 @@
 func TestBodyWithoutRoom(t *testing.T) {
 	m := caller.NewMemory(4<<20, metrics.NewRegistry())
 	w := newWorld(t, caller.WithMemory(m))
-	w.install(protocol.PathRoute{Attempts: 1}, protocol.Tenancy{Name: "one", Keys: []string{"1"}}, protocol.Tenancy{Name: "two", Keys: []string{"2"}})
+	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "one", Keys: []string{"1"}}, protocol.WorkspaceSpec{Name: "two", Keys: []string{"2"}})
 	b := w.backend("a", good)
 	hold := memory.Hold{Workspace: "one"}
 	if !m.Take(&hold, memory.Lag, 3<<19).Taken {
--- a/transport/forward/says.go
+++ b/transport/forward/says.go
@@ -59,7 +59,7 @@
 }
 
 // heard notes what a server says of itself beside an answer.
-func (x *exchange) heard(s *place.Server, says *protocol.ServerSays) {
+func (x *exchange) heard(s *place.Server, says *protocol.ServerFeedback) {
 	if says.Unread != "" && x.g.words.firstUnread(s.ID) { // A server says the same in each answer.
 		x.log.Warn().Str("server", s.ID).Str("said", says.Unread).Msg("what a server says of itself cannot be read")
 	}
--- a/transport/forward/stream_test.go
+++ b/transport/forward/stream_test.go
@@ -44,7 +44,7 @@
 	g.Confirm(clock.Now(), 1)
 	g.SetServers([]protocol.Instance{{ID: "a", Service: "s", Address: server.Addr().String(), Domain: "a", Slots: 4}})
 	g.Install(&protocol.Catalog{Number: 1, Services: []protocol.ServiceSpec{{Name: "s"}}, Routes: []protocol.PathRoute{{
-		Host: "h", Prefix: "/r/", Kind: protocol.RouteStream, Timeout: time.Hour, Attempts: 1, Split: []protocol.Weighted{{Service: "s", Weight: 1}},
+		Host: "h", Prefix: "/r/", Kind: protocol.RouteStream, Timeout: time.Hour, Attempts: 1, Split: []protocol.WeightedService{{Service: "s", Weight: 1}},
 	}}})
 	front, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/transport/forward/suspend_test.go
+++ b/transport/forward/suspend_test.go
@@ -24,7 +24,7 @@
 // a key that was taken away may be used refuses keys until it hears from the leader.
 func TestSuspendedGatewayTrustsNoKey(t *testing.T) {
 	w := newWorld(t)
-	w.install(protocol.PathRoute{Attempts: 1}, protocol.Tenancy{Name: "w", Keys: []string{"k"}})
+	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}})
 	w.backend("a", good)
 	if got := w.ask("Key: k", "Remaining: 100"); got.status != 200 {
 		t.Fatalf("got %+v", got)
@@ -67,10 +67,10 @@
 // that it does not outlast.
 func TestSuspendedQuotaExpires(t *testing.T) {
 	w := newWorld(t)
-	w.install(protocol.PathRoute{Attempts: 1}, protocol.Tenancy{Name: "w", Keys: []string{"k"}, Rate: 1})
+	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}, Rate: 1})
 	w.backend("a", good)
 	m := w.g.Report(1)
-	m.Wants = []protocol.QuotaWant{{Workspace: "w", Units: 5}}
+	m.Wants = []protocol.QuotaRequest{{Workspace: "w", Units: 5}}
 	reply := &protocol.SyncReply{Term: 1, Grants: []protocol.QuotaGrant{{Workspace: "w", Units: 5, Lasts: 10 * time.Second}}}
 	w.g.Reported(&m, reply, clock.Now())
 	if got := w.ask("Key: k"); got.status != 200 {
--- a/transport/forward/trial.go
+++ b/transport/forward/trial.go
@@ -28,7 +28,7 @@
 
 // evidence are the answers of one row, and how many of them the leader has.
 type evidence struct {
-	answers protocol.Answers
+	answers protocol.AnswerCounts
 	taken   int64
 	term    uint64 // term is of the leader that has them.
 }
@@ -67,7 +67,7 @@
 }
 
 // copyAnswers returns a copy that later answers do not change.
-func copyAnswers(a protocol.Answers) protocol.Answers {
+func copyAnswers(a protocol.AnswerCounts) protocol.AnswerCounts {
 	a.First = append([]int64(nil), a.First...)
 	a.Pace = append([]int64(nil), a.Pace...)
 	return a
@@ -117,7 +117,7 @@
 			g.log.Info().Str("service", r.Service).Uint64("rollout", r.Number).Str("version", r.Version).Stringer("stage", r.Stage).Str("reason", r.Reason).Msg("roll-out")
 		}
 		switch {
-		case r.Stage.Over():
+		case r.Stage.Final():
 		case before != nil && before.record.Number == r.Number:
 			before.record = r
 			trials[r.Service] = before
--- a/transport/groupclient.go
+++ b/transport/groupclient.go
@@ -185,7 +185,7 @@
 
 // Put has an opaque document accepted, and returns the number that holds.
 func (c *GroupClient) Put(ctx context.Context, number uint64, data []byte) (uint64, error) {
-	reply, err := c.call(ctx, "Group.Propose", protocol.Command{Put: &protocol.PutMsg{Number: number, Data: data}})
+	reply, err := c.call(ctx, "Group.Propose", protocol.Command{Put: &protocol.PutDocumentMsg{Number: number, Data: data}})
 	switch {
 	case err != nil:
 		return 0, err
--- a/transport/membership.go
+++ b/transport/membership.go
@@ -29,7 +29,7 @@
 	every  time.Duration
 	view   *member.State
 	msgs   chan member.Msg
-	syncs  chan chan protocol.News
+	syncs  chan chan protocol.GossipMsg
 	leave  chan leaveOrder
 	left   bool // left says that this instance takes no part any more.
 	self   func() member.SelfMsg
@@ -45,7 +45,7 @@
 		every:  every,
 		view:   view,
 		msgs:   make(chan member.Msg, memberQueue),
-		syncs:  make(chan chan protocol.News),
+		syncs:  make(chan chan protocol.GossipMsg),
 		leave:  make(chan leaveOrder),
 		self:   self,
 	}
@@ -188,7 +188,7 @@
 }
 
 func (m *Membership) sync(ctx context.Context, cmd member.SyncCmd) {
-	var reply protocol.News
+	var reply protocol.GossipMsg
 	if err := m.links.Call(cmd.Address, "Member.Sync", cmd.News, &reply, syncTimeout); err != nil {
 		m.log.Debug().Str("address", cmd.Address).Err(err).Msg("synchronization failed")
 		return
@@ -198,8 +198,8 @@
 
 func (m *Membership) fetch(cmd member.FetchCmd) {
 	above, _ := m.tables.Revision()
-	var reply protocol.FetchReplyMsg
-	if err := m.links.Call(cmd.Address, "Config.Fetch", protocol.FetchMsg{Above: above}, &reply, syncTimeout); err != nil {
+	var reply protocol.FetchConfigReplyMsg
+	if err := m.links.Call(cmd.Address, "Config.Fetch", protocol.FetchConfigMsg{Above: above}, &reply, syncTimeout); err != nil {
 		m.log.Warn().Str("address", cmd.Address).Err(err).Msg("configuration could not be fetched")
 		return
 	}
@@ -228,16 +228,16 @@
 }
 
 // Ping takes in news; that it answers is the sign of life.
-func (s *MemberService) Ping(news protocol.News, ok *bool) error {
+func (s *MemberService) Ping(news protocol.GossipMsg, ok *bool) error {
 	*ok = true
 	s.m.post(s.ctx, member.NewsMsg{News: news, Now: clock.Now(), Rand: rand.Uint64()})
 	return nil
 }
 
 // Sync takes in all of another instance's records and returns all of this one's.
-func (s *MemberService) Sync(news protocol.News, reply *protocol.News) error {
+func (s *MemberService) Sync(news protocol.GossipMsg, reply *protocol.GossipMsg) error {
 	s.m.post(s.ctx, member.NewsMsg{News: news, Now: clock.Now(), Rand: rand.Uint64()})
-	full := make(chan protocol.News, 1)
+	full := make(chan protocol.GossipMsg, 1)
 	select {
 	case s.m.syncs <- full:
 		*reply = <-full
@@ -250,7 +250,7 @@
 // Probe pings a third instance for another one.
 func (s *MemberService) Probe(msg protocol.ProbeMsg, reply *protocol.ProbeReplyMsg) error {
 	var ok bool
-	reply.Alive = s.m.links.Call(msg.Address, "Member.Ping", protocol.News{}, &ok, probeTimeout) == nil
+	reply.Alive = s.m.links.Call(msg.Address, "Member.Ping", protocol.GossipMsg{}, &ok, probeTimeout) == nil
 	return nil
 }
 
@@ -261,7 +261,7 @@
 func NewConfigService(t *state.Tables) *ConfigService { return &ConfigService{tables: t} }
 
 // Fetch returns the configuration in force if it is above the asked number.
-func (s *ConfigService) Fetch(msg protocol.FetchMsg, reply *protocol.FetchReplyMsg) error {
+func (s *ConfigService) Fetch(msg protocol.FetchConfigMsg, reply *protocol.FetchConfigReplyMsg) error {
 	ix := s.tables.Index()
 	if ix == nil || ix.Number <= msg.Above {
 		return nil
--- a/transport/orders.go
+++ b/transport/orders.go
@@ -109,7 +109,7 @@
 	if status != http.StatusOK {
 		return eris.Errorf("the server answered %d: %.100s", status, answer)
 	}
-	c.tables.Backends.WantReport(o.Server) // It shows what came of the order.
+	c.tables.Backends.RequestReport(o.Server) // It shows what came of the order.
 	c.log.Info().Str("server", o.Server).Str("order", string(o.Kind)).Str("name", o.Name).Uint64("fence", term).Msg("order given")
 	return nil
 }
--- a/transport/orders_test.go
+++ b/transport/orders_test.go
@@ -91,7 +91,7 @@
 	}()
 	var reply bool
 	wrong := NewLinks("wrong", []byte("another key"), time.Second, zerolog.Nop())
-	if err := wrong.Call(ln.Addr().String(), "Member.Ping", protocol.News{}, &reply, time.Second); err == nil || !strings.Contains(err.Error(), "key") {
+	if err := wrong.Call(ln.Addr().String(), "Member.Ping", protocol.GossipMsg{}, &reply, time.Second); err == nil || !strings.Contains(err.Error(), "key") {
 		t.Errorf("another key got %v", err)
 	}
 	for _, greeting := range []hello{{Version: protocol.PeerVersion + 1, Name: "newer"}, {Version: protocol.PeerVersion, Name: "liar"}} {
--- a/transport/quarantine.go
+++ b/transport/quarantine.go
@@ -219,8 +219,8 @@
 	s.enter(term)
 	s.keeper.Take(m.Instance, m.Observations, s.leaves, clock.Now())
 	reply.Term = term
-	reply.Quarantine = s.logged.Load().News(m.Quarantined)
-	reply.Watch = protocol.Watch(s.keeper.Watched(), m.Watched)
+	reply.Quarantine = s.logged.Load().UpdateSince(m.Quarantined)
+	reply.Watch = protocol.NewWatchUpdate(s.keeper.Watched(), m.Watched)
 	still, ok := s.group.Vouches()
 	reply.Leads = ok && still == term
 	return nil
@@ -280,5 +280,5 @@
 		l.log.Apply(&protocol.Command{At: protocol.Millis(time.Now()), Quarantine: &change})
 		logged = l.log.QuarantineLog()
 	}
-	return protocol.ObserveReply{Leads: true, Term: 1, Quarantine: logged.News(m.Quarantined), Watch: protocol.Watch(l.keeper.Watched(), m.Watched)}, nil
+	return protocol.ObserveReply{Leads: true, Term: 1, Quarantine: logged.UpdateSince(m.Quarantined), Watch: protocol.NewWatchUpdate(l.keeper.Watched(), m.Watched)}, nil
 }
--- a/transport/quarantine_test.go
+++ b/transport/quarantine_test.go
@@ -114,7 +114,7 @@
 	if told() != 1 {
 		t.Error("what no leader has was not told again")
 	}
-	o.err, o.reply = nil, protocol.ObserveReply{Leads: true, Term: 3, Quarantine: &protocol.QuarantineNews{
+	o.err, o.reply = nil, protocol.ObserveReply{Leads: true, Term: 3, Quarantine: &protocol.QuarantineUpdate{
 		Changes: 1, Held: []protocol.HeldRequest{{Fingerprint: f, Servers: 3, Trials: 1, Trial: "entry-1"}},
 	}}
 	q.ask(t.Context())
@@ -252,7 +252,7 @@
 		}
 		q := g.quarantine
 		q.mu.Lock()
-		q.gate.Hear(nil, &protocol.WatchNews{Requests: []protocol.Fingerprint{sameRequest(crashing).Fingerprint()}}, clock.Now())
+		q.gate.Hear(nil, &protocol.WatchUpdate{Requests: []protocol.Fingerprint{sameRequest(crashing).Fingerprint()}}, clock.Now())
 		q.mu.Unlock()
 		x.end(attempt.FinishCmd{})
 		q.mu.Lock()
--- a/transport/uplink/limits.go
+++ b/transport/uplink/limits.go
@@ -23,9 +23,9 @@
 	// nil where none came.
 	AnsweredLimits(m *protocol.LimitsMsg, reply *protocol.LimitsReply, asked time.Time)
 	// Words returns what servers said to the gateway itself of their limits.
-	Words() []protocol.HeardLimit
+	Words() []protocol.ReportedLimit
 	// TakePassed takes what servers said to other gateways, while no leader answers.
-	TakePassed(rows []protocol.HeardLimit)
+	TakePassed(rows []protocol.ReportedLimit)
 }
 
 // WithLimiter sets the gateway that keeps to the servers' limits; without it none is kept.
@@ -101,8 +101,8 @@
 	}
 	c.passedTurn++
 	address := all[c.passedTurn%len(all)]
-	m := protocol.PassedMsg{Held: c.passed[address], Heard: c.limiter.Words()}
-	var reply protocol.PassedReply
+	m := protocol.SharedLimitsMsg{Held: c.passed[address], Heard: c.limiter.Words()}
+	var reply protocol.SharedLimitsReply
 	if err := c.caller.Call(address, "Uplink.Passed", m, &reply, limitsTime); err != nil {
 		c.log.Debug().Err(err).Str("instance", address).Msg("a control instance does not pass on the servers' limits")
 		return
--- a/transport/uplink/limits_test.go
+++ b/transport/uplink/limits_test.go
@@ -21,8 +21,8 @@
 
 func (*limiter) LimitsBehind(uint64, uint64) bool         { return false }
 func (*limiter) ReportLimits() (protocol.LimitsMsg, bool) { return protocol.LimitsMsg{}, true }
-func (*limiter) Words() []protocol.HeardLimit             { return nil }
-func (*limiter) TakePassed([]protocol.HeardLimit)         {}
+func (*limiter) Words() []protocol.ReportedLimit          { return nil }
+func (*limiter) TakePassed([]protocol.ReportedLimit)      {}
 func (l *limiter) AnsweredLimits(_ *protocol.LimitsMsg, reply *protocol.LimitsReply, _ time.Time) {
 	if reply == nil {
 		l.failed.Add(1)
@@ -84,7 +84,7 @@
 // passedCaller answers for control instances none of which leads.
 type passedCaller struct {
 	mu    sync.Mutex // mu guards asked.
-	asked map[string][]protocol.PassedMsg
+	asked map[string][]protocol.SharedLimitsMsg
 }
 
 func (c *passedCaller) Call(address, method string, args, reply any, _ time.Duration) error {
@@ -93,10 +93,10 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asked[address] = append(c.asked[address], args.(protocol.PassedMsg))
-	*reply.(*protocol.PassedReply) = protocol.PassedReply{
-		Holds: protocol.PassedMark{Incarnation: 7, Change: uint64(len(c.asked[address]))},
-		Heard: []protocol.HeardLimit{{Server: address}},
+	c.asked[address] = append(c.asked[address], args.(protocol.SharedLimitsMsg))
+	*reply.(*protocol.SharedLimitsReply) = protocol.SharedLimitsReply{
+		Holds: protocol.SharedLimitsVersion{Incarnation: 7, Change: uint64(len(c.asked[address]))},
+		Heard: []protocol.ReportedLimit{{Server: address}},
 	}
 	return nil
 }
@@ -107,8 +107,8 @@
 	took map[string]int
 }
 
-func (h *hearing) Words() []protocol.HeardLimit { return []protocol.HeardLimit{{Server: "own"}} }
-func (h *hearing) TakePassed(rows []protocol.HeardLimit) {
+func (h *hearing) Words() []protocol.ReportedLimit { return []protocol.ReportedLimit{{Server: "own"}} }
+func (h *hearing) TakePassed(rows []protocol.ReportedLimit) {
 	for _, row := range rows {
 		h.took[row.Server]++
 	}
@@ -118,7 +118,7 @@
 // in turn, with the mark of each, and tells them what it heard itself; and that one that was
 // never linked asks none.
 func TestPassedWithoutLeader(t *testing.T) {
-	calls, gateway := &passedCaller{asked: map[string][]protocol.PassedMsg{}}, &hearing{took: map[string]int{}}
+	calls, gateway := &passedCaller{asked: map[string][]protocol.SharedLimitsMsg{}}, &hearing{took: map[string]int{}}
 	client := New(calls, nil, []string{"a", "b"}, nil, zerolog.Nop(), WithLimiter(gateway))
 	client.askPassed()
 	if len(calls.asked) > 0 {
--- a/transport/uplink/relay_test.go
+++ b/transport/uplink/relay_test.go
@@ -146,17 +146,19 @@
 func TestLoadsAsChanges(t *testing.T) {
 	g := &fakeGateway{}
 	c := New(nil, g, nil, unpackIDs, zerolog.Nop())
-	mark := func(version uint64) protocol.LoadMark { return protocol.LoadMark{Incarnation: 5, Version: version} }
+	mark := func(version uint64) protocol.LoadVersion {
+		return protocol.LoadVersion{Incarnation: 5, Version: version}
+	}
 	for _, step := range []struct {
 		reply protocol.SyncReply
 		want  string
-		mark  protocol.LoadMark
+		mark  protocol.LoadVersion
 	}{
 		{protocol.SyncReply{Loads: []byte{1, 2, 3}, Loaded: mark(1)}, "\x01\x02\x03", mark(1)},
 		{protocol.SyncReply{LoadChanges: []byte{1, 9}, Loaded: mark(2)}, "\x01\x09\x03", mark(2)},
 		{protocol.SyncReply{Loaded: mark(2)}, "\x01\x09\x03", mark(2)},
-		{protocol.SyncReply{LoadChanges: []byte{7, 9}, Loaded: mark(3)}, "\x01\x09\x03", protocol.LoadMark{}},
-		{protocol.SyncReply{Loads: []byte{4}}, "\x04", protocol.LoadMark{}},
+		{protocol.SyncReply{LoadChanges: []byte{7, 9}, Loaded: mark(3)}, "\x01\x09\x03", protocol.LoadVersion{}},
+		{protocol.SyncReply{Loads: []byte{4}}, "\x04", protocol.LoadVersion{}},
 	} {
 		_ = c.share(&step.reply)
 		if string(g.loads) != step.want || c.mark != step.mark {
--- a/transport/uplink/uplink.go
+++ b/transport/uplink/uplink.go
@@ -132,7 +132,7 @@
 	found      chan named  // found receives whom they name.
 
 	// The own of the loop on limits.
-	passed     map[string]protocol.PassedMark // passed are the marks of what control instances passed on, by address.
+	passed     map[string]protocol.SharedLimitsVersion // passed are the marks of what control instances passed on, by address.
 	passedTurn int
 
 	// The main loop's own.
@@ -142,9 +142,9 @@
 	term        uint64
 	lister      uint64
 	version     uint64
-	servers     []protocol.Instance // servers are the list as it was received last.
-	loads       []byte              // loads are those of the listed servers, as they were received last.
-	mark        protocol.LoadMark   // mark names them.
+	servers     []protocol.Instance  // servers are the list as it was received last.
+	loads       []byte               // loads are those of the listed servers, as they were received last.
+	mark        protocol.LoadVersion // mark names them.
 	gateways    int
 	linked      string                      // linked is the instance that answered last; empty once it is lost.
 	named       string                      // named is the leader's address as an answer named it last; it may be a relay's word.
@@ -179,7 +179,7 @@
 		asking:      map[string]bool{},
 		found:       make(chan named, 1),
 		answerTimes: map[string]*link.AnswerTime{},
-		passed:      map[string]protocol.PassedMark{},
+		passed:      map[string]protocol.SharedLimitsVersion{},
 	}
 	for _, opt := range opts {
 		opt(c)
@@ -407,7 +407,7 @@
 	}
 	loads, err := place.Renewed(c.loads, c.mark, reply.Loads, reply.LoadChanges, reply.Loaded)
 	if err != nil {
-		c.loads, c.mark = nil, protocol.LoadMark{}
+		c.loads, c.mark = nil, protocol.LoadVersion{}
 		return err
 	}
 	c.loads, c.mark = loads, reply.Loaded
@@ -423,7 +423,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.servers = told.Onto(c.servers)
+	c.servers = told.ApplyTo(c.servers)
 	return c.servers, nil
 }
 
