--- a/protocol/batch.go
+++ b/protocol/batch.go
@@ -2,63 +2,67 @@
 
 import "time"
 
-// LoadVersion names a version of the loads of all servers, as one instance tells them. An
-// asker that holds that version is told only what changed since.
+// LoadVersion identifies a version of the load table of all servers, as published by
+// one instance. A client that has this version receives only later changes.
 type LoadVersion struct {
 	_           struct{} `cbor:",toarray"`
-	Incarnation uint64   // Incarnation is drawn at each start of the instance that tells the loads.
-	Version     uint64   // Version rises with each change; 0 for none.
+	Incarnation uint64   // random value for each start of the publishing instance
+	Version     uint64   // increases with each change; 0 for none
 }
 
-// BatchMsg is what a relay asks the leader for the gateways that ask it. It names the
-// batch that its sums build on, so that a leader which does not hold that one asks for
-// the whole.
+// BatchMsg combines the synchronization requests of the gateways behind a relay into
+// one request to the leader. It identifies the batch that its sums are relative to; a
+// leader that does not have that batch requests complete sums.
 type BatchMsg struct {
-	_        struct{} `cbor:",toarray"`
-	Relay    string
-	Life     uint64 // Life differs with each start of the relay.
-	Batch    uint64 // Batch rises with each batch of a life.
-	Base     uint64 // Base is the batch that the sums build on; 0 where they are whole.
-	Number   uint64 // Number is the document that the relay holds.
-	Lister   uint64 // Lister and Servers are the term and the version of the list that it holds.
+	_      struct{} `cbor:",toarray"`
+	Relay  string
+	Life   uint64 // differs for each start of the relay
+	Batch  uint64 // increases with each batch within a life
+	Base   uint64 // batch that the sums are relative to; 0 if they are complete
+	Number uint64 // number of the document that the relay has
+	// Lister and Servers identify the server list that the relay has: the term of the
+	// instance that read it, and its version.
+	Lister   uint64
 	Servers  uint64
-	Rollouts uint64      // Rollouts is the change of the roll-outs that it holds.
-	Loads    LoadVersion // Loads are the loads that it holds.
+	Rollouts uint64      // roll-out change number that the relay has
+	Loads    LoadVersion // version of the loads that the relay has
 	Sums     SumsMsg
-	Placed   []Placement // Placed are places that the relay gave since its last batch.
-	Readings []Prefill   // Readings are those that its gateways and its own ledger told since.
+	Placed   []Placement // placements that the relay made since its last batch
+	Readings []Prefill   // prefills reported by its gateways and its own placements since
 	Parts    []BatchPart
 
-	Quarantined uint64 // Quarantined and Watched are as in SyncMsg, of the relay itself.
+	// Quarantined and Watched are as in [SyncMsg], for the relay itself.
+	Quarantined uint64
 	Watched     uint64
 }
 
-// Placement is a place that was given for a long prompt.
+// Placement records that a long prompt was assigned to a server.
 type Placement struct {
 	_      struct{} `cbor:",toarray"`
 	Server string
-	Prefix uint64 // Prefix is the hash of the shared parts.
-	Tokens int    // Tokens are those that the server has to read.
+	Prefix uint64 // hash of the shared parts
+	Tokens int    // tokens that the server has to prefill
 }
 
-// SumsMsg is what the gateways of a relay know together of the servers: all of it, or
-// what changed.
+// SumsMsg aggregates what the gateways of a relay report about servers, either
+// completely or as changes since the base batch.
 type SumsMsg struct {
 	_         struct{}      `cbor:",toarray"`
-	Running   []ServerSum   // Running are requests under way; 0 where none are left.
-	Distrusts []DistrustSum // Distrusts count gateways by server and domain; 0 where none is left.
-	Counted   []string      // Counted are gateways that the sums hold from now on.
-	Gone      []string      // Gone are gateways that they hold no more.
+	Running   []ServerSum   // requests in progress by server; 0 if none are left
+	Distrusts []DistrustSum // gateways that distrust a server, by domain; 0 if none are left
+	Counted   []string      // gateways newly included in the sums
+	Gone      []string      // gateways no longer included in the sums
 }
 
-// ServerSum is how many requests one server has from the gateways of a relay.
+// ServerSum is the number of requests in progress at one server, from all gateways of a
+// relay.
 type ServerSum struct {
 	_       struct{} `cbor:",toarray"`
 	Server  string
 	Running int
 }
 
-// DistrustSum is how many gateways of a domain distrust a server.
+// DistrustSum is the number of gateways in a domain that distrust a server.
 type DistrustSum struct {
 	_        struct{} `cbor:",toarray"`
 	Server   string
@@ -66,17 +70,17 @@
 	Gateways int
 }
 
-// BatchPart is what is one gateway's own of its question; see SyncMsg.
+// BatchPart is the part of a batch that is specific to one gateway; see [SyncMsg].
 type BatchPart struct {
 	_        struct{} `cbor:",toarray"`
 	Gateway  string
 	Life     uint64
 	Domain   string
-	Clock    int64 // Clock is in nanoseconds since 1970, when the batch was made; 0 for unknown.
+	Clock    int64 // gateway's clock when the batch was made, in ns since 1970; 0 if unknown
 	Gateways int
 	Term     uint64
 	Usage    []BatchUsage
-	Counted  int64 // Counted is in nanoseconds since 1970; 0 for none.
+	Counted  int64 // in ns since 1970; 0 for none
 	Wants    []BatchQuotaRequest
 	Pressure []BatchPressure
 	Trials   []TrialReport
@@ -84,7 +88,7 @@
 	Observations []Observation
 }
 
-// BatchUsage is a UsageRow without the names of the fields.
+// BatchUsage is a compact [UsageRow], encoded without field names.
 type BatchUsage struct {
 	_         struct{} `cbor:",toarray"`
 	Window    int64
@@ -92,7 +96,7 @@
 	Count     int64
 }
 
-// BatchQuotaRequest is a QuotaWant without the names of the fields.
+// BatchQuotaRequest is a compact [QuotaRequest], encoded without field names.
 type BatchQuotaRequest struct {
 	_         struct{} `cbor:",toarray"`
 	Workspace string
@@ -102,8 +106,8 @@
 	Alone     float64
 }
 
-// BatchPressure is a Pressure without the names of the fields. Its estimates are of
-// single precision.
+// BatchPressure is a compact [Pressure], encoded without field names and with estimates
+// in single precision.
 type BatchPressure struct {
 	_     struct{} `cbor:",toarray"`
 	Begun int64
@@ -112,63 +116,67 @@
 	BatchLanes
 }
 
-// BatchLanes are ServiceLanes without the names of the fields, of single precision.
+// BatchLanes is a compact [ServiceLanes], encoded without field names and in single
+// precision.
 type BatchLanes struct {
 	Service string
 	Seen    int
 	Mean    float32
 	Tokens  float32
-	Busy    float32 // Busy is LaneParts.Work.
+	Busy    float32 // LaneShares.Work
 	Short   float32
 }
 
-// BatchReply is the leader's answer to a batch. Leads is false from one that cannot
-// vouch; then only Leader is set.
+// BatchReply is the leader's answer to a batch. Leads is false if the instance cannot
+// confirm that it is the leader; then only Leader is set.
 type BatchReply struct {
 	_           struct{} `cbor:",toarray"`
 	Leads       bool
-	Leader      string // Leader is the peer address of who leads, as far as known.
+	Leader      string // peer address of the leader, as far as known
 	Term        uint64
 	Number      uint64
-	Document    []byte // Document is set when the relay's is older.
+	Document    []byte // set if the relay has an older one
 	Lister      uint64
 	Version     uint64
-	Listed      bool // Listed says that List is set: the relay's list is older.
+	Listed      bool // List is set because the relay has an older one
 	List        []byte
 	Gateways    int
-	Clock       int64 // Clock is in nanoseconds since 1970.
+	Clock       int64 // in ns since 1970
 	Short       []string
 	Lanes       []LanesRow
 	Rollouts    []Rollout
 	Changes     uint64
-	Loads       LoadVersion       // Loads names the loads that the relay holds with this answer.
-	Whole       []byte            // Whole are all loads; empty where LoadChanges tells them.
-	LoadChanges []byte            // LoadChanges are what changed; see place.Vector.
-	Distrusted  map[string][]byte // Distrusted are the servers to pass over, by the gateways' domain.
-	Resend      bool              // Resend asks for whole sums: the leader does not hold what they build on.
-	Moved       []string          // Moved are gateways in the relay's sums that ask elsewhere now.
-	Placed      []Placement       // Placed are places that others gave.
-	Readings    []byte            // Readings are those of others that the relay was not told yet, packed by the order of the list.
-	Answers     []BatchAnswer     // Answers are in the order of the parts.
-
-	Quarantine *QuarantineUpdate // Quarantine is what the relay lacks of it; nil for nothing.
+	Loads       LoadVersion       // version of the loads that the relay has with this answer
+	Whole       []byte            // all loads; empty if LoadChanges is set
+	LoadChanges []byte            // changed loads; see place.Vector
+	Distrusted  map[string][]byte // servers to avoid, by the domain of the gateways
+	Resend      bool              // requests complete sums, as the leader lacks the base of these
+	Moved       []string          // gateways in the relay's sums that now use another relay or the leader
+	Placed      []Placement       // placements made by others
+	// Readings holds prefills from other sources that the relay has not received yet,
+	// packed using the order of the server list.
+	Readings []byte
+	Answers  []BatchAnswer // in the order of the parts
+
+	Quarantine *QuarantineUpdate // changes that the relay lacks; nil for none
 	Watch      *WatchUpdate
 }
 
-// LanesRow is one row of BatchLanes.
+// LanesRow is a [BatchLanes] encoded as an array.
 type LanesRow struct {
 	_ struct{} `cbor:",toarray"`
 	BatchLanes
 }
 
-// BatchAnswer is what is one gateway's own of an answer; see SyncReply.
+// BatchAnswer is the part of an answer that is specific to one gateway; see
+// [SyncReply].
 type BatchAnswer struct {
 	_      struct{} `cbor:",toarray"`
 	Grants []BatchGrant
 	Trials []TrialGrant
 }
 
-// BatchGrant is a QuotaGrant without the names of the fields.
+// BatchGrant is a compact [QuotaGrant], encoded without field names.
 type BatchGrant struct {
 	_         struct{} `cbor:",toarray"`
 	Workspace string
--- a/protocol/catalog.go
+++ b/protocol/catalog.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Catalog is what gateways serve by when callers address routes by host and
-// path: one accepted document, translated and checked. It is immutable.
+// Catalog is the configuration that gateways serve by when callers address routes by
+// host and path: one accepted document, translated and validated. It is immutable.
 type Catalog struct {
 	Number     uint64
 	Routes     []PathRoute
@@ -12,57 +12,59 @@
 	Edge       EdgeLimits
 }
 
-// RouteKind says how often a request of a route may run.
+// RouteKind tells how often a request of a route may be executed.
 type RouteKind uint8
 
 // The kinds of routes.
 const (
-	RouteOnce       RouteKind = iota // RouteOnce runs a request at most once.
-	RouteRepeatable                  // RouteRepeatable may run a request again.
-	RouteStream                      // RouteStream answers with events, at most once unless it can be resumed.
+	RouteOnce       RouteKind = iota // a request is executed at most once
+	RouteRepeatable                  // a request may be executed again
+	RouteStream                      // answers with events; executed at most once unless resumable
 )
 
 // PathRoute maps a host and a path prefix to services.
 type PathRoute struct {
 	Name      string
 	Host      string
-	Prefix    string // Prefix begins and ends with a slash.
+	Prefix    string // begins and ends with a slash
 	Kind      RouteKind
-	Timeout   time.Duration     // Timeout is the longest that a request is held.
-	Target    time.Duration     // Target is when an answer, or its first event, is in time.
-	TargetGap time.Duration     // TargetGap is the longest pause between events in time.
-	Priority  int               // Priority is the rank, 0 first.
-	Split     []WeightedService // Split is never empty and weighs more than 0 in all.
-	Attempts  int               // Attempts bounds the servers that one request is sent to.
-	Open      bool              // Open routes need no workspace key.
-	Affinity  bool              // Affinity keeps requests with the same prompt prefix together.
-	Resumable bool              // Resumable streams may go on at another server.
+	Timeout   time.Duration     // longest time that a request is held
+	Target    time.Duration     // latency target for the answer, or for its first event
+	TargetGap time.Duration     // latency target for the gap between events
+	Priority  int               // rank; 0 is the highest priority
+	Split     []WeightedService // never empty; the total weight is above 0
+	Attempts  int               // maximum number of servers that one request is sent to
+	Open      bool              // no workspace key required
+	Affinity  bool              // route requests with the same prompt prefix to the same servers
+	Resumable bool              // streams may continue at another server
 }
 
-// WeightedService is a service with its part of a route's requests.
+// WeightedService is a service and its weight in a route's traffic split.
 type WeightedService struct {
 	Service string
 	Weight  int
 }
 
-// Repeatable reports whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may be executed more than once.
 func (r *PathRoute) Repeatable() bool {
 	return r.Kind == RouteRepeatable || (r.Kind == RouteStream && r.Resumable)
 }
 
-// ServiceSpec is a service as operators declare it.
+// ServiceSpec is a service as declared by operators.
 type ServiceSpec struct {
 	Name        string
-	Connections int          // Connections bounds those that one server takes from all gateways; 0 means no bound.
-	Slots       int          // Slots are the requests that one server runs at once; 0 where the list tells.
-	CopyRate    float64      // CopyRate is how many tokens of a prompt a millisecond one server copies from another that has read them; 0 where none can.
-	Scaling     *ScalingSpec // Scaling is nil where the number of servers is not ours to order.
+	Connections int // maximum connections per server, from all gateways; 0 is unlimited
+	Slots       int // concurrent requests per server; 0 takes the value from the platform's list
+	// CopyRate is the rate, in prompt tokens per millisecond, at which a server copies
+	// the KV cache from another server that holds it; 0 if servers cannot copy.
+	CopyRate float64
+	Scaling  *ScalingSpec // nil if the number of servers is not managed here
 }
 
 // ScalingSpec bounds the number of a service's servers in each failure domain.
 type ScalingSpec struct {
 	Min, Max     int
-	DomainPrices map[string]float64 // DomainPrices are what a server costs a second, by failure domain.
+	DomainPrices map[string]float64 // price of a server per second, by failure domain
 }
 
 // WorkspaceSpec is a workspace with its keys and its quota.
@@ -70,14 +72,14 @@
 	Name        string
 	Keys        []string
 	Priority    int
-	HasPriority bool    // HasPriority says that Priority goes before the route's.
-	Rate        float64 // Rate is the quota in units a second; 0 means no limit.
-	Burst       float64 // Burst is the quota's reserve in units.
-	Tokens      bool    // Tokens says that the units are tokens, not requests.
-	PlainTokens int     // PlainTokens is the cost of a request that tells no tokens.
+	HasPriority bool    // Priority overrides the route's priority
+	Rate        float64 // quota in units per second; 0 is unlimited
+	Burst       float64 // burst size in units
+	Tokens      bool    // units are tokens rather than requests
+	PlainTokens int     // cost of a request without token counts
 }
 
-// EdgeLimits bound what a caller may send.
+// EdgeLimits bounds what a caller may send.
 type EdgeLimits struct {
 	HeaderBytes int
 	BodyBytes   int
@@ -85,37 +87,37 @@
 	IdleTime    time.Duration
 }
 
-// Call is one request of a caller as the protocol at the edge told it. Its
-// method, path and body stay opaque.
+// Call is a caller's request as parsed by the protocol at the edge. Its method, path
+// and body are opaque.
 type Call struct {
-	ID           string        // ID names this send; resends carry another.
-	Host         string        // Host is as it was sent, with a port or without.
-	Path         string        // Path is without the query.
-	Secret       string        // Secret is the workspace key, empty without one.
-	Remaining    time.Duration // Remaining is how long the caller waits; 0 where it did not say.
-	PromptTokens int           // PromptTokens is the prompt's length.
-	AnswerTokens int           // AnswerTokens is the most that the answer may have.
-	HasTokens    bool          // HasTokens says that the caller named both.
-	Prefix       []PromptPart  // Prefix are the prompt's parts, in their order.
-	LastEvent    string        // LastEvent is the last event that the caller holds, empty without one.
+	ID           string        // identifies this send; resends carry another ID
+	Host         string        // as sent, with or without a port
+	Path         string        // without the query
+	Secret       string        // workspace key; empty without one
+	Remaining    time.Duration // how long the caller waits; 0 if not given
+	PromptTokens int           // length of the prompt
+	AnswerTokens int           // maximum length of the answer
+	HasTokens    bool          // the caller gave both token counts
+	Prefix       []PromptPart  // parts of the prompt, in order
+	LastEvent    string        // ID of the last event that the caller received; empty without one
 }
 
-// PromptPart is one part of a prompt; parts are shared between requests.
+// PromptPart is one part of a prompt. Requests can have parts in common.
 type PromptPart struct {
 	ID     uint64
 	Tokens int
 }
 
-// PromptLink is one step of a prompt's shared parts: the hash of all parts up to it,
-// and their tokens. A server holds parts in their order, so a shorter chain can be held
-// where a longer one is not.
+// PromptLink is one step of the chain of a prompt's shared parts: the hash of all parts
+// up to this one, and their total tokens. Servers cache parts in order, so a server may
+// hold a prefix of a chain without holding all of it.
 type PromptLink struct {
 	Hash   uint64
 	Tokens int
 }
 
-// SharedTokens are the tokens of the prompt's parts that other requests may
-// share: all but the last.
+// SharedTokens returns the number of tokens in the prompt parts that other requests may
+// have in common: all parts but the last.
 func (c *Call) SharedTokens() int {
 	n := 0
 	for i := 0; i+1 < len(c.Prefix); i++ {
@@ -124,7 +126,7 @@
 	return n
 }
 
-// Cost is what the call takes from a workspace's quota.
+// Cost returns the units that the call takes from a workspace's quota.
 func (c *Call) Cost(w *WorkspaceSpec) float64 {
 	switch {
 	case !w.Tokens:
--- a/protocol/claim.go
+++ b/protocol/claim.go
@@ -2,50 +2,53 @@
 
 import "time"
 
-// ClaimState is what became of a claim.
+// ClaimState is the outcome of a claim.
 type ClaimState uint8
 
 // The states of a claim, as a reply tells them.
 const (
-	// ClaimGranted means that the asker, and nobody else, may run the request.
+	// ClaimGranted means that the claimant, and no other instance, may execute the
+	// request.
 	ClaimGranted ClaimState = iota
-	// ClaimRunning means that another instance runs it.
+	// ClaimRunning means that another instance is executing the request.
 	ClaimRunning
-	// ClaimRan means that it ran to its end; Answer is set if it was kept.
+	// ClaimRan means that the request was executed to completion. Answer is set if it
+	// was retained.
 	ClaimRan
-	// ClaimMayHaveRun means that its outcome is not known.
+	// ClaimMayHaveRun means that the outcome of the request is unknown.
 	ClaimMayHaveRun
-	// ClaimConflict means that the key was used for another request.
+	// ClaimConflict means that the key was used for a different request.
 	ClaimConflict
-	// ClaimExpired means that the request is older than claims are kept, so
-	// that nobody can know whether it ran.
+	// ClaimExpired means that the request is older than claims are retained, so it is
+	// unknown whether it was executed.
 	ClaimExpired
-	// ClaimFuture means that the caller's clock runs too far ahead.
+	// ClaimFuture means that the caller's clock is too far ahead.
 	ClaimFuture
-	// ClaimFull means that no more claims can be kept at the moment.
+	// ClaimFull means that the claim table is full at the moment.
 	ClaimFull
-	// ClaimReleased means that the request was not run and may be claimed anew.
+	// ClaimReleased means that the request was not executed and can be claimed again.
 	ClaimReleased
 )
 
-// Owner is who runs a claimed request: one run on one life of an instance.
+// Owner identifies one execution of a claimed request by one incarnation of an
+// instance.
 type Owner struct {
 	Instance    string `json:"instance"`
 	Incarnation uint64 `json:"incarnation"`
 	Request     string `json:"request"`
 }
 
-// ClaimMsg asks to run a request that must run at most once.
+// ClaimMsg claims a request that must be executed at most once.
 type ClaimMsg struct {
 	Key      Key         `json:"key"`
 	Body     Digest      `json:"body"`
 	Owner    Owner       `json:"owner"`
-	IssuedAt int64       `json:"issued_at"` // IssuedAt is the caller's time, in ms.
+	IssuedAt int64       `json:"issued_at"` // caller's time of first issue, in ms since 1970
 	Limits   ClaimLimits `json:"limits"`
 }
 
-// ClaimLimits bound the claims. They come with each message, so that replicas
-// with different settings still agree.
+// ClaimLimits bounds the claim table. The limits are part of each message, so that
+// replicas with different settings still reach the same state.
 type ClaimLimits struct {
 	WindowMS    int64 `json:"window_ms"`
 	SkewMS      int64 `json:"skew_ms"`
@@ -60,23 +63,24 @@
 	Answer *Answer    `json:"answer,omitempty"`
 }
 
-// Answer is an answer that is kept for resends.
+// Answer is an answer that is retained for resends.
 type Answer struct {
-	Status      int      `json:"status,omitempty"`       // Status is a plain service's.
-	ContentType string   `json:"content_type,omitempty"` // ContentType is a plain service's.
-	Body        []byte   `json:"body,omitempty"`         // Body is a plain service's.
-	Text        string   `json:"text,omitempty"`         // Text is a model's.
+	Status      int      `json:"status,omitempty"`       // plain services only
+	ContentType string   `json:"content_type,omitempty"` // plain services only
+	Body        []byte   `json:"body,omitempty"`         // plain services only
+	Text        string   `json:"text,omitempty"`         // models only
 	Tokens      int      `json:"tokens,omitempty"`
 	Finish      string   `json:"finish,omitempty"`
-	Ends        []uint32 `json:"ends,omitempty"` // Ends are the lengths of Text after each token.
+	Ends        []uint32 `json:"ends,omitempty"` // length of Text after each token
 }
 
-// Size returns about how many bytes the answer takes.
+// Size returns the approximate size of the answer in bytes.
 func (a *Answer) Size() int {
 	return len(a.Body) + len(a.Text) + len(a.ContentType) + 4*len(a.Ends) + 64
 }
 
-// FinishMsg records what became of a claimed request. Not-run releases it.
+// FinishMsg records the outcome of a claimed request. The verdict not-run releases the
+// claim.
 type FinishMsg struct {
 	Key      Key         `json:"key"`
 	Owner    Owner       `json:"owner"`
@@ -86,22 +90,23 @@
 	Limits   ClaimLimits `json:"limits"`
 }
 
-// ApplyMsg asks for a configuration to be accepted.
+// ApplyMsg proposes a configuration.
 type ApplyMsg struct {
 	Number uint64 `json:"number"`
-	Config []byte `json:"config"` // Config is the canonical form.
+	Config []byte `json:"config"` // canonical form
 }
 
-// ApplyReplyMsg answers an [ApplyMsg]: accepted, or what is in force instead.
+// ApplyReplyMsg answers an [ApplyMsg]: the proposal was accepted, or another
+// configuration is in force.
 type ApplyReplyMsg struct {
 	Accepted bool   `json:"accepted"`
-	Number   uint64 `json:"number"` // Number is the one in force.
+	Number   uint64 `json:"number"` // number of the configuration in force
 	Digest   Digest `json:"digest"`
 }
 
-// Command is what the replicated log carries: one of its parts is set.
+// Command is a command in the replicated log. Exactly one of its pointer fields is set.
 type Command struct {
-	At       int64           `json:"at"` // At is the leader's time, in ms.
+	At       int64           `json:"at"` // leader's time, in ms since 1970
 	Apply    *ApplyMsg       `json:"apply,omitempty"`
 	Claim    *ClaimMsg       `json:"claim,omitempty"`
 	Finish   *FinishMsg      `json:"finish,omitempty"`
@@ -118,7 +123,7 @@
 	Quarantine   *QuarantineMsg   `json:"quarantine,omitempty"`
 }
 
-// Result is what a command came to.
+// Result is the result of applying a [Command].
 type Result struct {
 	Apply *ApplyReplyMsg    `json:"apply,omitempty"`
 	Claim *ClaimReply       `json:"claim,omitempty"`
@@ -133,5 +138,5 @@
 	StageRollout *StageRolloutReply `json:"stage_rollout,omitempty"`
 }
 
-// Millis returns a time as the log carries it.
+// Millis returns t in the form used in the log: ms since 1970.
 func Millis(t time.Time) int64 { return t.UnixMilli() }
--- a/protocol/engine.go
+++ b/protocol/engine.go
@@ -1,68 +1,68 @@
 package protocol
 
-// LoadReport is what an engine or a plain service says of itself. It lags
-// behind the truth by the reporter's own interval.
+// LoadReport is the load that an engine or a plain service reports about itself. It
+// lags by the reporter's own reporting interval.
 type LoadReport struct {
 	Server   string   `json:"server"`
 	Sequence uint64   `json:"sequence"`
 	Models   []string `json:"models,omitempty"`
 	Adapters []string `json:"adapters,omitempty"`
-	Slots    int      `json:"slots,omitempty"` // Slots are the requests that it runs at once; 0 tells nothing.
+	Slots    int      `json:"slots,omitempty"` // concurrent requests; 0 if not reported
 	Running  int      `json:"running"`
 	Waiting  int      `json:"waiting"`
-	KVUsed   float64  `json:"kv_used"` // KVUsed is a share from 0 to 1.
+	KVUsed   float64  `json:"kv_used"` // used fraction of the KV cache, 0 to 1
 	Leaving  bool     `json:"leaving"`
 }
 
-// CacheEvent says that an engine began or ceased to hold a prompt prefix.
-// Events come late and a gap in Sequence means that some were lost.
+// CacheEvent reports that an engine has cached or evicted a prompt prefix. Events are
+// delayed, and a gap in Sequence means that some were lost.
 type CacheEvent struct {
 	Sequence uint64 `json:"sequence"`
-	Prefix   uint64 `json:"prefix"` // Prefix is the hash of the cached prefix.
+	Prefix   uint64 `json:"prefix"` // hash of the cached prefix
 	Tokens   int    `json:"tokens"`
 	Evicted  bool   `json:"evicted"`
 }
 
-// CacheEvents is a batch of cache events after a sequence number.
+// CacheEvents is a batch of cache events that follow a given sequence number.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
 }
 
-// OrderKind names what a fenced order asks of an engine.
+// OrderKind is the kind of an [Order].
 type OrderKind string
 
-// The kinds of orders.
+// The order kinds.
 const (
 	OrderLoadAdapter   OrderKind = "load_adapter"
 	OrderUnloadAdapter OrderKind = "unload_adapter"
 	OrderLoadModel     OrderKind = "load_model"
-	OrderRole          OrderKind = "role" // OrderRole has an engine serve the named model and no other.
+	OrderRole          OrderKind = "role" // serve the named model and no other
 )
 
-// Order is a fenced order to a backend server. A server that checks fences
-// refuses an order whose fence is below the highest that it has seen.
+// Order is an order to a backend server, protected by a fencing token. A server that
+// checks tokens rejects an order with a lower token than the highest it has seen.
 type Order struct {
-	Fence uint64    `json:"fence"` // Fence is the term of the leader that gave the order.
+	Fence uint64    `json:"fence"` // term of the leader that issued the order
 	Kind  OrderKind `json:"kind"`
 	Name  string    `json:"name"`
 }
 
-// Resume asks an engine to go on with an answer from a token offset. The
-// engine holds the prompt's KV cache (after an import) or recomputes it.
+// Resume asks an engine to continue an answer at a token offset. The engine has the
+// prompt's KV cache after an import, or else recomputes it.
 type Resume struct {
-	Offset int    `json:"offset"` // Offset counts the tokens already generated.
-	Text   string `json:"text"`   // Text is the answer so far.
+	Offset int    `json:"offset"` // tokens already generated
+	Text   string `json:"text"`   // answer so far
 }
 
-// KVMove asks an engine to fetch the KV cache of a running request from
-// another engine and to end the request there.
+// KVMove asks an engine to fetch the KV cache of a running request from another engine
+// and to end the request there.
 type KVMove struct {
-	From    string `json:"from"`    // From is the address of the exporting engine.
-	Request string `json:"request"` // Request is the engine-side request identity.
+	From    string `json:"from"`    // address of the exporting engine
+	Request string `json:"request"` // request ID at the engine
 }
 
-// Chunk is one event of an engine's stream in the OpenAI format. Usage is
-// asked for on every event, so the token offset of each chunk is known.
+// Chunk is one event of an engine's stream in the OpenAI format. Usage is requested for
+// every event, so that the token offset of each chunk is known.
 type Chunk struct {
 	ID      string        `json:"id"`
 	Object  string        `json:"object"`
@@ -70,13 +70,12 @@
 	Model   string        `json:"model"`
 	Choices []ChunkChoice `json:"choices"`
 	Usage   *Usage        `json:"usage,omitempty"`
-	// Tokens counts the tokens of this event; an engine that leaves it out
-	// sends one token an event. Together with Usage it gives the offset.
+	// Tokens is the number of tokens in this event. An engine that omits it sends one
+	// token per event. Together with Usage it determines the offset.
 	Tokens int `json:"tokens,omitempty"`
 }
 
-// ChunkChoice is the choice inside a [Chunk]. Completions fill Text, chats
-// fill Delta.
+// ChunkChoice is the choice in a [Chunk]. Completions set Text, chats set Delta.
 type ChunkChoice struct {
 	Index        int     `json:"index"`
 	Text         *string `json:"text,omitempty"`
--- a/protocol/feature.go
+++ b/protocol/feature.go
@@ -1,22 +1,24 @@
 package protocol
 
-// Features are what a build understands that builds before it did not. Instances of
-// different builds run side by side while they are replaced one after the other: what
-// one of them does not understand is not sent to it. Builds from before this type send
-// none; what they understand shows in their messages, if at all ([SyncMsg.SupportsIncarnations]).
+// Features is the set of protocol features that a build supports beyond earlier builds.
+// During a rolling update, instances of different builds run side by side, and an
+// instance is not sent anything that it does not support. Builds from before this type
+// send no features; what they support is inferred from their messages where possible
+// ([SyncMsg.SupportsIncarnations]).
 type Features uint64
 
 // The features.
 const (
-	// FeatureIncarnations is that servers are named by their starts; see [Incarnation].
+	// FeatureIncarnations means that servers are identified by their starts; see
+	// [Incarnation].
 	FeatureIncarnations Features = 1 << iota
-	// FeatureShared is that a gateway asks a relay of the only region where the leader has
-	// more gateways than it answers at the usual pace.
+	// FeatureShared means that, in a deployment with one region, the gateway can use a
+	// relay if the leader has more gateways than it can answer at the usual rate.
 	FeatureShared
 )
 
-// OwnFeatures are those of this build.
+// OwnFeatures are the features of this build.
 const OwnFeatures = FeatureIncarnations | FeatureShared
 
-// Has reports whether all of some features are among f.
+// Has reports whether f includes all features in some.
 func (f Features) Has(some Features) bool { return f&some == some }
--- a/protocol/fingerprint.go
+++ b/protocol/fingerprint.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// Fingerprint tells whether two requests are the same one sent again: alike in their
-// caller, host, path and body, whatever ids they carry.
+// Fingerprint identifies requests that repeat the same content: the same caller, host,
+// path and body, whatever request IDs they carry.
 type Fingerprint struct {
 	_       struct{}  `cbor:",toarray"`
-	Quick   uint64    `json:"quick"`   // Quick is a hash that is cheap to make for each request.
-	Content [2]uint64 `json:"content"` // Content are 128 bits of a hash that nobody can aim at another's.
+	Quick   uint64    `json:"quick"`   // hash that is cheap enough to compute for every request
+	Content [2]uint64 `json:"content"` // 128-bit hash for which collisions cannot be crafted
 }
 
-// String renders the fingerprint as logs and dumps show it.
+// String returns the content hash in hexadecimal, as shown in logs and dumps.
 func (f Fingerprint) String() string {
 	return fmt.Sprintf("%016x%016x", f.Content[0], f.Content[1])
 }
--- a/protocol/handover.go
+++ b/protocol/handover.go
@@ -1,16 +1,17 @@
 package protocol
 
-// HandOver is a request in progress that a leaving instance gives to another.
-// Its backend server has ended it and keeps its KV cache to be fetched.
+// HandOver is a request in progress that a leaving instance transfers to another
+// instance. The backend server has ended the request and keeps its KV cache until that
+// is fetched.
 type HandOver struct {
 	Request Request
-	ID      string   // ID is the leaving instance's name of the request, also towards the server.
-	Server  string   // Server is the backend server that ran it; empty if none did.
-	Attempt int      // Attempt is the number of the attempt that ran there.
-	Text    string   // Text is the answer so far.
-	Ends    []uint32 // Ends are the lengths of Text after each token.
-	Claimed bool     // Claimed says that the request must run at most once.
-	Owner   Owner    // Owner holds the claim.
+	ID      string   // request ID at the leaving instance, also used towards the server
+	Server  string   // backend server that ran the request; empty if none did
+	Attempt int      // number of the attempt that ran there
+	Text    string   // answer so far
+	Ends    []uint32 // length of Text after each token
+	Claimed bool     // the request must be executed at most once
+	Owner   Owner    // owner of the claim
 }
 
 // FetchHandOverMsg asks for a request that was handed over.
@@ -19,13 +20,13 @@
 	Body Digest
 }
 
-// FetchHandOverReplyMsg carries it, if it is there.
+// FetchHandOverReplyMsg carries the request if it was found.
 type FetchHandOverReplyMsg struct {
 	Found    bool
 	HandOver HandOver
 }
 
-// TransferMsg gives a claim to another owner.
+// TransferMsg transfers a claim to another owner.
 type TransferMsg struct {
 	Key  Key   `json:"key"`
 	From Owner `json:"from"`
--- a/protocol/incarnation.go
+++ b/protocol/incarnation.go
@@ -5,33 +5,33 @@
 	"strings"
 )
 
-// Incarnation is one start of a backend server. A server that starts again under its name
-// holds and knows nothing of before. Everything that is known of a server is known of an
-// incarnation: [Instance.ID] and all tables go by its text.
+// Incarnation identifies one start of a backend server. A server that restarts under
+// the same name has lost all of its state, so everything known about a server belongs
+// to one incarnation: [Instance.ID] and all tables use its text form.
 type Incarnation struct {
-	Name  string // Name is what the platform knows the server by.
-	Start int64  // Start is when it started, in ms since 1970 by its own clock; 0 where that is not told.
+	Name  string // server's name on the platform
+	Start int64  // start time by the server's clock, in ms since 1970; 0 if not reported
 }
 
-// incarnationMark is between an incarnation's name and its start.
-const incarnationMark = "@"
+// incarnationSeparator separates name and start in the text form.
+const incarnationSeparator = "@"
 
-// String renders the incarnation: its name and start, or the name alone where the start
-// is not told and no other reading is possible.
+// String returns the text form: name and start, or only the name if the start is
+// unknown and the name is unambiguous.
 func (i Incarnation) String() string {
-	if i.Start == 0 && !strings.Contains(i.Name, incarnationMark) {
+	if i.Start == 0 && !strings.Contains(i.Name, incarnationSeparator) {
 		return i.Name
 	}
-	return i.Name + incarnationMark + strconv.FormatInt(i.Start, 10)
+	return i.Name + incarnationSeparator + strconv.FormatInt(i.Start, 10)
 }
 
-// ParseIncarnation reads what String rendered.
+// ParseIncarnation parses the text form returned by [Incarnation.String].
 func ParseIncarnation(text string) Incarnation {
-	at := strings.LastIndex(text, incarnationMark)
+	at := strings.LastIndex(text, incarnationSeparator)
 	if at < 0 {
 		return Incarnation{Name: text}
 	}
-	start, err := strconv.ParseInt(text[at+len(incarnationMark):], 10, 64)
+	start, err := strconv.ParseInt(text[at+len(incarnationSeparator):], 10, 64)
 	if err != nil {
 		return Incarnation{Name: text}
 	}
--- a/protocol/limit.go
+++ b/protocol/limit.go
@@ -1,10 +1,10 @@
 package protocol
 
-// The classes of requests that limits tell apart. Requests of low priority
-// only get what the others leave.
+// The classes of requests that the limits distinguish. Requests of low priority use
+// only the capacity that the others leave.
 const (
-	ClassRegular = iota // ClassRegular holds the priorities normal and high.
-	ClassLow            // ClassLow holds the priority low.
+	ClassRegular = iota // priorities normal and high
+	ClassLow            // priority low
 	NumClasses
 )
 
@@ -16,34 +16,34 @@
 	return ClassRegular
 }
 
-// Demand is what one workspace asks of one pool through one instance.
+// Demand is the demand of one workspace for one pool through one instance.
 type Demand struct {
 	Workspace string
-	Share     int             // Share is the workspace's weight against the others.
-	Running   [NumClasses]int // Running are requests that hold a slot, by class.
-	Queued    [NumClasses]int // Queued are requests that wait for one, by class.
+	Share     int             // weight of the workspace relative to the others
+	Running   [NumClasses]int // requests that hold a slot, by class
+	Queued    [NumClasses]int // requests that wait for a slot, by class
 }
 
 // Want returns how many slots the workspace could use in a class.
 func (d *Demand) Want(class int) int { return d.Running[class] + d.Queued[class] }
 
-// DemandMsg tells a pool's coordinator what an instance's callers ask for. A
-// pool is what serves one model.
+// DemandMsg reports the demand at an instance to the coordinator of a pool. A pool is
+// the set of servers for one model.
 type DemandMsg struct {
 	From string
 	Pool string
 	Rows []Demand
 }
 
-// Grant is how many slots one workspace may use through one instance.
+// Grant is the number of slots that one workspace may use through one instance.
 type Grant struct {
 	Workspace string
 	Slots     [NumClasses]int
 }
 
-// GrantMsg answers a [DemandMsg]. It is a lease: it holds for a while and is
-// renewed by the next answer.
+// GrantMsg answers a [DemandMsg]. The grants are leases: they expire unless the next
+// answer renews them.
 type GrantMsg struct {
 	Rows  []Grant
-	Spare int // Spare are slots that any workspace may use through this instance.
+	Spare int // slots that any workspace may use through this instance
 }
--- a/protocol/limits.go
+++ b/protocol/limits.go
@@ -2,90 +2,93 @@
 
 import "time"
 
-// LimitsMsg is what a gateway tells the leader of servers that limit their requests, and
-// the permits that it asks for. Each is sent only once the answer to the one before it
-// came, or its time was over.
+// LimitsMsg reports rate limits announced by servers to the leader, and requests
+// permits. A gateway sends the next one only after the answer to the previous one
+// arrived or timed out.
 type LimitsMsg struct {
-	Gateway string // Gateway is empty in the question of a relay, which asks for Change alone.
-	Life    uint64 // Life differs with each start of the gateway.
-	Term    uint64 // Term is the leader's that Held is of.
-	Held    uint64 // Held is the change of the leader's limits that the gateway holds.
+	Gateway string // empty if a relay sends the message, which asks only for Change
+	Life    uint64 // differs for each start of the gateway
+	Term    uint64 // leader's term that Held refers to
+	Held    uint64 // version of the leader's limits that the gateway has
 	Heard   []ReportedLimit
 	Sent    []SentRequests
 	Wants   []PermitRequest
 }
 
-// LimitsVersion names the limits that the leader of a term knows.
+// LimitsVersion identifies a version of the limits known to the leader of a term.
 type LimitsVersion struct {
 	Term   uint64
-	Change uint64 // Change is 0 where it knows none.
+	Change uint64 // 0 if the leader knows no limits
 }
 
-// SharedLimitsMsg asks a control instance what servers said of their limits to other gateways,
-// while no leader answers.
+// SharedLimitsMsg is sent to a control instance while no leader answers. It asks for
+// limits that servers announced to other gateways.
 type SharedLimitsMsg struct {
-	Held  SharedLimitsVersion // Held is what the gateway has of this control instance.
-	Heard []ReportedLimit     // Heard is what servers said to the gateway itself.
+	Held  SharedLimitsVersion // version that the gateway has from this control instance
+	Heard []ReportedLimit     // limits that servers announced to the gateway itself
 }
 
-// SharedLimitsReply is the answer.
+// SharedLimitsReply answers a [SharedLimitsMsg].
 type SharedLimitsReply struct {
 	Holds SharedLimitsVersion
-	Heard []ReportedLimit // Heard is what came behind the mark that the gateway held.
+	Heard []ReportedLimit // limits reported since the version that the gateway has
 }
 
-// SharedLimitsVersion names the limits that a control instance passes on.
+// SharedLimitsVersion identifies a version of the limits that a control instance
+// distributes.
 type SharedLimitsVersion struct {
-	Incarnation uint64 // Incarnation differs with each start of the instance.
+	Incarnation uint64 // differs for each start of the instance
 	Change      uint64
 }
 
-// ReportedLimit is what a server said of its limit in an answer to a gateway.
+// ReportedLimit is a rate limit that a server announced in an answer to a gateway.
 type ReportedLimit struct {
 	Server string
 	Limit  RateLimit
-	Ago    time.Duration
+	Ago    time.Duration // age of the announcement
 }
 
-// SentInterval is the time that each number in SentRequests is of.
+// SentInterval is the period that each count in [SentRequests] covers.
 const SentInterval = 250 * time.Millisecond
 
-// SentRequests tells how many requests a gateway sent to a server.
+// SentRequests counts the requests that a gateway sent to a server.
 type SentRequests struct {
 	Server string
-	Slots  []int // Slots are by age, the latest SentSlot first.
+	Slots  []int // counts for successive periods of SentInterval, latest first
 }
 
-// PermitRequest asks for permits to send requests to a server that limits them.
+// PermitRequest asks for permits to send requests to a server with a rate limit.
 type PermitRequest struct {
 	Server string
 	Count  int
-	Back   int // Back are earlier permits that expired unused.
-	Alone  int // Alone are requests that were sent without a permit.
+	Back   int // earlier permits that expired unused
+	Alone  int // requests that were sent without a permit
 }
 
-// LimitsReply is the leader's answer. Leads is false from an instance that cannot vouch to
-// lead; then nothing else counts.
+// LimitsReply answers a [LimitsMsg]. Leads is false if the instance cannot confirm that
+// it is the leader; the other fields are then meaningless.
 type LimitsReply struct {
 	Leads  bool
 	Term   uint64
-	Change uint64 // Change is that of the limits which the gateway holds with this answer.
+	Change uint64 // version of the limits that the gateway has with this answer
 	Limits []ServerLimit
 	Grants []PermitGrant
 
-	ListLate bool // ListLate is as in SyncReply: a batch has no place for it.
+	// ListLate has the same meaning as in [SyncReply]. It is sent here for relays, as a
+	// batch has no field for it.
+	ListLate bool
 }
 
-// ServerLimit is the limit of a server that holds now, or that none does.
+// ServerLimit is the current rate limit of a server, or states that it has none.
 type ServerLimit struct {
 	Server string
 	Limit  RateLimit
 }
 
-// PermitGrant are permits for one gateway, each for one request.
+// PermitGrant gives a gateway a number of permits, each for one request.
 type PermitGrant struct {
 	Server string
 	Count  int
-	Lasts  time.Duration // Lasts is how long they may be used, from when they were asked for.
-	Wait   time.Duration // Wait is when more are to be had, where Count falls short.
+	Lasts  time.Duration // validity, counted from when the permits were requested
+	Wait   time.Duration // when further permits become available if Count falls short
 }
--- a/protocol/list.go
+++ b/protocol/list.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// ApplyTo returns the servers that are listed once a list is told to one that holds some,
-// in the order of their ids.
+// ApplyTo returns the result of applying the list, which may be an incremental update,
+// to the servers in held. The result is sorted by ID.
 func (l *ServerList) ApplyTo(held []Instance) []Instance {
 	servers := make(map[string]Instance, len(held)+len(l.Servers))
 	if !l.Whole {
--- a/protocol/load.go
+++ b/protocol/load.go
@@ -1,13 +1,13 @@
 package protocol
 
-// ReportedLoad is what a backend server reports of its load beside an answer.
+// ReportedLoad is the load that a backend server reports along with an answer.
 type ReportedLoad struct {
-	Known    bool // Known says that Requests were reported.
-	Requests int  // Requests are those that run and wait there, of all gateways.
+	Known    bool // Requests was reported
+	Requests int  // running and queued requests at the server, from all gateways
 	Pace     Pace
 }
 
-// Pace is how long work takes on a server's machine at the moment, as a multiple of the
-// usual time: 1 as usual, 2 twice as long. It is 0 where that is not known. It changes
-// many times a second.
+// Pace is the current slowdown of a server's machine: how long work takes, as a
+// multiple of the usual time. 1 is the usual speed, 2 means twice as long, 0 is
+// unknown. It changes many times a second.
 type Pace float64
--- a/protocol/observe.go
+++ b/protocol/observe.go
@@ -1,21 +1,25 @@
 package protocol
 
-// ObserveMsg tells the leader of a replication group what an entry instance saw of
-// requests under which servers end, and asks for what it lacks of the quarantine. All of
-// it is repeated until it is answered.
+// ObserveMsg tells the leader of a replication group which requests an entry instance
+// had in progress when servers terminated, and asks for quarantine changes. The
+// contents are repeated until the leader has acknowledged them.
 type ObserveMsg struct {
-	Instance     string
-	Term         uint64 // Term is the leader's that Observations are for: what that one has is left out.
+	Instance string
+	// Term is the leader's term that Observations refers to. Observations that the
+	// leader of this term has already received are omitted.
+	Term         uint64
 	Observations []Observation
-	Quarantined  uint64 // Quarantined is the change of the quarantine that the instance keeps to.
-	Watched      uint64 // Watched names the requests whose good ends it tells; see WatchMark.
+	Quarantined  uint64 // latest quarantine change that the instance has applied
+	// Watched identifies the list of requests whose successful completions the instance
+	// reports; see [WatchHash].
+	Watched uint64
 }
 
-// ObserveReply is the leader's answer. Leads is false from a replica that cannot vouch for
-// the log; then nothing else is set.
+// ObserveReply is the leader's answer. Leads is false if the replica cannot confirm
+// that its log is current; the other fields are then unset.
 type ObserveReply struct {
 	Leads      bool
 	Term       uint64
-	Quarantine *QuarantineUpdate // Quarantine is what the asker lacks; nil for nothing.
-	Watch      *WatchUpdate      // Watch are the requests to be told of, where the asker has others; nil for no change.
+	Quarantine *QuarantineUpdate // changes that the sender of the request lacks; nil for none
+	Watch      *WatchUpdate      // requests whose completions to report; nil if unchanged
 }
--- a/protocol/peer.go
+++ b/protocol/peer.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// MemberState is what the cluster holds of an instance. At the same version a
-// later state overrides an earlier one; only the instance itself can raise its
-// version and so refute it.
+// MemberState is the membership state of an instance. Between records with the same
+// version, the later state takes precedence. Only the instance itself raises its
+// version, which lets it refute a false suspicion.
 type MemberState uint8
 
-// The states of a member.
+// The membership states, in order of precedence.
 const (
 	MemberAlive MemberState = iota
 	MemberSuspect
@@ -17,7 +17,7 @@
 
 var memberStateNames = [...]string{"alive", "suspect", "dead", "left"}
 
-// String returns the state's name.
+// String returns the name of the state.
 func (s MemberState) String() string {
 	if int(s) < len(memberStateNames) {
 		return memberStateNames[s]
@@ -25,10 +25,10 @@
 	return "unknown"
 }
 
-// MarshalText renders the state by its name.
+// MarshalText encodes the state as its name.
 func (s MemberState) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads a state by its name.
+// UnmarshalText decodes a state from its name. An unknown name leaves s unchanged.
 func (s *MemberState) UnmarshalText(text []byte) error {
 	for i, name := range memberStateNames {
 		if name == string(text) {
@@ -38,21 +38,21 @@
 	return nil
 }
 
-// Member is the record of one instance.
+// Member is the membership record of one instance.
 type Member struct {
 	Name        string      `json:"name"`
-	Address     string      `json:"address"` // Address is the peer address, IP:port.
+	Address     string      `json:"address"` // peer address, IP:port
 	Domain      string      `json:"domain"`
-	Incarnation uint64      `json:"incarnation"` // Incarnation rises with each start.
-	Version     uint64      `json:"version"`     // Version rises with each change by the instance itself.
+	Incarnation uint64      `json:"incarnation"` // increases with each start of the instance
+	Version     uint64      `json:"version"`     // increases with each change made by the instance itself
 	State       MemberState `json:"state"`
 	Leaving     bool        `json:"leaving"`
 	Ready       bool        `json:"ready"`
-	Revision    uint64      `json:"revision"` // Revision is the configuration in force there.
-	Digest      Digest      `json:"digest"`   // Digest is that configuration's digest.
+	Revision    uint64      `json:"revision"` // number of the configuration in force at the instance
+	Digest      Digest      `json:"digest"`   // digest of that configuration
 }
 
-// Newer reports whether m overrides o, a record of the same instance.
+// Newer reports whether m supersedes o, another record of the same instance.
 func (m Member) Newer(o Member) bool {
 	if m.Incarnation != o.Incarnation {
 		return m.Incarnation > o.Incarnation
@@ -63,52 +63,54 @@
 	return m.State > o.State
 }
 
-// LeavingRetention is how long the record of a leaving server is kept, far longer
-// than the platform's list lags.
+// LeavingRetention is how long the record of a leaving server is kept. It is far longer
+// than the lag of the platform's list.
 const LeavingRetention = time.Hour
 
-// Leaving is the record that a backend server takes no new work. It is never
-// taken back: identities of servers are not reused. It is dropped once it is
-// older than [LeavingRetention].
+// Leaving records that a backend server accepts no new requests. The record is never
+// revoked, since server IDs are not reused. It is dropped once it is older than
+// [LeavingRetention].
 type Leaving struct {
 	Server string    `json:"server"`
-	At     time.Time `json:"at"`     // At is when the server goes; zero when unknown.
-	Seen   time.Time `json:"seen"`   // Seen is when it was learned first, by whoever learned it.
-	Origin string    `json:"origin"` // Origin is how it was learned: notice, list, report or refusal.
+	At     time.Time `json:"at"`     // when the server stops; zero if unknown
+	Seen   time.Time `json:"seen"`   // when this was first learned by any instance
+	Origin string    `json:"origin"` // how it was learned: notice, list, report or refusal
 }
 
-// JoinedRetention is how long the record of a joined server is kept: far longer than
-// it takes each instance to read the platform's list for itself.
+// JoinedRetention is how long the record of a joined server is kept. It is far longer
+// than each instance needs to read the platform's list itself.
 const JoinedRetention = 5 * time.Minute
 
-// Joined is the record that a backend server is new in the platform's list. It
-// saves the others from reading the whole list often.
+// Joined records that a backend server is new in the platform's list. Sharing it saves
+// the other instances from reading the complete list frequently.
 type Joined struct {
 	Instance Instance  `json:"instance"`
-	Seen     time.Time `json:"seen"` // Seen is when it was listed first, by whoever read it.
+	Seen     time.Time `json:"seen"` // when the server was first listed, as read by any instance
 }
 
-// GossipMsg is what instances tell each other: records that changed, or on a
-// synchronization all of them.
+// GossipMsg is what instances exchange about membership: changed records, or all of
+// them in a full synchronization.
 type GossipMsg struct {
 	From    string
 	Members []Member
 	Leaving []Leaving
 	Joined  []Joined
-	Full    bool // Full says that these are all records that the sender has.
+	Full    bool // the message holds all records that the sender has
 }
 
-// ProbeMsg asks an instance to probe another one on behalf of a third.
+// ProbeMsg asks an instance to probe another one on behalf of the sender (an indirect
+// probe).
 type ProbeMsg struct{ Address string }
 
-// ProbeReplyMsg tells whether the probed instance answered.
+// ProbeReplyMsg reports whether the probed instance answered.
 type ProbeReplyMsg struct{ Alive bool }
 
-// FetchConfigMsg asks a peer for the configuration in force there.
+// FetchConfigMsg asks a peer for the configuration in force there, if its number is
+// higher than Above.
 type FetchConfigMsg struct{ Above uint64 }
 
-// FetchConfigReplyMsg carries the configuration in its canonical form, or none when
-// the peer holds nothing above the asked number.
+// FetchConfigReplyMsg carries the configuration in canonical form. Found is false if
+// the peer has none with a higher number than requested.
 type FetchConfigReplyMsg struct {
 	Found  bool
 	Number uint64
--- a/protocol/platform.go
+++ b/protocol/platform.go
@@ -2,50 +2,50 @@
 
 import "time"
 
-// InstanceKind tells what runs on an instance of the platform.
+// InstanceKind is the kind of software that runs on an instance of the platform.
 type InstanceKind string
 
-// The kinds of instances that the platform lists.
+// The kinds of instances in the platform list.
 const (
 	InstanceEngine  InstanceKind = "engine"
 	InstanceService InstanceKind = "service"
 	InstanceEntry   InstanceKind = "entry"
 )
 
-// Instance is one row of the platform's list. The list lags.
+// Instance is one entry of the platform's list. The list lags behind the actual state.
 type Instance struct {
 	ID      string       `json:"id"`
 	Kind    InstanceKind `json:"kind"`
-	Address string       `json:"address"` // Address is IP:port.
+	Address string       `json:"address"` // IP:port
 	Service string       `json:"service,omitempty"`
-	Domain  string       `json:"domain"` // Domain is the failure domain.
+	Domain  string       `json:"domain"` // failure domain
 	Class   string       `json:"class,omitempty"`
-	Version string       `json:"version,omitempty"` // Version is that of its software, where the platform tells.
-	Market  string       `json:"market,omitempty"`  // Market is "reclaimable" or "on_demand".
+	Version string       `json:"version,omitempty"` // software version, if the platform reports it
+	Market  string       `json:"market,omitempty"`  // "reclaimable" or "on_demand"
 	Leaving bool         `json:"leaving"`
-	Slots   int          `json:"slots,omitempty"`   // Slots are the requests that it runs at once, where the platform tells.
-	LeftMS  int64        `json:"left_ms,omitempty"` // LeftMS is how much longer a leaving server runs, in ms; 0 where that is not known.
-	ColdMS  int64        `json:"cold_ms,omitempty"` // ColdMS is how much longer it is slow from its start, in ms.
+	Slots   int          `json:"slots,omitempty"`   // concurrent requests, if the platform reports it
+	LeftMS  int64        `json:"left_ms,omitempty"` // remaining time of a leaving server in ms; 0 if unknown
+	ColdMS  int64        `json:"cold_ms,omitempty"` // remaining time in ms for which a started server is slow
 }
 
-// InstanceList is the platform's answer to GET /v1/instances.
+// InstanceList is the platform's response to GET /v1/instances.
 type InstanceList struct {
 	Instances []Instance `json:"instances"`
 }
 
-// Notice announces that an instance will be reclaimed.
+// Notice announces that the platform will reclaim an instance.
 type Notice struct {
 	Sequence uint64    `json:"sequence"`
 	Instance string    `json:"instance"`
-	At       time.Time `json:"at"` // At is when the platform takes the instance.
+	At       time.Time `json:"at"` // when the instance is reclaimed
 }
 
-// NoticeList is the platform's answer to GET /v1/notices?after=N.
+// NoticeList is the platform's response to GET /v1/notices?after=N.
 type NoticeList struct {
 	Notices []Notice `json:"notices"`
 }
 
-// Price is what the platform asks for an instance, an hour.
+// Price is the hourly price of an instance.
 type Price struct {
 	Domain string  `json:"domain"`
 	Class  string  `json:"class"`
@@ -53,11 +53,11 @@
 	Hourly float64 `json:"hourly"`
 }
 
-// StartOrder asks the platform for an instance, by POST /v1/instances. The
-// answer is 201 with the instance, or 429 when there is none to be had. The
-// same order again returns the same instance.
+// StartOrder requests an instance from the platform, by POST /v1/instances. The
+// response is 201 with the instance, or 429 if none is available. Repeating an order
+// returns the same instance.
 type StartOrder struct {
-	Order  string `json:"order"` // Order names the purchase.
+	Order  string `json:"order"` // identifies the purchase
 	Domain string `json:"domain"`
 	Class  string `json:"class"`
 	Market string `json:"market"`
--- a/protocol/quarantine.go
+++ b/protocol/quarantine.go
@@ -9,140 +9,149 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Observation is what a gateway saw of requests at servers that tells whether servers end
-// under them.
+// Observation records what a gateway observed that indicates whether requests cause
+// servers to terminate.
 type Observation struct {
 	_      struct{}      `cbor:",toarray"`
-	Number uint64        // Number rises with each observation of a gateway's life.
-	Ago    time.Duration // Ago is how long before the message it was made.
-	Server string        // Server is the one that ended under Runs, unannounced; empty where Runs ended well.
-	Start  int64         // Start is when that server had started, in ms since 1970 by its own clock; 0 where it did not tell.
-	Runs   []ObservedRun
+	Number uint64        // increases with each observation in a life of the gateway
+	Ago    time.Duration // age of the observation when the message was sent
+	// Server is the server that terminated without notice while Runs were in progress;
+	// empty if Runs completed successfully.
+	Server string
+	// Start is when that server had started, in ms since 1970 by its own clock; 0 if it
+	// did not report that.
+	Start int64
+	Runs  []ObservedRun
 }
 
 // ObservedRun is one request of an observation.
 type ObservedRun struct {
 	_ struct{} `cbor:",toarray"`
 	Fingerprint
-	Age  time.Duration // Age is how long before the observation the request had been sent.
-	Well time.Duration // Well is how long before it the same request had last ended well at this gateway; 0 for never, as far as known.
+	Age time.Duration // time between sending the request and the observation
+	// Well is how long before the observation the same request last completed
+	// successfully at this gateway; 0 if that is not known to have happened.
+	Well time.Duration
 }
 
-// Quarantined is a request under which servers ended, as the log has it.
+// Quarantined is the log's record of a request during which servers terminated.
 type Quarantined struct {
 	Fingerprint
-	Held    bool   `json:"held"`            // Held says that it is kept from servers.
-	Servers int    `json:"servers"`         // Servers are those that were known to have ended under it.
-	Trials  int    `json:"trials"`          // Trials is how often it was tried once more.
-	Trial   string `json:"trial,omitempty"` // Trial is the gateway that may send it once more; empty before the first trial.
-	Until   int64  `json:"until"`           // Until is when it is tried next, in ms since 1970.
-	Change  uint64 `json:"change"`          // Change is the latest change of the quarantine that concerns it.
+	Held    bool   `json:"held"`            // currently withheld from servers
+	Servers int    `json:"servers"`         // servers known to have terminated during the request
+	Trials  int    `json:"trials"`          // number of trials so far
+	Trial   string `json:"trial,omitempty"` // gateway that may send a trial; empty before the first trial
+	Until   int64  `json:"until"`           // time of the next trial, in ms since 1970
+	Change  uint64 `json:"change"`          // number of the latest quarantine change to this entry
 }
 
 // QuarantineMsg changes the quarantine.
 type QuarantineMsg struct {
 	Hold []HoldRequest `json:"hold,omitempty"`
 	Try  []TryRequest  `json:"try,omitempty"`
-	Free []Fingerprint `json:"free,omitempty"` // Free are requests that were found to do no harm.
+	Free []Fingerprint `json:"free,omitempty"` // requests found to be harmless
 }
 
-// HoldRequest has a request kept from servers. One that is held already stays as it is.
+// HoldRequest puts a request under quarantine. It has no effect on a request that is
+// held already.
 type HoldRequest struct {
 	Fingerprint
-	Servers int `json:"servers"` // Servers are those that ended under it.
+	Servers int `json:"servers"` // servers that terminated during the request
 }
 
-// TryRequest lets a gateway send a request that is held once more.
+// TryRequest allows a gateway to send a held request once, as a trial.
 type TryRequest struct {
 	Fingerprint
 	Gateway string `json:"gateway"`
-	Trials  int    `json:"trials"` // Trials are those before, so that the same message changes nothing twice.
+	Trials  int    `json:"trials"` // number of trials before, so that a duplicate message has no effect
 }
 
-// QuarantineLog is the quarantine as the log has it. It is never changed in place.
+// QuarantineLog is the state of the quarantine in the log. It is never modified in
+// place.
 type QuarantineLog struct {
-	Changes uint64        // Changes counts the changes.
-	Floor   uint64        // Floor is the latest change at which entries were forgotten.
-	Entries []Quarantined // Entries are in the order of their changes.
+	Changes uint64        // number of the latest change
+	Floor   uint64        // latest change at which entries were evicted
+	Entries []Quarantined // ordered by Change
 }
 
-// QuarantineUpdate is what somebody lacks of the quarantine.
+// QuarantineUpdate brings a copy of the quarantine up to date.
 type QuarantineUpdate struct {
 	_       struct{} `cbor:",toarray"`
-	Changes uint64   // Changes is up to where it tells.
-	Whole   bool     // Whole says that nothing but this is held.
+	Changes uint64   // number of the latest change that the update includes
+	Whole   bool     // the update replaces the copy: no other request is held
 	Held    []HeldRequest
 	Free    []Fingerprint
 }
 
-// HeldRequest is a request that is kept from servers.
+// HeldRequest is a request that is withheld from servers.
 type HeldRequest struct {
 	_ struct{} `cbor:",toarray"`
 	Fingerprint
 	Servers int
 	Trials  int
-	Trial   string // Trial is the gateway that may send it once more, once for each number of Trials.
-	Until   int64  // Until is when it is tried next, in ms since 1970.
+	Trial   string // gateway that may send one trial for each value of Trials
+	Until   int64  // time of the next trial, in ms since 1970
 }
 
-// UpdateSince returns what somebody lacks who knows the changes up to one; nil for nothing.
+// UpdateSince returns the update for a copy that includes the changes up to known, or
+// nil if the copy is current.
 func (l *QuarantineLog) UpdateSince(known uint64) *QuarantineUpdate {
 	if known == l.Changes {
 		return nil
 	}
-	n := &QuarantineUpdate{Changes: l.Changes, Whole: known < l.Floor || known > l.Changes || known == 0}
-	if n.Whole {
+	u := &QuarantineUpdate{Changes: l.Changes, Whole: known < l.Floor || known > l.Changes || known == 0}
+	if u.Whole {
 		known = 0
 	}
 	first, _ := slices.BinarySearchFunc(l.Entries, known+1, func(q Quarantined, change uint64) int { return cmp.Compare(q.Change, change) })
 	for i := range l.Entries[first:] {
 		q := &l.Entries[first+i]
 		if q.Held {
-			n.Held = append(n.Held, HeldRequest{Fingerprint: q.Fingerprint, Servers: q.Servers, Trials: q.Trials, Trial: q.Trial, Until: q.Until})
-		} else if !n.Whole {
-			n.Free = append(n.Free, q.Fingerprint)
+			u.Held = append(u.Held, HeldRequest{Fingerprint: q.Fingerprint, Servers: q.Servers, Trials: q.Trials, Trial: q.Trial, Until: q.Until})
+		} else if !u.Whole {
+			u.Free = append(u.Free, q.Fingerprint)
 		}
 	}
-	return n
+	return u
 }
 
-// Apply returns the quarantine with the news in it.
-func (l *QuarantineLog) Apply(n *QuarantineUpdate) QuarantineLog {
-	next := QuarantineLog{Changes: n.Changes, Floor: l.Floor}
-	if n.Whole {
-		next.Floor = n.Changes // What came before is known as a whole only.
+// Apply returns the quarantine with the update applied.
+func (l *QuarantineLog) Apply(u *QuarantineUpdate) QuarantineLog {
+	next := QuarantineLog{Changes: u.Changes, Floor: l.Floor}
+	if u.Whole {
+		next.Floor = u.Changes // individual earlier changes are not known
 	} else {
-		told := n.told()
-		next.Entries = slices.DeleteFunc(slices.Clone(l.Entries), func(q Quarantined) bool { return told[q.Fingerprint] })
+		updated := u.fingerprints()
+		next.Entries = slices.DeleteFunc(slices.Clone(l.Entries), func(q Quarantined) bool { return updated[q.Fingerprint] })
 	}
-	for _, h := range n.Held {
-		next.Entries = append(next.Entries, Quarantined{Fingerprint: h.Fingerprint, Held: true, Servers: h.Servers, Trials: h.Trials, Trial: h.Trial, Until: h.Until, Change: n.Changes})
+	for _, h := range u.Held {
+		next.Entries = append(next.Entries, Quarantined{Fingerprint: h.Fingerprint, Held: true, Servers: h.Servers, Trials: h.Trials, Trial: h.Trial, Until: h.Until, Change: u.Changes})
 	}
-	for _, f := range n.Free {
-		next.Entries = append(next.Entries, Quarantined{Fingerprint: f, Change: n.Changes})
+	for _, f := range u.Free {
+		next.Entries = append(next.Entries, Quarantined{Fingerprint: f, Change: u.Changes})
 	}
 	return next
 }
 
-// told returns the requests that the news tell of.
-func (n *QuarantineUpdate) told() map[Fingerprint]bool {
-	set := make(map[Fingerprint]bool, len(n.Held)+len(n.Free))
-	for i := range n.Held {
-		set[n.Held[i].Fingerprint] = true
+// fingerprints returns the set of requests that the update concerns.
+func (u *QuarantineUpdate) fingerprints() map[Fingerprint]bool {
+	set := make(map[Fingerprint]bool, len(u.Held)+len(u.Free))
+	for i := range u.Held {
+		set[u.Held[i].Fingerprint] = true
 	}
-	for _, f := range n.Free {
+	for _, f := range u.Free {
 		set[f] = true
 	}
 	return set
 }
 
-// WatchUpdate are the requests whose good ends are to be told.
+// WatchUpdate lists the requests whose successful completions gateways report.
 type WatchUpdate struct {
 	_        struct{} `cbor:",toarray"`
 	Requests []Fingerprint
 }
 
-// WatchHash names a list of requests: equal lists have the same mark, and an empty one 0.
+// WatchHash returns a hash that identifies a list of requests; 0 for an empty list.
 func WatchHash(list []Fingerprint) uint64 {
 	if len(list) == 0 {
 		return 0
@@ -152,12 +161,13 @@
 		var b [16]byte
 		binary.BigEndian.PutUint64(b[:], f.Content[0])
 		binary.BigEndian.PutUint64(b[8:], f.Content[1])
-		_, _ = d.Write(b[:]) // A hash takes everything.
+		_, _ = d.Write(b[:]) // never fails
 	}
 	return max(1, d.Sum64())
 }
 
-// NewWatchUpdate returns what somebody lacks who has the list of a mark; nil for nothing.
+// NewWatchUpdate returns the update for a copy with the hash held, or nil if the copy
+// is current.
 func NewWatchUpdate(list []Fingerprint, held uint64) *WatchUpdate {
 	if WatchHash(list) == held {
 		return nil
--- a/protocol/refusal.go
+++ b/protocol/refusal.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// The HTTP statuses of refusals. Decisions name them; the transport sends them.
+// The HTTP status codes of refusals. Decision code names them, and the transport
+// sends them.
 const (
 	StatusBadRequest         = 400
 	StatusConflict           = 409
@@ -17,11 +18,10 @@
 	StatusGatewayTimeout     = 504
 )
 
-// Code names the reason of a refusal. Scripts branch on it, so a code is never
-// renamed.
+// Code is the reason for a refusal. Scripts depend on it, so a code is never renamed.
 type Code string
 
-// The codes of refusals that a caller can receive.
+// The refusal codes that a caller can receive.
 const (
 	CodeBadRequest     Code = "bad_request"
 	CodeUnauthorized   Code = "unauthorized"
@@ -51,21 +51,21 @@
 	CodeQuarantined    Code = "quarantined"
 )
 
-// Refusal is the typed error of every request that does not get its whole
-// answer. It is sent as soon as it is known.
+// Refusal is the typed error for a request that does not receive its complete answer.
+// It is sent as soon as the reason is known.
 type Refusal struct {
-	Verdict    Verdict       // Verdict says whether the request may have run.
-	Code       Code          // Code names the reason.
-	Status     int           // Status is the HTTP status, 4xx or 5xx.
-	Message    string        // Message is for a person.
-	RetryAfter time.Duration // RetryAfter is when to come back; 0 says nothing.
-	// SendNotRun says that this send did nothing, whatever became of an earlier
-	// one with the same key, which Verdict takes into account.
+	Verdict    Verdict       // whether the request may have been executed
+	Code       Code          // reason
+	Status     int           // HTTP status, 4xx or 5xx
+	Message    string        // human-readable description
+	RetryAfter time.Duration // when to retry; 0 if not specified
+	// SendNotRun says that this send had no effect. An earlier send with the same key
+	// may still have been executed; Verdict covers that as well.
 	SendNotRun bool
 }
 
-// NewRefusal returns a refusal with the verdict not-run, which is right for
-// everything found out before the first byte goes to a backend server.
+// NewRefusal returns a refusal with the verdict not-run. That is correct for every
+// condition that is detected before the first byte goes to a backend server.
 func NewRefusal(status int, code Code, format string, args ...any) *Refusal {
 	return &Refusal{Verdict: NotRun, Code: code, Status: status, Message: fmt.Sprintf(format, args...)}
 }
@@ -75,37 +75,37 @@
 	return fmt.Sprintf("%s (%s): %s", r.Code, r.Verdict, r.Message)
 }
 
-// WithVerdict returns a copy of r with the verdict v.
+// WithVerdict returns a copy of r with verdict v.
 func (r *Refusal) WithVerdict(v Verdict) *Refusal {
 	c := *r
 	c.Verdict = v
 	return &c
 }
 
-// WithRetryAfter returns a copy of r that tells the caller when to come back.
+// WithRetryAfter returns a copy of r with a retry delay.
 func (r *Refusal) WithRetryAfter(d time.Duration) *Refusal {
 	c := *r
 	c.RetryAfter = d
 	return &c
 }
 
-// ErrorBody is the JSON body of a refusal, in the shape that clients of the
-// OpenAI API already parse, with the verdict added.
+// ErrorBody is the JSON body of a refusal. It has the error format of the OpenAI API,
+// which clients already parse, with the verdict added.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail is the inner part of an [ErrorBody].
+// ErrorDetail is the error object of an [ErrorBody].
 type ErrorDetail struct {
 	Message      string  `json:"message"`
 	Type         string  `json:"type"`
 	Code         Code    `json:"code"`
 	Verdict      Verdict `json:"verdict"`
 	RetryAfterMS int64   `json:"retry_after_ms,omitempty"`
-	ThisSend     string  `json:"this_send,omitempty"` // ThisSend is "not-run" when this send did nothing.
+	ThisSend     string  `json:"this_send,omitempty"` // "not-run" if this send had no effect
 }
 
-// Body returns the JSON body of r.
+// Body returns the JSON body for r.
 func (r *Refusal) Body() ErrorBody {
 	send := ""
 	if r.SendNotRun || r.Verdict == NotRun {
