--- a/protocol/feature.go
+++ b/protocol/feature.go
@@ -12,13 +12,13 @@
 	// FeatureIncarnations means that servers are identified by their starts; see
 	// [Incarnation].
 	FeatureIncarnations Features = 1 << iota
-	// FeatureShared means that, in a deployment with one region, the gateway can use a
+	// FeatureLocalRelays means that, in a deployment with one region, the gateway can use a
 	// relay if the leader has more gateways than it can answer at the usual rate.
-	FeatureShared
+	FeatureLocalRelays
 )
 
 // OwnFeatures are the features of this build.
-const OwnFeatures = FeatureIncarnations | FeatureShared
+const OwnFeatures = FeatureIncarnations | FeatureLocalRelays
 
 // Has reports whether f includes all features in some.
 func (f Features) Has(some Features) bool { return f&some == some }
--- a/protocol/load.go
+++ b/protocol/load.go
@@ -4,10 +4,10 @@
 type ReportedLoad struct {
 	Known    bool // Requests was reported
 	Requests int  // running and queued requests at the server, from all gateways
-	Pace     Pace
+	Pace     Slowdown
 }
 
-// Pace is the current slowdown of a server's machine: how long work takes, as a
+// Slowdown is the current slowdown of a server's machine: how long work takes, as a
 // multiple of the usual time. 1 is the usual speed, 2 means twice as long, 0 is
 // unknown. It changes many times a second.
-type Pace float64
+type Slowdown float64
--- a/transport/forward/exchange.go
+++ b/transport/forward/exchange.go
@@ -54,10 +54,10 @@
 	headed       bool                  // headed says that the head of the answer was written.
 	server       string
 
-	pace    protocol.Pace // pace is that of the server that answered last.
-	first   time.Duration // first is from the start to the first byte of the answer.
-	pieceAt time.Time     // pieceAt is when the last events were passed on.
-	gap     time.Duration // gap is the longest pause between two of them.
+	pace    protocol.Slowdown // pace is that of the server that answered last.
+	first   time.Duration     // first is from the start to the first byte of the answer.
+	pieceAt time.Time         // pieceAt is when the last events were passed on.
+	gap     time.Duration     // gap is the longest pause between two of them.
 }
 
 func newExchange(ctx context.Context, g *Gateway, req *fasthttp.Request, a *caller.Answer) *exchange {
