--- a/protocol/claim.go
+++ b/protocol/claim.go
@@ -5,7 +5,7 @@
 // ClaimState is the outcome of a claim.
 type ClaimState uint8
 
-// The states of a claim, as a reply tells them.
+// The claim states that a reply can have.
 const (
 	// ClaimGranted means that the claimant, and no other instance, may execute the
 	// request.
--- a/protocol/feature.go
+++ b/protocol/feature.go
@@ -7,7 +7,7 @@
 // ([SyncMsg.SupportsIncarnations]).
 type Features uint64
 
-// The features.
+// The protocol features.
 const (
 	// FeatureIncarnations means that servers are identified by their starts; see
 	// [Incarnation].
--- a/protocol/load.go
+++ b/protocol/load.go
@@ -7,7 +7,7 @@
 	Pace     Slowdown
 }
 
-// Slowdown is the current slowdown of a server's machine: how long work takes, as a
-// multiple of the usual time. 1 is the usual speed, 2 means twice as long, 0 is
-// unknown. It changes many times a second.
+// Slowdown is how long work currently takes on a server's machine, as a multiple of the
+// usual time: 1 is the usual speed, 2 means twice as long, 0 is unknown. It changes
+// many times a second.
 type Slowdown float64
