--- a/state/backends.go
+++ b/state/backends.go
@@ -12,50 +12,51 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Server is one backend server as a snapshot shows it: an engine or a replica
-// of a plain service. It is immutable but for its counters.
+// Server is one backend server in a snapshot: an engine or a replica of a plain
+// service. Everything but its counters is immutable.
 type Server struct {
 	protocol.Instance
-	Report   protocol.LoadReport // Report is the last that was read.
-	ReportAt time.Time           // ReportAt is when it was read; zero before the first.
-	OwnAt    int32               // OwnAt is Outstanding when Report was read.
-	AskedAt  time.Time           // AskedAt is when a report was asked for last, in vain or not.
-	SentAt   int64               // SentAt is Sent when it was.
-	Old      bool                // Old says that Report tells nothing of the load any more.
-	Hash     uint64              // Hash is of the identity, for rendezvous ranks.
-	Missed   int                 // Missed counts reports that failed since ReportAt.
-	Counters *Counters           // Counters are shared by all snapshots.
+	Report   protocol.LoadReport // latest report received
+	ReportAt time.Time           // when Report was received; zero before the first
+	OwnAt    int32               // value of Outstanding when Report was received
+	AskedAt  time.Time           // time of the latest poll, successful or not
+	SentAt   int64               // value of Sent at the latest poll
+	Old      bool                // Report is too old to tell the current load
+	Hash     uint64              // hash of the ID, for rendezvous hashing
+	Missed   int                 // failed polls since ReportAt
+	Counters *Counters           // shared by all snapshots
 }
 
-// Counters are this process's own view of one backend server.
+// Counters are this process's own counts for one backend server.
 type Counters struct {
-	Outstanding atomic.Int32 // Outstanding counts requests sent and not ended.
-	Sent        atomic.Int64 // Sent counts requests since the start.
-	Failed      atomic.Int64 // Failed counts attempts that failed.
+	Outstanding atomic.Int32 // requests in progress
+	Sent        atomic.Int64 // requests sent since the process started
+	Failed      atomic.Int64 // failed attempts
 }
 
-// Load estimates how many requests the server has: what it reported, corrected
-// by what this process sent, or saw ended, since then.
+// Load estimates the number of requests at the server: the reported number, corrected
+// by the requests that this process has sent or completed since the report.
 func (s *Server) Load(own int32) float64 {
 	return max(float64(own), float64(s.Report.Running+s.Report.Waiting)+float64(own-s.OwnAt))
 }
 
-// ReportDue reports whether this process sent to the server since it last asked for
-// its load, or never asked.
+// ReportDue reports whether this process has sent requests to the server since the
+// latest poll, or has never polled it.
 func (s *Server) ReportDue() bool { return s.AskedAt.IsZero() || s.Counters.Sent.Load() != s.SentAt }
 
-// Silent reports whether the server missed its last load reports.
-func (s *Server) Silent() bool { return s.Missed > maxMissed }
+// Silent reports whether the server missed more than maxMissedReports load reports in a
+// row.
+func (s *Server) Silent() bool { return s.Missed > maxMissedReports }
 
-// View is an immutable snapshot of all backend servers, by identity.
+// View is an immutable snapshot of all backend servers, sorted by ID.
 type View struct {
 	Servers  []Server
 	models   map[string]*Pool
 	services map[string]*Pool
 }
 
-// Outstanding copies the counts of requests in progress into dst, which is
-// grown as needed, so that a decision works on numbers that stand still.
+// Outstanding copies the numbers of requests in progress into dst, which grows as
+// needed, so that a routing decision uses consistent numbers.
 func (v *View) Outstanding(dst []int32) []int32 {
 	dst = dst[:0]
 	for i := range v.Servers {
@@ -64,7 +65,7 @@
 	return dst
 }
 
-// Find returns the server with an identity, or nil.
+// Find returns the server with the given ID, or nil.
 func (v *View) Find(id string) *Server {
 	i, ok := slices.BinarySearchFunc(v.Servers, id, func(s Server, id string) int {
 		return strings.Compare(s.ID, id)
@@ -75,20 +76,20 @@
 	return &v.Servers[i]
 }
 
-// Backends is the table of backend servers. The platform's list, the load
-// reports and the leaving marks each change their own part of a row, so that a
-// lagging list cannot undo a leaving mark.
+// Backends is the table of backend servers. The platform's list, the load reports and
+// the leaving marks each update separate parts of a row, so that an outdated list
+// cannot revert a leaving mark.
 type Backends struct {
 	mu      sync.Mutex
 	rows    map[string]*Server
 	leaving map[string]protocol.Leaving
-	joined  map[string]protocol.Joined // joined are servers that the others' news told of.
+	joined  map[string]protocol.Joined // servers announced by other instances
 	view    atomic.Pointer[View]
-	changed chan string // changed receives the identity of a server that began to leave.
+	left    chan string // receives the ID of each server that starts leaving
 }
 
-// leavingQueue bounds the identities that wait for the reader of Changed.
-const leavingQueue = 1024
+// leavingQueueSize bounds the server IDs that are queued for the reader of Changed.
+const leavingQueueSize = 1024
 
 // NewBackends returns an empty table.
 func NewBackends() *Backends {
@@ -96,7 +97,7 @@
 		rows:    map[string]*Server{},
 		leaving: map[string]protocol.Leaving{},
 		joined:  map[string]protocol.Joined{},
-		changed: make(chan string, leavingQueue),
+		left:    make(chan string, leavingQueueSize),
 	}
 	b.view.Store(NewView(nil))
 	return b
@@ -105,9 +106,9 @@
 // View returns the current snapshot.
 func (b *Backends) View() *View { return b.view.Load() }
 
-// SetList replaces the servers by those of the platform's list. A row that is
-// listed again keeps its report and counters. A server that another instance
-// found in a newer list than this one stays for a while.
+// SetList replaces the servers with those in the platform's list. Servers that were
+// listed before keep their report and counters. A server that another instance found in
+// a newer version of the list is retained for a while.
 func (b *Backends) SetList(list []protocol.Instance, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -125,16 +126,16 @@
 		}
 		rows[in.ID] = b.row(in)
 		if in.Leaving {
-			b.mark(protocol.Leaving{Server: in.ID, Seen: now, Origin: "list"})
+			b.markLeaving(protocol.Leaving{Server: in.ID, Seen: now, Origin: "list"})
 		}
 	}
 	b.rows = rows
-	b.forget(now)
+	b.pruneLeaving(now)
 	b.publish()
 }
 
-// row returns the row of a listed server, the one that there is if it is still
-// the same server. It needs b.mu.
+// row returns the row for a listed server, reusing the existing row if it is still the
+// same server. b.mu must be held.
 func (b *Backends) row(in protocol.Instance) *Server {
 	row := b.rows[in.ID]
 	if row == nil || row.Address != in.Address {
@@ -158,8 +159,9 @@
 	}
 }
 
-// forget drops the marks of servers that are long gone. It needs b.mu.
-func (b *Backends) forget(now time.Time) {
+// pruneLeaving drops the leaving marks that are past their retention and whose servers
+// are no longer listed. b.mu must be held.
+func (b *Backends) pruneLeaving(now time.Time) {
 	for id, l := range b.leaving {
 		if b.rows[id] == nil && now.Sub(l.Seen) > protocol.LeavingRetention {
 			delete(b.leaving, id)
@@ -167,20 +169,20 @@
 	}
 }
 
-// reportFresh is how long a report tells something of the load: a few requests'
-// time.
-const reportFresh = 2 * time.Second
+// reportMaxAge is how long a load report is considered current. It is on the order of
+// the duration of a few requests.
+const reportMaxAge = 2 * time.Second
 
-// ReportRow is the outcome of asking one server for its load.
+// ReportRow is the result of polling one server for its load.
 type ReportRow struct {
 	Server string
 	Report protocol.LoadReport
-	Failed bool // Failed says that the report could not be read.
+	Failed bool // the report could not be read
 	At     time.Time
 }
 
-// SetReports stores the outcomes of one round of asking. The snapshot is built
-// once a round: it is as large as there are servers.
+// SetReports stores the results of one polling round. The snapshot is rebuilt only once
+// per round, because its cost is proportional to the number of servers.
 func (b *Backends) SetReports(rows []ReportRow) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -190,7 +192,7 @@
 		now = later(now, r.At)
 	}
 	for _, row := range b.rows {
-		row.Old = now.Sub(row.ReportAt) > reportFresh
+		row.Old = now.Sub(row.ReportAt) > reportMaxAge
 	}
 	b.publish()
 }
@@ -202,7 +204,8 @@
 	return b
 }
 
-// RequestReport has a server's load asked for in the next round.
+// RequestReport makes a server's load report due, so that the next polling round
+// includes it.
 func (b *Backends) RequestReport(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -212,7 +215,7 @@
 	}
 }
 
-// setReport needs b.mu.
+// setReport stores one result. b.mu must be held.
 func (b *Backends) setReport(r ReportRow) {
 	row := b.rows[r.Server]
 	if row == nil {
@@ -226,39 +229,40 @@
 	row.Report, row.ReportAt, row.Missed = r.Report, r.At, 0
 	row.OwnAt = row.Counters.Outstanding.Load()
 	if r.Report.Leaving {
-		b.mark(protocol.Leaving{Server: r.Server, Seen: r.At, Origin: "report"})
+		b.markLeaving(protocol.Leaving{Server: r.Server, Seen: r.At, Origin: "report"})
 	}
 }
 
-// MarkLeaving records that a server takes no new work and reports whether that
-// was news. The mark lasts until the server is long gone from the list.
+// MarkLeaving records that a server accepts no new requests, and reports whether that
+// was not known yet. The mark persists until the server is no longer listed and
+// LeavingRetention has passed.
 func (b *Backends) MarkLeaving(l protocol.Leaving) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.mark(l) {
+	if !b.markLeaving(l) {
 		return false
 	}
 	b.publish()
 	return true
 }
 
-// mark needs b.mu.
-func (b *Backends) mark(l protocol.Leaving) bool {
+// markLeaving is MarkLeaving without publishing a snapshot. b.mu must be held.
+func (b *Backends) markLeaving(l protocol.Leaving) bool {
 	if _, ok := b.leaving[l.Server]; ok {
 		return false
 	}
 	b.leaving[l.Server] = l
 	select {
-	case b.changed <- l.Server:
+	case b.left <- l.Server:
 	default:
 	}
 	return true
 }
 
-// Changed delivers the identity of each server that begins to leave.
-func (b *Backends) Changed() <-chan string { return b.changed }
+// Changed returns a channel that receives the ID of each server that starts leaving.
+func (b *Backends) Changed() <-chan string { return b.left }
 
-// Leaving returns all leaving marks, by identity.
+// Leaving returns all leaving marks, sorted by server ID.
 func (b *Backends) Leaving() []protocol.Leaving {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -270,7 +274,7 @@
 	return marks
 }
 
-// publish needs b.mu.
+// publish stores a new snapshot. b.mu must be held.
 func (b *Backends) publish() {
 	servers := make([]Server, 0, len(b.rows))
 	for id, row := range b.rows {
--- a/state/claims.go
+++ b/state/claims.go
@@ -8,44 +8,44 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// claim is the record of one request that must run at most once. It is never
-// changed in place.
+// claim is the record of one request that must be executed at most once. It is never
+// modified in place.
 type claim struct {
 	Key      protocol.Key        `json:"key"`
 	Body     protocol.Digest     `json:"body"`
 	Owner    protocol.Owner      `json:"owner"`
 	IssuedAt int64               `json:"issued_at"`
-	Until    int64               `json:"until"` // Until is when a resend is too old anyway.
+	Until    int64               `json:"until"` // time after which resends are rejected as too old
 	State    protocol.ClaimState `json:"state"`
 	Answer   *protocol.Answer    `json:"answer,omitempty"`
-	Order    uint64              `json:"order"` // Order is when the answer was kept, for dropping the oldest.
+	Order    uint64              `json:"order"` // sequence number of the retained answer; the lowest is dropped first
 }
 
-// Claims keeps what is needed to run a request at most once.
+// Claims is the table that ensures at-most-once execution of requests.
 //
-// A request carries the time at which its caller first issued it, and resends
-// repeat that time. One older than the window is refused, run or not. So a
-// claim can be dropped once its request is that old: nothing that could need
-// it would be let in. That bounds the claims by age; their count and the bytes
-// of kept answers have bounds of their own.
+// Each request carries the time at which its caller first issued it, and resends repeat
+// that time. A request older than the window is rejected, whether or not it was
+// executed. A claim can therefore be dropped once its request is that old, as no resend
+// would be admitted any more. This bounds the claims by age; the number of claims and
+// the size of retained answers have separate limits.
 type Claims struct {
-	rows    map[protocol.Key]*claim
-	ages    ageHeap
-	answers []protocol.Key // answers are the keys with kept answers, oldest first.
-	bytes   int
-	order   uint64
+	rows      map[protocol.Key]*claim
+	expiries  expiryHeap
+	answers   []protocol.Key // keys of claims with retained answers, oldest first
+	bytes     int            // total size of retained answers
+	lastOrder uint64         // highest claim.Order so far
 }
 
-// NewClaims returns no claims.
+// NewClaims returns an empty table.
 func NewClaims() *Claims { return &Claims{rows: map[protocol.Key]*claim{}} }
 
 // Len returns the number of claims.
 func (c *Claims) Len() int { return len(c.rows) }
 
-// Claim grants a request to its asker unless it may have run already.
+// Claim grants a request to the claimant unless it may have been executed already.
 func (c *Claims) Claim(m *protocol.ClaimMsg, now int64) *protocol.ClaimReply {
 	c.expire(now)
-	if reply := c.refuse(m, now); reply != nil {
+	if reply := c.reject(m, now); reply != nil {
 		return reply
 	}
 	c.put(&claim{
@@ -59,17 +59,18 @@
 	return &protocol.ClaimReply{State: protocol.ClaimGranted, Owner: m.Owner}
 }
 
-// Peek answers a claim without changing anything: one that would be granted is
-// refused for want of room.
+// Peek answers a claim without changing the table. If the claim would be granted, the
+// answer is ClaimFull.
 func (c *Claims) Peek(m *protocol.ClaimMsg, now int64) *protocol.ClaimReply {
-	if reply := c.refuse(m, now); reply != nil {
+	if reply := c.reject(m, now); reply != nil {
 		return reply
 	}
 	return &protocol.ClaimReply{State: protocol.ClaimFull}
 }
 
-// refuse answers a claim that is not to be granted; else it returns nil.
-func (c *Claims) refuse(m *protocol.ClaimMsg, now int64) *protocol.ClaimReply {
+// reject returns the reply for a claim that must not be granted, and nil for one that
+// may be.
+func (c *Claims) reject(m *protocol.ClaimMsg, now int64) *protocol.ClaimReply {
 	switch {
 	case m.IssuedAt < now-m.Limits.WindowMS:
 		return &protocol.ClaimReply{State: protocol.ClaimExpired}
@@ -79,7 +80,7 @@
 	row := c.rows[m.Key]
 	switch {
 	case row != nil && row.State != protocol.ClaimReleased:
-		return c.known(row, m)
+		return c.answerExisting(row, m)
 	case row != nil && row.Owner == m.Owner:
 		return &protocol.ClaimReply{State: protocol.ClaimReleased, Owner: row.Owner}
 	case row == nil && len(c.rows) >= m.Limits.Count:
@@ -88,9 +89,9 @@
 	return nil
 }
 
-// known answers a claim of a key that is taken. The owner's own claim, sent
-// again since its answer was lost, is granted again.
-func (c *Claims) known(row *claim, m *protocol.ClaimMsg) *protocol.ClaimReply {
+// answerExisting answers a claim for a key that is already claimed. If the owner
+// repeats its own claim because the reply was lost, it is granted again.
+func (c *Claims) answerExisting(row *claim, m *protocol.ClaimMsg) *protocol.ClaimReply {
 	if row.Body != m.Body || row.IssuedAt != m.IssuedAt {
 		return &protocol.ClaimReply{State: protocol.ClaimConflict, Owner: row.Owner}
 	}
@@ -100,8 +101,8 @@
 	return &protocol.ClaimReply{State: row.State, Owner: row.Owner, Answer: row.Answer}
 }
 
-// Finish records what became of a request. A release that finds no claim
-// leaves a mark, since the claim itself may still be on its way.
+// Finish records the outcome of a request. A release without an existing claim is
+// recorded too, since the claim itself may still be in transit.
 func (c *Claims) Finish(m *protocol.FinishMsg, now int64) *protocol.ClaimReply {
 	c.expire(now)
 	row := c.rows[m.Key]
@@ -117,16 +118,16 @@
 	next := *row
 	next.State = outcome(m.Verdict)
 	if next.State == protocol.ClaimRan && m.Answer != nil && m.Answer.Size() <= m.Limits.AnswerBytes {
-		c.order++
-		next.Answer, next.Order = m.Answer, c.order
+		c.lastOrder++
+		next.Answer, next.Order = m.Answer, c.lastOrder
 	}
 	c.put(&next)
 	c.dropAnswers(m.Limits.AnswerBytes)
 	return &protocol.ClaimReply{State: next.State, Owner: next.Owner}
 }
 
-// Transfer gives a running claim to another owner. The reply is granted if the
-// new owner holds it.
+// Transfer moves a running claim to another owner. The reply is ClaimGranted if the new
+// owner holds the claim.
 func (c *Claims) Transfer(m *protocol.TransferMsg) *protocol.ClaimReply {
 	row := c.rows[m.Key]
 	if row == nil || row.State != protocol.ClaimRunning || (row.Owner != m.From && row.Owner != m.To) {
@@ -149,36 +150,37 @@
 	return protocol.ClaimMayHaveRun
 }
 
-// put stores a row in place of the one with its key.
+// put inserts or replaces the row with the same key.
 func (c *Claims) put(row *claim) {
 	old := c.rows[row.Key]
 	c.rows[row.Key] = row
 	if old == nil || old.Until != row.Until {
-		heap.Push(&c.ages, age{key: row.Key, until: row.Until})
+		heap.Push(&c.expiries, expiry{key: row.Key, until: row.Until})
 	}
 	if row.Answer != nil {
 		c.answers = append(c.answers, row.Key)
 		c.bytes += row.Answer.Size()
-		c.order = max(c.order, row.Order)
+		c.lastOrder = max(c.lastOrder, row.Order)
 	}
 }
 
-// expire drops the claims whose request is older than the window.
+// expire drops claims whose request is older than the window.
 func (c *Claims) expire(now int64) {
-	for len(c.ages) > 0 && c.ages[0].until < now {
-		a := heap.Pop(&c.ages).(age)
-		row := c.rows[a.key]
-		if row == nil || row.Until != a.until {
+	for len(c.expiries) > 0 && c.expiries[0].until < now {
+		e := heap.Pop(&c.expiries).(expiry)
+		row := c.rows[e.key]
+		if row == nil || row.Until != e.until {
 			continue
 		}
-		delete(c.rows, a.key)
+		delete(c.rows, e.key)
 		if row.Answer != nil {
 			c.bytes -= row.Answer.Size()
 		}
 	}
 }
 
-// dropAnswers drops the oldest answers until the rest fits. The claims stay.
+// dropAnswers drops the oldest answers until the total size is within limit. The claims
+// themselves remain.
 func (c *Claims) dropAnswers(limit int) {
 	for c.bytes > limit && len(c.answers) > 0 {
 		key := c.answers[0]
@@ -194,8 +196,8 @@
 	}
 }
 
-// list returns all claims, those with answers in the order in which they were
-// kept, so that a restored copy drops the same ones.
+// list returns all claims. Those with answers are in the order in which the answers
+// were retained, so that a restored copy drops answers in the same order.
 func (c *Claims) list() []*claim {
 	rows := make([]*claim, 0, len(c.rows))
 	for _, row := range c.rows {
@@ -211,29 +213,29 @@
 	return rows
 }
 
-// age is when a claim can be dropped.
-type age struct {
+// expiry is the time after which a claim can be dropped.
+type expiry struct {
 	key   protocol.Key
 	until int64
 }
 
-// ageHeap has the claim to be dropped next in front.
-type ageHeap []age
+// expiryHeap is a min-heap of claims by expiry.
+type expiryHeap []expiry
 
 // Len implements heap.Interface.
-func (h ageHeap) Len() int { return len(h) }
+func (h expiryHeap) Len() int { return len(h) }
 
 // Less implements heap.Interface.
-func (h ageHeap) Less(i, j int) bool { return h[i].until < h[j].until }
+func (h expiryHeap) Less(i, j int) bool { return h[i].until < h[j].until }
 
 // Swap implements heap.Interface.
-func (h ageHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h expiryHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (h *ageHeap) Push(x any) { *h = append(*h, x.(age)) }
+func (h *expiryHeap) Push(x any) { *h = append(*h, x.(expiry)) }
 
 // Pop implements heap.Interface.
-func (h *ageHeap) Pop() any {
+func (h *expiryHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
--- a/state/claims_test.go
+++ b/state/claims_test.go
@@ -14,21 +14,21 @@
 
 var testLimits = protocol.ClaimLimits{WindowMS: 1000, SkewMS: 50, Count: 6, AnswerBytes: 400}
 
-// naive is what callers can know: who was granted what, and what became of it.
-type naive struct {
+// claimModel is the reference model: what the callers know about grants and outcomes.
+type claimModel struct {
 	running map[protocol.Key]protocol.Owner
 	ended   map[protocol.Key]protocol.Verdict
 }
 
-// TestClaims checks, against a plain record of all grants, that no request is
-// granted again unless its run was given back as not run; that a kept answer is
-// the one that was recorded; that count and bytes stay in their bounds; and that
-// a restored copy answers alike.
+// TestClaims compares the claim table with a model of all grants. No request may be
+// granted again unless its execution was released as not-run, a retained answer must be
+// the recorded one, count and bytes must stay within their limits, and a table restored
+// from a snapshot must behave the same.
 func TestClaims(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMachine()
 		now := int64(1_000_000)
-		n := naive{running: map[protocol.Key]protocol.Owner{}, ended: map[protocol.Key]protocol.Verdict{}}
+		model := claimModel{running: map[protocol.Key]protocol.Owner{}, ended: map[protocol.Key]protocol.Verdict{}}
 		issued := map[protocol.Key]int64{}
 		draw := func(t *rapid.T) (protocol.Key, protocol.Owner, int64) {
 			key := protocol.Key{Workspace: "w", ID: fmt.Sprint(rapid.IntRange(0, 8).Draw(t, "key"))}
@@ -44,19 +44,19 @@
 				c := &protocol.Command{At: now, Claim: &protocol.ClaimMsg{Key: key, Owner: owner, IssuedAt: at, Limits: testLimits}}
 				reply := m.Apply(c).Claim
 				if reply.State == protocol.ClaimGranted {
-					if held, ok := n.running[key]; ok && held != owner {
-						t.Fatalf("%v granted to %v beside %v", key, owner, held)
+					if held, ok := model.running[key]; ok && held != owner {
+						t.Fatalf("%v granted to %v while %v holds it", key, owner, held)
 					}
-					if v, ok := n.ended[key]; ok && v != protocol.NotRun {
+					if v, ok := model.ended[key]; ok && v != protocol.NotRun {
 						t.Fatalf("%v granted again after %v", key, v)
 					}
-					n.running[key] = owner
-					delete(n.ended, key)
+					model.running[key] = owner
+					delete(model.ended, key)
 				}
 				if reply.Answer != nil && reply.Answer.Text != key.ID {
-					t.Fatalf("%v has the answer %q", key, reply.Answer.Text)
+					t.Fatalf("%v got the answer %q", key, reply.Answer.Text)
 				}
-				if over := at < now-testLimits.WindowMS; over != (reply.State == protocol.ClaimExpired) {
+				if expired := at < now-testLimits.WindowMS; expired != (reply.State == protocol.ClaimExpired) {
 					t.Fatalf("age %d: state %v", now-at, reply.State)
 				}
 			},
@@ -68,9 +68,9 @@
 					f.Answer = &protocol.Answer{Text: key.ID}
 				}
 				m.Apply(&protocol.Command{At: now, Finish: f})
-				if n.running[key] == owner {
-					delete(n.running, key)
-					n.ended[key] = verdict
+				if model.running[key] == owner {
+					delete(model.running, key)
+					model.ended[key] = verdict
 				}
 			},
 			"transfer": func(t *rapid.T) {
@@ -78,7 +78,7 @@
 				to := protocol.Owner{Instance: "new"}
 				reply := m.Apply(&protocol.Command{At: now, Transfer: &protocol.TransferMsg{Key: key, From: owner, To: to}}).Claim
 				if reply.State == protocol.ClaimGranted {
-					n.running[key] = to
+					model.running[key] = to
 				}
 			},
 			"time": func(t *rapid.T) { now += int64(rapid.IntRange(1, 300).Draw(t, "ms")) },
@@ -87,18 +87,18 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				again := NewMachine()
-				if err := again.Restore(data); err != nil {
+				restored := NewMachine()
+				if err := restored.Restore(data); err != nil {
 					t.Fatal(err)
 				}
-				second, err := again.Image().Encode()
+				second, err := restored.Image().Encode()
 				if err != nil {
 					t.Fatal(err)
 				}
 				if diff := cmp.Diff(string(data), string(second)); diff != "" {
 					t.Fatal(diff)
 				}
-				m = again
+				m = restored
 			},
 			"": func(t *rapid.T) {
 				if m.Claims() > testLimits.Count || m.claims.bytes > testLimits.AnswerBytes || m.claims.bytes < 0 {
@@ -109,23 +109,23 @@
 	})
 }
 
-// TestReleaseBeforeClaim lets a release overtake its claim, which must not be
-// granted afterwards: nobody would ever end it.
+// TestReleaseBeforeClaim delivers a release before the claim that it refers to. The
+// claim must not be granted afterwards, as no one would ever finish it.
 func TestReleaseBeforeClaim(t *testing.T) {
 	m := NewMachine()
 	key, owner := protocol.Key{Workspace: "w", ID: "k"}, protocol.Owner{Instance: "a"}
 	m.Apply(&protocol.Command{At: 5000, Finish: &protocol.FinishMsg{Key: key, Owner: owner, Verdict: protocol.NotRun, IssuedAt: 5000, Limits: testLimits}})
 	late := m.Apply(&protocol.Command{At: 5001, Claim: &protocol.ClaimMsg{Key: key, Owner: owner, IssuedAt: 5000, Limits: testLimits}})
 	if late.Claim.State != protocol.ClaimReleased {
-		t.Errorf("the late claim is %v", late.Claim.State)
+		t.Errorf("late claim: got state %v, want released", late.Claim.State)
 	}
 	other := m.Apply(&protocol.Command{At: 5002, Claim: &protocol.ClaimMsg{Key: key, Owner: protocol.Owner{Instance: "b"}, IssuedAt: 5000, Limits: testLimits}})
 	if other.Claim.State != protocol.ClaimGranted {
-		t.Errorf("another owner's claim is %v", other.Claim.State)
+		t.Errorf("claim by another owner: got state %v, want granted", other.Claim.State)
 	}
 }
 
-// TestApply checks the rules of numbers.
+// TestApply checks which configuration numbers are accepted.
 func TestApply(t *testing.T) {
 	m := NewMachine()
 	for i, tt := range []struct {
@@ -149,7 +149,7 @@
 	}
 }
 
-// BenchmarkClaimMemory reports what a kept claim takes, without an answer.
+// BenchmarkClaimMemory reports the memory used by a claim without an answer.
 func BenchmarkClaimMemory(b *testing.B) {
 	for _, n := range []int{10_000, 50_000, 200_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/state/command.go
+++ b/state/command.go
@@ -9,20 +9,22 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Commands are in the log as CBOR. A replica that starts applies its whole log before
-// it leads, and most of that are counts: the log of 52 s with 295 gateways took 145 ms
-// of a core as JSON and takes 45 ms so, and a third of the bytes (BenchmarkReplay).
+// Commands are logged as CBOR. A replica that starts applies its complete log before it
+// can lead, and most of the log are usage counts: the log of 52 s with 295 gateways
+// took 145 ms of one core to replay as JSON. As CBOR it takes 45 ms and a third of the
+// bytes (BenchmarkReplay).
 
-// EncodeCommand renders a command for the log.
+// EncodeCommand encodes a command for the log.
 func EncodeCommand(c *protocol.Command) ([]byte, error) {
 	data, err := cbor.Marshal(c)
 	return data, eris.Wrap(err, "encode command")
 }
 
-// jsonObject is what a command begins with that an earlier version logged, as JSON.
+// jsonObject is the first byte of a command that an earlier version logged as JSON.
 const jsonObject = '{'
 
-// DecodeCommand reads a command of the log.
+// DecodeCommand decodes a command from the log, as CBOR or as JSON from an earlier
+// version.
 func DecodeCommand(data []byte) (*protocol.Command, error) {
 	var c protocol.Command
 	var err error
--- a/state/config.go
+++ b/state/config.go
@@ -13,10 +13,10 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// MaxConfigBytes is the most that all files of one apply may hold.
+// MaxConfigBytes is the maximum total size of the files of one apply.
 const MaxConfigBytes = 4 << 20
 
-// ErrConfigTooLarge is returned for an apply above [MaxConfigBytes].
+// ErrConfigTooLarge is the error for an apply above [MaxConfigBytes].
 var ErrConfigTooLarge = eris.New("configuration is too large")
 
 // ConfigFile is one file of an apply.
@@ -25,11 +25,10 @@
 	Data string `json:"data"`
 }
 
-// ParseConfig reads the files of one apply into one configuration. It returns
-// every fault of every file, or a configuration that refers to nothing it does
-// not declare.
+// ParseConfig parses the files of one apply into one configuration. It returns either
+// all errors in all files, or a configuration in which all references are resolved.
 func ParseConfig(files []ConfigFile) (*protocol.Config, []yamlfile.Fault) {
-	p := &configParser{config: &protocol.Config{}, seen: map[string]string{}}
+	p := &configParser{config: &protocol.Config{}, declared: map[string]string{}}
 	if total := totalBytes(files); total > MaxConfigBytes {
 		what := fmt.Sprintf("%v: %d bytes, the most is %d", ErrConfigTooLarge, total, MaxConfigBytes)
 		return nil, []yamlfile.Fault{{File: files[0].Path, Line: 1, What: what}}
@@ -55,16 +54,16 @@
 	return total
 }
 
-// configParser gathers files into one configuration and remembers where each
-// item came from, so that a fault found later still names its line.
+// configParser merges files into one configuration. It records the location of each
+// item, so that errors found later can name its line.
 type configParser struct {
-	config *protocol.Config
-	faults []yamlfile.Fault
-	checks []referenceCheck
-	seen   map[string]string
+	config   *protocol.Config
+	faults   []yamlfile.Fault
+	checks   []referenceCheck
+	declared map[string]string // file that declares each item, by kind and name
 }
 
-// referenceCheck runs once every file has been read.
+// referenceCheck is a reference that is checked once all files are parsed.
 type referenceCheck struct {
 	doc  *yamlfile.Document
 	path string
@@ -109,7 +108,7 @@
 	p.merge(part)
 }
 
-// addFleet takes the one fleet of all files.
+// addFleet adds the fleet, which only one file may define.
 func (p *configParser) addFleet(doc *yamlfile.Document, fleet *protocol.Fleet, file string) {
 	if fleet == nil {
 		return
@@ -138,11 +137,11 @@
 		return
 	}
 	id := kind + " " + name
-	if first, ok := p.seen[id]; ok {
+	if first, ok := p.declared[id]; ok {
 		p.faults = append(p.faults, doc.Fault(path, fmt.Sprintf("%s %q is declared already in %s", kind, name, first)))
 		return
 	}
-	p.seen[id] = file
+	p.declared[id] = file
 }
 
 func (p *configParser) refer(doc *yamlfile.Document, path, kind, name string) {
@@ -159,14 +158,14 @@
 
 func (p *configParser) checkReferences() {
 	for _, c := range p.checks {
-		if _, ok := p.seen[c.kind+" "+c.name]; !ok {
+		if _, ok := p.declared[c.kind+" "+c.name]; !ok {
 			p.faults = append(p.faults, c.doc.Fault(c.path, fmt.Sprintf("%s %q is not declared", c.kind, c.name)))
 		}
 	}
 	p.checkAdapters()
 }
 
-// checkAdapters finds routes whose adapter belongs to another model.
+// checkAdapters reports routes whose adapter belongs to another model.
 func (p *configParser) checkAdapters() {
 	base := map[string]string{}
 	for _, a := range p.config.Adapters {
@@ -194,17 +193,17 @@
 	slices.SortFunc(c.Workspaces, func(a, b protocol.Workspace) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Canonical returns the one form of a configuration, whose digest tells two
-// configurations apart whatever files they came from.
+// Canonical returns the canonical encoding of a configuration. Its digest does not
+// depend on how the configuration was split into files.
 func Canonical(c *protocol.Config) []byte {
 	data, err := json.Marshal(c)
 	if err != nil {
-		panic(err) // A Config holds only strings, numbers and lists of them.
+		panic(err) // cannot happen: a Config has only strings, numbers, booleans, and lists and structs of them
 	}
 	return data
 }
 
-// ParseCanonical reads what [Canonical] wrote.
+// ParseCanonical decodes the encoding returned by [Canonical].
 func ParseCanonical(number uint64, data []byte) (protocol.Revision, error) {
 	c := &protocol.Config{}
 	dec := json.NewDecoder(bytes.NewReader(data))
--- a/state/config_test.go
+++ b/state/config_test.go
@@ -26,7 +26,8 @@
   classes: [{name: gpu, slots: 8, models: [m]}]
 `
 
-// TestConfigFaults shows every fault of an apply at once, each in its file.
+// TestConfigFaults checks that all errors of an apply are reported together, each with
+// its file and line.
 func TestConfigFaults(t *testing.T) {
 	replace := func(old, with string) string { return strings.Replace(goodConfig, old, with, 1) }
 	cases := []struct {
@@ -62,14 +63,14 @@
 			out.WriteString(f.Error() + "\n")
 		}
 		if (c == nil) != (len(faults) > 0) {
-			t.Errorf("%s: a configuration beside %d faults", tt.name, len(faults))
+			t.Errorf("%s: a configuration must be returned if and only if there are no faults; got %d faults", tt.name, len(faults))
 		}
 	}
 	goldie.New(t).Assert(t, "config_faults", []byte(out.String()))
 }
 
-// TestCanonical checks that the order of files and rows does not change the
-// digest, and that the canonical form is read back the same.
+// TestCanonical checks that the order of files and rows does not change the digest, and
+// that the canonical form decodes to the same configuration.
 func TestCanonical(t *testing.T) {
 	one := ConfigFile{Path: "1", Data: "models:\n  - {name: b, version: \"1\"}\n"}
 	two := ConfigFile{Path: "2", Data: "models:\n  - {name: a, version: \"1\"}\n"}
@@ -77,29 +78,30 @@
 	c2, _ := ParseConfig([]ConfigFile{two, one})
 	d1 := protocol.DigestOf(Canonical(c1))
 	if d2 := protocol.DigestOf(Canonical(c2)); d1 != d2 {
-		t.Errorf("digests %v and %v", d1, d2)
+		t.Errorf("digests differ: %v and %v", d1, d2)
 	}
 	rev, err := ParseCanonical(3, Canonical(c1))
 	if err != nil || rev.Digest != d1 || rev.Config.Models[0].Name != "a" {
-		t.Errorf("read back %+v, %v", rev, err)
+		t.Errorf("decoded canonical form: %+v, %v", rev, err)
 	}
 }
 
-// TestAuthenticate finds a workspace by its key and nothing by another.
+// TestAuthenticate checks that a key authenticates only its own workspace, that a route
+// is available only to its workspaces, and which calls may be repeated.
 func TestAuthenticate(t *testing.T) {
 	c, _ := ParseConfig([]ConfigFile{{Path: "1", Data: goodConfig}})
 	ix := NewIndex(protocol.Revision{Number: 1, Config: c})
 	if w := ix.Authenticate("test"); w == nil || w.Name != "w" {
-		t.Errorf("the key gave %+v", w)
+		t.Errorf("valid key: got workspace %+v", w)
 	}
 	if w := ix.Authenticate("Test"); w != nil {
-		t.Errorf("another key gave %+v", w)
+		t.Errorf("unknown key: got workspace %+v", w)
 	}
 	if ix.Route("r", "other") != nil || ix.Route("r", "w") == nil {
-		t.Error("the route is not bound to its workspace")
+		t.Error("route must be available to its workspace and to no other")
 	}
 	s := ix.Service("s", "any")
 	if RepeatableCall(s, "/charge/7") || !RepeatableCall(s, "/plate") {
-		t.Error("the wrong calls are not repeatable")
+		t.Error("only /charge must be not repeatable")
 	}
 }
--- a/state/document_test.go
+++ b/state/document_test.go
@@ -8,7 +8,7 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// apply applies commands in their order and returns the last result.
+// applyAll applies commands in order and returns the last result.
 func applyAll(m *Machine, commands ...protocol.Command) protocol.Result {
 	var last protocol.Result
 	for i := range commands {
@@ -21,25 +21,26 @@
 	return protocol.Command{Put: &protocol.PutDocumentMsg{Number: number, Data: []byte(data)}}
 }
 
-// TestHighestDocumentHolds checks that only a higher number changes the
-// document, with any step, and that a resend and an older one learn what holds.
-func TestHighestDocumentHolds(t *testing.T) {
+// TestHighestDocumentNumberWins checks that only a document with a higher number, by
+// any increment, is accepted, and that the reply to a resend or an older document has
+// the number in force.
+func TestHighestDocumentNumberWins(t *testing.T) {
 	m := NewMachine()
 	got := applyAll(m, put(7, "seven"), put(3, "three"), put(7, "another seven"))
 	if got.Put.Number != 7 {
 		t.Errorf("holds %d, want 7", got.Put.Number)
 	}
 	if number, data := m.Document(); number != 7 || string(data) != "seven" {
-		t.Errorf("%d %q holds", number, data)
+		t.Errorf("document in force: %d %q", number, data)
 	}
 	if got := applyAll(m, put(12, "twelve")); got.Put.Number != 12 {
 		t.Errorf("holds %d, want 12", got.Put.Number)
 	}
 }
 
-// TestFirstCountsStay checks that what is settled for a window is never changed,
-// so that every report of it is the same.
-func TestFirstCountsStay(t *testing.T) {
+// TestSettledCountsAreImmutable checks that settled counts of a window never change, so
+// that every report of them is identical.
+func TestSettledCountsAreImmutable(t *testing.T) {
 	m := NewMachine()
 	settle := func(window int64, counts map[string]int64, sent bool) *protocol.SettleUsageReply {
 		return applyAll(m, protocol.Command{Settle: &protocol.SettleUsageMsg{Window: window, Counts: counts, Sent: sent}}).Settle
@@ -47,37 +48,37 @@
 	settle(5, map[string]int64{"a": 3}, false)
 	second := settle(5, map[string]int64{"a": 4}, false)
 	if second.Counts["a"] != 3 || second.Sent {
-		t.Errorf("a second settling got %+v", second)
+		t.Errorf("settled a second time: got %+v", second)
 	}
 	if last := settle(5, nil, true); last.Counts["a"] != 3 || !last.Sent {
 		t.Errorf("after the report: %+v", last)
 	}
 }
 
-// TestHolder checks that a holder is told who may have acted before it, and that
-// an older token takes nothing back.
-func TestHolder(t *testing.T) {
+// TestDutyHolder checks that a new duty holder learns the previous one, and that an
+// older token has no effect.
+func TestDutyHolder(t *testing.T) {
 	m := NewMachine()
 	hold := func(holder string, token uint64) *protocol.DutyHolderReply {
 		return applyAll(m, protocol.Command{Hold: &protocol.DutyHolderMsg{Holder: holder, Token: token}}).Hold
 	}
 	if got := hold("a", 1); got.Former != "" || got.Token != 1 {
-		t.Errorf("the first holder got %+v", got)
+		t.Errorf("first holder got %+v", got)
 	}
 	if got := hold("b", 4); got.Former != "a" {
-		t.Errorf("the second holder got %+v", got)
+		t.Errorf("second holder got %+v", got)
 	}
 	if got := hold("a", 2); got.Token != 4 {
-		t.Errorf("an older token got %+v", got)
+		t.Errorf("older token got %+v", got)
 	}
 	if got := hold("b", 4); got.Former != "a" {
-		t.Errorf("a resend got %+v", got)
+		t.Errorf("resend got %+v", got)
 	}
 }
 
-// TestSnapshotHoldsAll checks that a snapshot restores the parts that gateways
-// and duties rest on.
-func TestSnapshotHoldsAll(t *testing.T) {
+// TestSnapshotRestoresState checks that a snapshot restores the state that gateways and
+// duties depend on.
+func TestSnapshotRestoresState(t *testing.T) {
 	m := NewMachine()
 	applyAll(m, put(9, "{}"),
 		protocol.Command{Settle: &protocol.SettleUsageMsg{Window: 1, Counts: map[string]int64{"a": 1}}},
@@ -90,23 +91,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := NewMachine()
-	if err := again.Restore(data); err != nil {
+	restored := NewMachine()
+	if err := restored.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(m.Image(), again.Image(), cmp.AllowUnexported(claim{})); diff != "" {
+	if diff := cmp.Diff(m.Image(), restored.Image(), cmp.AllowUnexported(claim{})); diff != "" {
 		t.Error(diff)
 	}
-	if got := applyAll(again, protocol.Command{Base: &protocol.BaselineMsg{Service: "s", Servers: 2}}); got.Base.Servers != 9 {
-		t.Errorf("the first number of servers is %d, want 9", got.Base.Servers)
+	if got := applyAll(restored, protocol.Command{Base: &protocol.BaselineMsg{Service: "s", Servers: 2}}); got.Base.Servers != 9 {
+		t.Errorf("baseline is %d servers, want 9", got.Base.Servers)
 	}
-	if got := again.Settled(1); got == nil || !got.Sent {
-		t.Errorf("the window's report is %+v", got)
+	if got := restored.Settled(1); got == nil || !got.Sent {
+		t.Errorf("settled window: %+v", got)
 	}
 }
 
-// TestTallies checks that counts only rise, outlast older ones, and go with
-// their windows.
+// TestTallies checks that counts never decrease, are kept separately for each life of a
+// gateway, and are dropped with their window.
 func TestTallies(t *testing.T) {
 	m := NewMachine()
 	tally := func(rows ...protocol.TallyRow) []protocol.TallyRow {
@@ -121,7 +122,7 @@
 		t.Error(diff)
 	}
 	late := row
-	late.Window += talliesKept + 1
+	late.Window += tallyWindowRetention + 1
 	tally(late)
 	if diff := cmp.Diff([]protocol.TallyRow{late}, tally()); diff != "" {
 		t.Error(diff)
--- a/state/index.go
+++ b/state/index.go
@@ -10,7 +10,7 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Index is a revision with the look-ups that the request path needs. It is
+// Index is a revision with the lookup tables that the request path needs. It is
 // immutable.
 type Index struct {
 	protocol.Revision
@@ -55,8 +55,8 @@
 	}
 }
 
-// Authenticate returns the workspace that a key belongs to, or nil. It takes
-// the same time whichever key matches, and whether one does.
+// Authenticate returns the workspace that a key belongs to, or nil. It takes the same
+// time whether or not a key matches, and whichever one does, to resist timing attacks.
 func (ix *Index) Authenticate(key string) *protocol.Workspace {
 	digest := sha256.Sum256([]byte(key))
 	var found *protocol.Workspace
@@ -68,7 +68,7 @@
 	return found
 }
 
-// Route returns the route that a workspace may use under a name, or nil.
+// Route returns the route with the given name if the workspace may use it, or nil.
 func (ix *Index) Route(name, workspace string) *protocol.Route {
 	r := ix.routes[name]
 	if r == nil || !allowed(r.Workspaces, workspace) {
@@ -77,7 +77,7 @@
 	return r
 }
 
-// Routes returns the routes that a workspace may use, by name.
+// Routes returns the routes that a workspace may use, sorted by name.
 func (ix *Index) Routes(workspace string) []*protocol.Route {
 	var routes []*protocol.Route
 	for i := range ix.Config.Routes {
@@ -88,7 +88,8 @@
 	return routes
 }
 
-// Service returns the plain service that a workspace may call, or nil.
+// Service returns the plain service with the given name if the workspace may call it,
+// or nil.
 func (ix *Index) Service(name, workspace string) *protocol.Service {
 	s := ix.services[name]
 	if s == nil || !allowed(s.Workspaces, workspace) {
@@ -97,7 +98,7 @@
 	return s
 }
 
-// RepeatableCall reports whether calls of a service's path may be repeated.
+// RepeatableCall reports whether calls to a path of a service may be repeated.
 func RepeatableCall(s *protocol.Service, path string) bool {
 	return !slices.ContainsFunc(s.NotRepeatable, func(prefix string) bool {
 		return strings.HasPrefix(path, prefix)
@@ -108,7 +109,7 @@
 	return len(workspaces) == 0 || slices.Contains(workspaces, name)
 }
 
-// Model returns a declared model by its name, or nil.
+// Model returns the declared model with the given name, or nil.
 func (ix *Index) Model(name string) *protocol.Model {
 	for i := range ix.Config.Models {
 		if ix.Config.Models[i].Name == name {
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// Share returns a workspace's weight against the others, at least 1.
+// Share returns a workspace's weight relative to the others, at least 1.
 func (ix *Index) Share(workspace string) int {
 	if w := ix.workspaces[workspace]; w != nil {
 		return max(1, w.Share)
--- a/state/pool.go
+++ b/state/pool.go
@@ -7,93 +7,94 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Pool holds the servers that may serve one model, or one plain service, in
-// columns: a decision reads a few bytes of each server, and among hundreds of
-// servers it is the memory that takes the time. Servers that leave are not in
-// it.
+// Pool holds the servers of one model or plain service in columns. A routing decision
+// reads a few bytes for each server, and with hundreds of servers its duration is
+// dominated by memory access. Servers that are leaving are not included.
 type Pool struct {
-	Index  []int32   // Index are the positions in View.Servers.
-	Hash   []uint64  // Hash are the servers' hashes.
-	Base   []float64 // Base are the reported loads less this process's own part.
-	Silent []bool    // Silent tells which servers missed their last reports.
-	old    []int32   // old are the positions in the columns of servers whose report is old.
-	slots  int       // slots are those of the servers that report any.
-	known  int       // known counts these servers.
-	with   map[string][]bool
+	Index     []int32           // positions in View.Servers
+	Hash      []uint64          // hashes of the server IDs
+	Base      []float64         // reported load minus this process's own share of it
+	Silent    []bool            // servers that missed their latest reports
+	stale     []int32           // positions in the columns of servers with an outdated report
+	slots     int               // total slots of the servers that report slots
+	reporting int               // number of those servers
+	adapters  map[string][]bool // adapter name to a column of the servers that hold it
 }
 
-// maxMissed is how many load reports in a row a server may miss and still get
-// work while others answer.
-const maxMissed = 2
+// maxMissedReports is how many consecutive load reports a server may miss and still
+// receive requests while other servers answer.
+const maxMissedReports = 2
 
-// Adapter returns which servers hold an adapter, or nil if none does.
-func (p *Pool) Adapter(name string) []bool { return p.with[name] }
+// Adapter returns a column that tells which servers hold an adapter, or nil if none
+// does.
+func (p *Pool) Adapter(name string) []bool { return p.adapters[name] }
 
-// Load estimates the load of the k-th server of the pool. It is [Server.Load].
+// Load estimates the load of the k-th server of the pool, like [Server.Load].
 func (p *Pool) Load(k int, own int32) float64 {
 	return max(float64(own), p.Base[k]+float64(own))
 }
 
-// Slots returns how many requests the pool's servers run at once. Servers that
-// do not say are taken to be like the others; 0 means that none says.
+// Slots returns the number of concurrent requests that the pool's servers support.
+// Servers that report no slots are assumed to have the average of the others. 0 means
+// that no server reports slots.
 func (p *Pool) Slots() int {
-	if p.known == 0 {
+	if p.reporting == 0 {
 		return 0
 	}
-	return p.slots * len(p.Index) / p.known
+	return p.slots * len(p.Index) / p.reporting
 }
 
 func (p *Pool) add(i int, s *Server) {
 	if s.Report.Slots > 0 {
 		p.slots += s.Report.Slots
-		p.known++
+		p.reporting++
 	}
 	p.Index = append(p.Index, int32(i))
 	p.Hash = append(p.Hash, s.Hash)
 	p.Base = append(p.Base, float64(s.Report.Running+s.Report.Waiting)-float64(s.OwnAt))
 	p.Silent = append(p.Silent, s.Silent())
 	if s.Old {
-		p.old = append(p.old, int32(len(p.Base)-1))
+		p.stale = append(p.stale, int32(len(p.Base)-1))
 	}
 }
 
-// guessOld takes servers whose report is old for like the mean of the others:
-// an old report would keep a server out, or let all in, for as long as nobody
-// asks it.
-func (p *Pool) guessOld() {
-	fresh := len(p.Base) - len(p.old)
-	if len(p.old) == 0 || fresh == 0 {
+// estimateStale sets the load of servers with an outdated report to the mean of the
+// others. An outdated report would otherwise keep excluding a server, or keep
+// attracting requests, until it is polled again.
+func (p *Pool) estimateStale() {
+	current := len(p.Base) - len(p.stale)
+	if len(p.stale) == 0 || current == 0 {
 		return
 	}
-	isOld := make([]bool, len(p.Base))
-	for _, k := range p.old {
-		isOld[k] = true
+	isStale := make([]bool, len(p.Base))
+	for _, k := range p.stale {
+		isStale[k] = true
 	}
 	sum := 0.0
 	for k, base := range p.Base {
-		if !isOld[k] {
+		if !isStale[k] {
 			sum += base
 		}
 	}
-	for _, k := range p.old {
-		p.Base[k] = sum / float64(fresh)
+	for _, k := range p.stale {
+		p.Base[k] = sum / float64(current)
 	}
 }
 
-// markAdapters fills the adapters' columns once the pool is complete.
-func (p *Pool) markAdapters(servers []Server) {
-	p.with = map[string][]bool{}
+// buildAdapterColumns fills the adapter columns. The pool must be complete.
+func (p *Pool) buildAdapterColumns(servers []Server) {
+	p.adapters = map[string][]bool{}
 	for k, i := range p.Index {
 		for _, a := range servers[i].Report.Adapters {
-			if p.with[a] == nil {
-				p.with[a] = make([]bool, len(p.Index))
+			if p.adapters[a] == nil {
+				p.adapters[a] = make([]bool, len(p.Index))
 			}
-			p.with[a][k] = true
+			p.adapters[a][k] = true
 		}
 	}
 }
 
-// NewView returns a snapshot of servers, which it sorts by identity.
+// NewView returns a snapshot of servers. It sorts servers by ID.
 func NewView(servers []Server) *View {
 	slices.SortFunc(servers, func(x, y Server) int { return strings.Compare(x.ID, y.ID) })
 	v := &View{Servers: servers, models: map[string]*Pool{}, services: map[string]*Pool{}}
@@ -110,8 +111,8 @@
 		}
 	}
 	for _, p := range v.models {
-		p.markAdapters(servers)
-		p.guessOld()
+		p.buildAdapterColumns(servers)
+		p.estimateStale()
 	}
 	return v
 }
--- a/state/quarantine.go
+++ b/state/quarantine.go
@@ -9,29 +9,30 @@
 )
 
 const (
-	// mostQuarantined bounds the requests in the quarantine, at some 150 bytes each, and
-	// leastKept is how many are left where that is exceeded: those that are held no more
-	// go first, then the oldest.
-	mostQuarantined = 4096
-	leastKept       = 3072
-	// trialPause is in ms between the time at which a request is held and its first trial,
-	// and between that and the second: one that was held wrongly and is often sent is refused
-	// for no longer. laterTrial is the pause before the next trial, in ms, which doubles
-	// mostDoublings times; each may cost a server.
-	trialPause    = 30_000
-	laterTrial    = 3_600_000
-	mostDoublings = 4
+	// maxQuarantined bounds the entries of the quarantine, of about 150 bytes each.
+	// When it is exceeded, entries are evicted until evictTarget remain: first released
+	// ones, then the oldest.
+	maxQuarantined = 4096
+	evictTarget    = 3072
+	// firstTrialDelayMS is the delay from holding a request to its first trial, and
+	// from the first trial to the second. It limits how long a frequent request that
+	// was held by mistake is refused. laterTrialDelayMS is the delay before the next
+	// trial. It doubles up to maxTrialDoublings times, as each trial may terminate a
+	// server.
+	firstTrialDelayMS = 30_000
+	laterTrialDelayMS = 3_600_000
+	maxTrialDoublings = 4
 )
 
-// quarantine are the requests that are kept from servers, and those that were. An entry
-// is never changed in place, so that copies may be handed out.
+// quarantine holds the requests that are withheld from servers, and those that were. An
+// entry is never modified in place, so copies may be shared.
 type quarantine struct {
 	changes uint64
-	floor   uint64 // floor is the latest change at which entries were forgotten.
+	floor   uint64 // latest change at which entries were evicted
 	entries map[protocol.Fingerprint]protocol.Quarantined
 }
 
-// newQuarantine returns that of a snapshot.
+// newQuarantine returns the quarantine of a snapshot.
 func newQuarantine(i *Image) quarantine {
 	q := quarantine{changes: i.QuarantineChanges, floor: i.QuarantineFloor, entries: map[protocol.Fingerprint]protocol.Quarantined{}}
 	for _, e := range i.Quarantine {
@@ -40,9 +41,9 @@
 	return q
 }
 
-// change holds requests, has others tried and frees others. What is so already is no
-// change.
-func (q *quarantine) change(m *protocol.QuarantineMsg, now int64) {
+// apply holds, tries and releases requests. Operations that have no effect do not count
+// as changes.
+func (q *quarantine) apply(m *protocol.QuarantineMsg, now int64) {
 	if q.entries == nil {
 		q.entries = map[protocol.Fingerprint]protocol.Quarantined{}
 	}
@@ -53,14 +54,14 @@
 		q.try(&m.Try[i], now)
 	}
 	for _, f := range m.Free {
-		q.free(f)
+		q.release(f)
 	}
-	q.bound()
+	q.evict()
 }
 
 func (q *quarantine) hold(m *protocol.HoldRequest, now int64) {
 	if !q.entries[m.Fingerprint].Held {
-		q.put(protocol.Quarantined{Fingerprint: m.Fingerprint, Held: true, Servers: m.Servers, Until: now + trialPause})
+		q.put(protocol.Quarantined{Fingerprint: m.Fingerprint, Held: true, Servers: m.Servers, Until: now + firstTrialDelayMS})
 	}
 }
 
@@ -69,16 +70,16 @@
 	if !e.Held || e.Trials != m.Trials {
 		return
 	}
-	e.Until = now + trialPause
+	e.Until = now + firstTrialDelayMS
 	if e.Trials > 0 {
-		e.Until = now + laterTrial<<min(e.Trials-1, mostDoublings)
+		e.Until = now + laterTrialDelayMS<<min(e.Trials-1, maxTrialDoublings)
 	}
 	e.Trials++
 	e.Trial = m.Gateway
 	q.put(e)
 }
 
-func (q *quarantine) free(f protocol.Fingerprint) {
+func (q *quarantine) release(f protocol.Fingerprint) {
 	if q.entries[f].Held {
 		q.put(protocol.Quarantined{Fingerprint: f})
 	}
@@ -90,9 +91,9 @@
 	q.entries[e.Fingerprint] = e
 }
 
-// bound forgets entries where there are too many.
-func (q *quarantine) bound() {
-	if len(q.entries) <= mostQuarantined {
+// evict drops entries if there are too many.
+func (q *quarantine) evict() {
+	if len(q.entries) <= maxQuarantined {
 		return
 	}
 	list := q.list()
@@ -105,21 +106,21 @@
 		}
 		return 1
 	})
-	for _, e := range list[:len(list)-leastKept] {
+	for _, e := range list[:len(list)-evictTarget] {
 		delete(q.entries, e.Fingerprint)
 	}
 	q.changes++
 	q.floor = q.changes
 }
 
-// list returns the entries in the order of their changes.
+// list returns the entries, ordered by change.
 func (q *quarantine) list() []protocol.Quarantined {
 	list := slices.Collect(maps.Values(q.entries))
 	slices.SortFunc(list, func(a, b protocol.Quarantined) int { return cmp.Compare(a.Change, b.Change) })
 	return list
 }
 
-// log returns the whole quarantine.
+// log returns the state of the quarantine.
 func (q *quarantine) log() protocol.QuarantineLog {
 	return protocol.QuarantineLog{Changes: q.changes, Floor: q.floor, Entries: q.list()}
 }
--- a/state/quarantine_test.go
+++ b/state/quarantine_test.go
@@ -9,28 +9,28 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-func printOf(n uint64) protocol.Fingerprint {
+func fingerprint(n uint64) protocol.Fingerprint {
 	return protocol.Fingerprint{Quick: n % 7, Content: [2]uint64{n, n}}
 }
 
-func quarantined(m *Machine, at int64, msg protocol.QuarantineMsg) {
+func applyQuarantine(m *Machine, at int64, msg protocol.QuarantineMsg) {
 	m.Apply(&protocol.Command{At: at, Quarantine: &msg})
 }
 
 func hold(n uint64) protocol.QuarantineMsg {
-	return protocol.QuarantineMsg{Hold: []protocol.HoldRequest{{Fingerprint: printOf(n), Servers: 3}}}
+	return protocol.QuarantineMsg{Hold: []protocol.HoldRequest{{Fingerprint: fingerprint(n), Servers: 3}}}
 }
 
 func try(n uint64, trials int) protocol.QuarantineMsg {
-	return protocol.QuarantineMsg{Try: []protocol.TryRequest{{Fingerprint: printOf(n), Gateway: "g", Trials: trials}}}
+	return protocol.QuarantineMsg{Try: []protocol.TryRequest{{Fingerprint: fingerprint(n), Gateway: "g", Trials: trials}}}
 }
 
 func free(n uint64) protocol.QuarantineMsg {
-	return protocol.QuarantineMsg{Free: []protocol.Fingerprint{printOf(n)}}
+	return protocol.QuarantineMsg{Free: []protocol.Fingerprint{fingerprint(n)}}
 }
 
-// TestQuarantineEntries checks when a request that is held is tried: soon at first, and
-// then after pauses that double. The same command twice changes nothing.
+// TestQuarantineEntries checks when a held request gets its trials: soon at first, and
+// later after delays that double. Duplicate commands have no effect.
 func TestQuarantineEntries(t *testing.T) {
 	const hour = 3_600_000
 	m := NewMachine()
@@ -43,64 +43,64 @@
 		until  int64
 	}{
 		{"held", 100, hold(1), true, 0, 30_100},
-		{"held again at once", 200, hold(1), true, 0, 30_100},
+		{"held again immediately", 200, hold(1), true, 0, 30_100},
 		{"tried", 31_000, try(1, 0), true, 1, 61_000},
-		{"the same trial again", 32_000, try(1, 0), true, 1, 61_000},
+		{"duplicate of the trial", 32_000, try(1, 0), true, 1, 61_000},
 		{"tried a second time", 33_000, try(1, 1), true, 2, 33_000 + hour},
 		{"tried a third time", 34_000, try(1, 2), true, 3, 34_000 + 2*hour},
-		{"freed", 34_000, free(1), false, 0, 0},
-		{"tried though it is free", 34_000, try(1, 0), false, 0, 0},
-		{"held anew", 35_000, hold(1), true, 0, 65_000},
+		{"released", 34_000, free(1), false, 0, 0},
+		{"tried after its release", 34_000, try(1, 0), false, 0, 0},
+		{"held again after its release", 35_000, hold(1), true, 0, 65_000},
 	} {
-		quarantined(m, step.at, step.msg)
+		applyQuarantine(m, step.at, step.msg)
 		e := m.QuarantineLog().Entries[0]
 		if e.Held != step.held || e.Trials != step.trials || e.Until != step.until {
 			t.Errorf("%s: %+v", step.name, e)
 		}
 	}
 	before := m.QuarantineLog().Changes
-	quarantined(m, 36_000, hold(1))
-	quarantined(m, 36_000, free(2))
+	applyQuarantine(m, 36_000, hold(1))
+	applyQuarantine(m, 36_000, free(2))
 	if after := m.QuarantineLog().Changes; after != before {
-		t.Errorf("what is so already changed it: %d to %d", before, after)
+		t.Errorf("commands without effect raised the change number from %d to %d", before, after)
 	}
 }
 
-// TestQuarantineNews checks that somebody who is told what it lacks, at any time and from
-// any state, holds what the log does, also behind a snapshot and where entries were
-// forgotten, and that there are never more than the bound.
-func TestQuarantineNews(t *testing.T) {
+// TestQuarantineUpdates checks that a copy that receives updates at any time and from
+// any state matches the log, also after a snapshot and after evictions, and that the
+// number of entries stays within its limit.
+func TestQuarantineUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMachine()
 		var known uint64
 		held := map[protocol.Fingerprint]bool{}
-		tell := func() {
+		update := func() {
 			l := m.QuarantineLog()
-			news := l.UpdateSince(known)
-			if news == nil {
+			u := l.UpdateSince(known)
+			if u == nil {
 				return
 			}
-			if news.Whole {
+			if u.Whole {
 				clear(held)
 			}
-			for _, h := range news.Held {
+			for _, h := range u.Held {
 				held[h.Fingerprint] = true
 			}
-			for _, f := range news.Free {
+			for _, f := range u.Free {
 				delete(held, f)
 			}
-			known = news.Changes
+			known = u.Changes
 		}
 		next := uint64(1)
 		t.Repeat(map[string]func(*rapid.T){
 			"hold": func(t *rapid.T) {
-				quarantined(m, 1, hold(rapid.Uint64Range(1, 9).Draw(t, "request")))
+				applyQuarantine(m, 1, hold(rapid.Uint64Range(1, 9).Draw(t, "request")))
 			},
 			"free": func(t *rapid.T) {
-				quarantined(m, 1, free(rapid.Uint64Range(1, 9).Draw(t, "request")))
+				applyQuarantine(m, 1, free(rapid.Uint64Range(1, 9).Draw(t, "request")))
 			},
 			"try": func(t *rapid.T) {
-				quarantined(m, 1, try(rapid.Uint64Range(1, 9).Draw(t, "request"), rapid.IntRange(0, 2).Draw(t, "trials")))
+				applyQuarantine(m, 1, try(rapid.Uint64Range(1, 9).Draw(t, "request"), rapid.IntRange(0, 2).Draw(t, "trials")))
 			},
 			"many": func(t *rapid.T) {
 				if rapid.IntRange(0, 9).Draw(t, "rare") > 0 {
@@ -111,7 +111,7 @@
 					next++
 					msg.Hold = append(msg.Hold, hold(100+next).Hold...)
 				}
-				quarantined(m, 1, msg)
+				applyQuarantine(m, 1, msg)
 			},
 			"snapshot": func(t *rapid.T) {
 				data, err := m.Image().Encode()
@@ -127,18 +127,18 @@
 				}
 				m = restored
 			},
-			"tell": func(*rapid.T) { tell() },
+			"tell": func(*rapid.T) { update() },
 			"start anew": func(*rapid.T) {
 				known = 0
 				clear(held)
 			},
 			"": func(t *rapid.T) {
-				if n := len(m.QuarantineLog().Entries); n > mostQuarantined {
+				if n := len(m.QuarantineLog().Entries); n > maxQuarantined {
 					t.Fatalf("%d entries", n)
 				}
 			},
 		})
-		tell()
+		update()
 		want := map[protocol.Fingerprint]bool{}
 		for _, e := range m.QuarantineLog().Entries {
 			if e.Held {
@@ -151,7 +151,8 @@
 	})
 }
 
-// TestQuarantineCommand checks that a command comes out of the log as it went in.
+// TestQuarantineCommand checks that a quarantine command survives encoding and
+// decoding.
 func TestQuarantineCommand(t *testing.T) {
 	msg := hold(1)
 	msg.Try, msg.Free = try(2, 1).Try, free(3).Free
@@ -168,23 +169,23 @@
 	}
 }
 
-// TestForgottenEntries checks that where entries are forgotten those that are held no more go
-// first, and that somebody who knew one of them is told the whole.
-func TestForgottenEntries(t *testing.T) {
+// TestQuarantineEviction checks that released requests are evicted before held ones,
+// and that a copy from before an eviction receives a complete update.
+func TestQuarantineEviction(t *testing.T) {
 	m := NewMachine()
 	var all protocol.QuarantineMsg
-	for n := range uint64(mostQuarantined) {
+	for n := range uint64(maxQuarantined) {
 		all.Hold = append(all.Hold, hold(n).Hold...)
 	}
-	quarantined(m, 1, all)
-	freed := protocol.QuarantineMsg{}
+	applyQuarantine(m, 1, all)
+	released := protocol.QuarantineMsg{}
 	for n := range uint64(2000) {
-		freed.Free = append(freed.Free, printOf(mostQuarantined-1-n))
+		released.Free = append(released.Free, fingerprint(maxQuarantined-1-n))
 	}
-	quarantined(m, 2, freed) // The latest to be held, so that their age does not decide.
+	applyQuarantine(m, 2, released) // the most recently held, so that age does not decide
 	l := m.QuarantineLog()
 	known := l.Changes
-	quarantined(m, 3, hold(mostQuarantined))
+	applyQuarantine(m, 3, hold(maxQuarantined))
 	l = m.QuarantineLog()
 	held := 0
 	for _, e := range l.Entries {
@@ -192,10 +193,10 @@
 			held++
 		}
 	}
-	if len(l.Entries) != leastKept || held != mostQuarantined-2000+1 {
-		t.Errorf("%d entries are left, %d of them held", len(l.Entries), held)
+	if len(l.Entries) != evictTarget || held != maxQuarantined-2000+1 {
+		t.Errorf("after eviction: %d entries, %d of them held", len(l.Entries), held)
 	}
-	if news := l.UpdateSince(known); news == nil || !news.Whole || len(news.Held) != held {
-		t.Errorf("somebody who knew what was forgotten is told %+v", news)
+	if u := l.UpdateSince(known); u == nil || !u.Whole || len(u.Held) != held {
+		t.Errorf("update for a copy from before the eviction: %+v, want a complete one", u)
 	}
 }
--- a/state/replay_test.go
+++ b/state/replay_test.go
@@ -13,41 +13,41 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// TestCommandsOutlastAnUpdate checks that commands arrive as they were logged, and
-// that those which an earlier version logged as JSON still do.
-func TestCommandsOutlastAnUpdate(t *testing.T) {
+// TestDecodeLegacyCommands checks that commands survive encoding and decoding, and that
+// commands logged as JSON by an earlier version can still be decoded.
+func TestDecodeLegacyCommands(t *testing.T) {
 	for name, c := range map[string]protocol.Command{
 		"counts":   {At: 17, Tally: &protocol.TallyMsg{Rows: []protocol.TallyRow{{Gateway: "g", Life: 1 << 63, Window: 3, Workspace: "w", Count: 4}}}},
 		"document": {At: 18, Put: &protocol.PutDocumentMsg{Number: 9, Data: []byte{0, 255, '{'}}},
 		"window":   {Settle: &protocol.SettleUsageMsg{Window: 5, Counts: map[string]int64{"w": 7}}},
 		"claim":    {At: 19, Claim: &protocol.ClaimMsg{IssuedAt: 4}},
-		"question": {Tally: &protocol.TallyMsg{}},
+		"query":    {Tally: &protocol.TallyMsg{}},
 	} {
-		now, err := EncodeCommand(&c)
+		current, err := EncodeCommand(&c)
 		if err != nil {
 			t.Fatal(err)
 		}
-		before, err := json.Marshal(&c)
+		legacy, err := json.Marshal(&c)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for form, data := range map[string][]byte{"now": now, "before": before} {
+		for form, data := range map[string][]byte{"CBOR": current, "JSON": legacy} {
 			got, err := DecodeCommand(data)
 			if err != nil || !cmp.Equal(*got, c, cmpopts.EquateEmpty(), cmpopts.IgnoreUnexported(protocol.TallyRow{})) {
-				t.Errorf("%s, as written %s: %v, %s", name, form, err, cmp.Diff(c, *got, cmpopts.IgnoreUnexported(protocol.TallyRow{})))
+				t.Errorf("%s, encoded as %s: %v, %s", name, form, err, cmp.Diff(c, *got, cmpopts.IgnoreUnexported(protocol.TallyRow{})))
 			}
 		}
 	}
 	for _, data := range [][]byte{nil, []byte("{"), {0xff}, {0x01}} {
 		if _, err := DecodeCommand(data); err == nil {
-			t.Errorf("%x was taken for a command", data)
+			t.Errorf("decoding %x gave no error", data)
 		}
 	}
 }
 
-// TestOldWindowsAreForgotten checks that counts of old windows go when a newer one
-// begins, and that those which come later for an old one are not kept.
-func TestOldWindowsAreForgotten(t *testing.T) {
+// TestOldTallyWindowsAreDropped checks that counts of old windows are dropped when a
+// newer window begins, and that late counts for an old window are ignored.
+func TestOldTallyWindowsAreDropped(t *testing.T) {
 	m := NewMachine()
 	tally := func(windows ...int64) (kept []int64) {
 		msg := &protocol.TallyMsg{}
@@ -60,20 +60,20 @@
 		}
 		return kept
 	}
-	for _, step := range []struct{ told, kept []int64 }{
+	for _, step := range []struct{ reported, retained []int64 }{
 		{[]int64{1, 2}, []int64{1, 2}},
 		{[]int64{8}, []int64{2, 8}},
 		{[]int64{1, 9}, []int64{8, 9}},
 		{[]int64{2}, []int64{8, 9}},
 	} {
-		if got := tally(step.told...); !slices.Equal(got, step.kept) {
-			t.Errorf("after %v: kept %v, want %v", step.told, got, step.kept)
+		if got := tally(step.reported...); !slices.Equal(got, step.retained) {
+			t.Errorf("after %v: kept %v, want %v", step.reported, got, step.retained)
 		}
 	}
 }
 
-// tallyCommands are what a leader of some gateways logs of their counts in a number
-// of steps, as it is in the log.
+// tallyCommands returns encoded commands as a leader logs them for the usage counts of
+// a number of gateways.
 func tallyCommands(b *testing.B, gateways, steps int) [][]byte {
 	var log [][]byte
 	for step := range steps {
@@ -94,7 +94,7 @@
 	return log
 }
 
-// BenchmarkReplay starts from a log of 52 s with the counts of 295 gateways.
+// BenchmarkReplay replays a log of 52 s with the usage counts of 295 gateways.
 func BenchmarkReplay(b *testing.B) {
 	defer debug.SetGCPercent(debug.SetGCPercent(20))
 	log := tallyCommands(b, 295, 130)
--- a/state/rollouts.go
+++ b/state/rollouts.go
@@ -7,16 +7,16 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// rollouts are the newest roll-out of each service. A roll-out is never changed in
-// place, so that copies may be handed out.
+// rollouts holds the most recent roll-out of each service. A roll-out is never modified
+// in place, so copies may be shared.
 type rollouts struct {
-	count   uint64 // count is how many were begun.
-	changes uint64 // changes counts what was begun, taken further, and learnt of versions.
+	count   uint64 // number of roll-outs begun
+	changes uint64 // number of changes to latest and known
 	latest  map[string]*protocol.Rollout
-	known   map[string][]string // known are the versions of each service that get requests without one.
+	known   map[string][]string // versions that receive requests without a roll-out, by service
 }
 
-// newRollouts returns those of a snapshot.
+// newRollouts returns the roll-outs of a snapshot.
 func newRollouts(i *Image) rollouts {
 	r := rollouts{count: i.RolloutCount, latest: map[string]*protocol.Rollout{}}
 	for k := range i.Rollouts {
@@ -27,11 +27,12 @@
 	return r
 }
 
-// begin takes an order, unless another roll-out of the service runs. The same order
-// sent again within its time finds the roll-out that it began, also one that is over.
+// begin accepts an order unless another roll-out of the service is running. An
+// identical order within its repeat time returns the roll-out that the first one began,
+// even if it has ended.
 func (r *rollouts) begin(m *protocol.BeginRolloutMsg, now int64) *protocol.BeginRolloutReply {
 	last := r.latest[m.Service]
-	if last != nil && repeats(last, m, now) {
+	if last != nil && isRepeat(last, m, now) {
 		return &protocol.BeginRolloutReply{Taken: true, Rollout: *last}
 	}
 	if last != nil && !last.Stage.Final() {
@@ -39,10 +40,10 @@
 	}
 	next := &protocol.Rollout{Service: m.Service, Version: m.Version, LimitMS: m.LimitMS, BeganAt: now}
 	if last != nil {
-		next.Blocked = blockedBefore(last, m.Version)
+		next.Blocked = blockedAfter(last, m.Version)
 	}
 	if last != nil && last.Stage == protocol.RolloutCompleted && len(r.known[m.Service]) > 0 {
-		r.know(&protocol.VersionsMsg{Service: m.Service, Versions: []string{last.Version}}) // So far its roll-out named it.
+		r.addVersions(&protocol.VersionsMsg{Service: m.Service, Versions: []string{last.Version}}) // until now, only its roll-out named it
 	}
 	r.count++
 	next.Number = r.count
@@ -50,9 +51,9 @@
 	return &protocol.BeginRolloutReply{Taken: true, Rollout: *next}
 }
 
-// blockedBefore are the versions that get nothing behind a roll-out that is over, but
-// for the one that is ordered now.
-func blockedBefore(last *protocol.Rollout, ordered string) []string {
+// blockedAfter returns the versions that remain blocked after a finished roll-out,
+// except for the version that is ordered now.
+func blockedAfter(last *protocol.Rollout, ordered string) []string {
 	var blocked []string
 	for _, version := range slices.Concat(last.Blocked, last.Former, []string{last.Version}) {
 		if version != ordered && last.Blocks(version) && !slices.Contains(blocked, version) {
@@ -62,20 +63,21 @@
 	return blocked
 }
 
-// repeats reports whether an order is that of the service's newest roll-out, or asks
-// for what that has come to.
-func repeats(last *protocol.Rollout, m *protocol.BeginRolloutMsg, now int64) bool {
+// isRepeat reports whether an order repeats that of the service's most recent roll-out,
+// or requests a version that this one has already reached.
+func isRepeat(last *protocol.Rollout, m *protocol.BeginRolloutMsg, now int64) bool {
 	if last.Version != m.Version {
 		return false
 	}
 	if last.Stage == protocol.RolloutCompleted {
-		return true // The service is there.
+		return true // the service runs this version already
 	}
 	return last.LimitMS == m.LimitMS && (!last.Stage.Final() || now-last.BeganAt <= m.RepeatMS)
 }
 
-// stage takes a running roll-out further. It never goes back, and what is over stays.
-func (r *rollouts) stage(m *protocol.StageRolloutMsg, now int64) *protocol.StageRolloutReply {
+// advance moves a running roll-out to a later stage. It never goes back, and a finished
+// roll-out does not change.
+func (r *rollouts) advance(m *protocol.StageRolloutMsg, now int64) *protocol.StageRolloutReply {
 	last := r.latest[m.Service]
 	if last == nil {
 		return &protocol.StageRolloutReply{}
@@ -95,8 +97,8 @@
 	return &protocol.StageRolloutReply{Rollout: next}
 }
 
-// know adds versions. The lists are never changed in place.
-func (r *rollouts) know(m *protocol.VersionsMsg) {
+// addVersions adds known versions. The lists are never modified in place.
+func (r *rollouts) addVersions(m *protocol.VersionsMsg) {
 	known := maps.Clone(r.known)
 	if known == nil {
 		known = map[string][]string{}
@@ -116,7 +118,7 @@
 	r.changes++
 }
 
-// list returns copies of the roll-outs in the order of their services.
+// list returns copies of the roll-outs, sorted by service.
 func (r *rollouts) list() []protocol.Rollout {
 	rows := make([]protocol.Rollout, 0, len(r.latest))
 	for _, service := range slices.Sorted(maps.Keys(r.latest)) {
--- a/state/state.go
+++ b/state/state.go
@@ -1,21 +1,21 @@
-// Package state holds what the workers of one process share, and what lasts
-// beyond the process.
+// Package state holds the state that is shared within one process, and the state that
+// outlives the process.
 //
-// Shared tables. [Tables] joins the configuration in force, the backend
-// servers and the members of the cluster. Each table has one lock of its own.
-// A worker that needs two of them takes them in this order, and never back:
+// Shared tables. [Tables] combines the configuration in force, the backend servers and
+// the members of the cluster. Each table has its own lock. A goroutine that needs two
+// of them must acquire them in this order:
 //
 //  1. configuration (Tables.config)
 //  2. backend servers (Backends.mu)
 //  3. streams (Streams.mu)
 //
-// The members have one writer and no lock.
+// The member table has a single writer and no lock.
 //
-// Readers on the request path take no lock: they read immutable snapshots
-// through atomic pointers, and counters through atomics.
+// Readers on the request path take no locks: they read immutable snapshots through
+// atomic pointers, and counters through atomics.
 //
-// Lasting state. The log, snapshots, the accepted configuration and the
-// claims live under one data folder and count only once they are synced.
+// Durable state. The log, snapshots, the accepted configuration and the claims are kept
+// in one data directory and count only once they are synced to disk.
 package state
 
 import (
@@ -25,15 +25,15 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Tables joins the shared tables of one process.
+// Tables combines the shared tables of one process.
 type Tables struct {
 	Backends *Backends
 	Members  *Members
 	Streams  *Streams
 
-	config  sync.Mutex // config orders Install calls.
+	config  sync.Mutex // serializes Install calls
 	index   atomic.Pointer[Index]
-	changed chan struct{} // changed is closed and replaced by each Install.
+	changed chan struct{} // closed and replaced by each Install
 }
 
 // NewTables returns empty tables.
@@ -46,11 +46,11 @@
 	}
 }
 
-// Index returns the configuration in force, or nil before the first.
+// Index returns the configuration in force, or nil before the first Install.
 func (t *Tables) Index() *Index { return t.index.Load() }
 
-// Install puts a revision in force if it is above the one that is, and reports
-// whether it did. A revision never goes back.
+// Install puts a revision in force if its number is higher than that of the current
+// one, and reports whether it did.
 func (t *Tables) Install(rev protocol.Revision) bool {
 	t.config.Lock()
 	defer t.config.Unlock()
@@ -63,14 +63,15 @@
 	return true
 }
 
-// Changed returns a channel that is closed when a newer revision is in force.
+// Changed returns a channel that is closed when a newer revision is installed.
 func (t *Tables) Changed() <-chan struct{} {
 	t.config.Lock()
 	defer t.config.Unlock()
 	return t.changed
 }
 
-// Revision returns the number and digest in force; zero before the first.
+// Revision returns the number and digest of the configuration in force; both are zero
+// before the first Install.
 func (t *Tables) Revision() (uint64, protocol.Digest) {
 	ix := t.index.Load()
 	if ix == nil {
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -15,9 +15,9 @@
 	return protocol.Revision{Number: n, Digest: protocol.DigestOf(fmt.Append(nil, n)), Config: &protocol.Config{}}
 }
 
-// TestInstallNeverGoesBack installs revisions in any order, from several
-// workers at once: what is in force only rises.
-func TestInstallNeverGoesBack(t *testing.T) {
+// TestInstallIsMonotonic installs revisions in random order from several goroutines.
+// The number in force must never decrease.
+func TestInstallIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := NewTables()
 		lists := rapid.SliceOfN(rapid.SliceOf(rapid.Uint64Range(1, 30)), 1, 4).Draw(t, "numbers")
@@ -46,38 +46,39 @@
 	})
 }
 
-// TestLeavingMarkStays lets the platform's lagging list show a server as live
-// again after a notice.
-func TestLeavingMarkStays(t *testing.T) {
+// TestLeavingMarkSurvivesStaleList checks that a leaving mark persists when the
+// platform's list, which lags behind, shows the server as available again.
+func TestLeavingMarkSurvivesStaleList(t *testing.T) {
 	b, now := NewBackends(), time.Unix(1000, 0)
 	list := []protocol.Instance{{ID: "e1", Kind: protocol.InstanceEngine}, {ID: "e2", Kind: protocol.InstanceEngine}}
 	b.SetList(list, now)
 	if !b.MarkLeaving(protocol.Leaving{Server: "e1", Seen: now}) || b.MarkLeaving(protocol.Leaving{Server: "e1", Seen: now}) {
-		t.Error("a mark is news exactly once")
+		t.Error("MarkLeaving must return true only for the first mark")
 	}
 	b.SetList(list, now)
 	if s := b.View().Find("e1"); !s.Leaving {
-		t.Error("the list took the mark away")
+		t.Error("SetList removed the leaving mark")
 	}
 	if s := b.View().Find("e2"); s.Leaving {
-		t.Error("the other server is marked too")
+		t.Error("another server was marked as leaving")
 	}
 	if got := <-b.Changed(); got != "e1" {
-		t.Errorf("told of %s", got)
+		t.Errorf("Changed delivered %s, want e1", got)
 	}
 	b.SetList(list, now.Add(2*protocol.LeavingRetention))
 	if len(b.Leaving()) != 1 {
-		t.Error("the mark of a listed server was dropped")
+		t.Error("leaving mark dropped while the server is still listed")
 	}
 	b.SetList(list[1:], now.Add(2*protocol.LeavingRetention))
 	if len(b.Leaving()) != 0 {
-		t.Error("the mark of a server that is long gone was kept")
+		t.Error("leaving mark kept past its retention for a server no longer listed")
 	}
 }
 
-// TestJoinedStays has a server joined by news while the list read here is too
-// old to have it, and drops it once the list has had the time.
-func TestJoinedStays(t *testing.T) {
+// TestJoinedServerSurvivesStaleList checks that a server announced by another instance
+// is kept while the local list is too old to include it, and dropped if the list still
+// lacks it after the retention time.
+func TestJoinedServerSurvivesStaleList(t *testing.T) {
 	b := NewBackends()
 	now := time.Unix(1_000_000, 0)
 	listed := []protocol.Instance{{ID: "old", Kind: protocol.InstanceEngine, Address: "a"}}
@@ -85,15 +86,15 @@
 	b.Join(protocol.Joined{Instance: protocol.Instance{ID: "new", Kind: protocol.InstanceEngine, Address: "b"}, Seen: now}, now)
 	b.SetList(listed, now.Add(time.Second))
 	if b.View().Find("new") == nil {
-		t.Error("a list that is behind took a new server away")
+		t.Error("SetList with an outdated list removed a joined server")
 	}
 	b.SetList(listed, now.Add(protocol.JoinedRetention+time.Second))
 	if b.View().Find("new") != nil {
-		t.Error("a server that no list ever had is kept for ever")
+		t.Error("joined server kept past its retention although never listed")
 	}
 	b.MarkLeaving(protocol.Leaving{Server: "gone", Seen: now})
 	b.Join(protocol.Joined{Instance: protocol.Instance{ID: "gone", Kind: protocol.InstanceEngine, Address: "c"}, Seen: now}, now)
 	if s := b.View().Find("gone"); s == nil || !s.Leaving {
-		t.Error("late news of a server made it forget that it leaves")
+		t.Error("joining a server removed its leaving mark")
 	}
 }
--- a/state/streams.go
+++ b/state/streams.go
@@ -9,7 +9,7 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Stream is a request in progress as the dump shows it.
+// Stream is a request in progress, as shown in the state dump.
 type Stream struct {
 	Request string       `json:"request"`
 	Key     protocol.Key `json:"key"`
@@ -24,7 +24,7 @@
 type Streams struct {
 	mu   sync.Mutex
 	rows map[string]Stream
-	idle chan struct{} // idle is closed while there are none.
+	idle chan struct{} // closed while the table is empty
 }
 
 // NewStreams returns an empty table.
@@ -34,7 +34,8 @@
 	return &Streams{rows: map[string]Stream{}, idle: idle}
 }
 
-// Begin adds a request unless max are in progress, and reports whether it did.
+// Begin adds a request unless max requests are already in progress, and reports whether
+// it did.
 func (s *Streams) Begin(row Stream, max int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +78,7 @@
 	return s.idle
 }
 
-// Rows returns the requests in progress by identity.
+// Rows returns the requests in progress, sorted by request ID.
 func (s *Streams) Rows() []Stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/state/tallies.go
+++ b/state/tallies.go
@@ -7,25 +7,26 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// talliesKept is for how many windows behind the newest counts are kept.
-const talliesKept = 6
+// tallyWindowRetention is how many windows before the newest one have their counts
+// retained.
+const tallyWindowRetention = 6
 
-// tallies are the counts of gateways that are not settled yet, by window.
+// tallies holds gateways' usage counts that are not settled yet, by window.
 type tallies struct {
 	windows map[int64]map[tallyKey]int64
 	newest  int64
 }
 
-// tallyKey names one count of a window.
+// tallyKey identifies one count of a window.
 type tallyKey struct {
 	gateway   string
 	life      uint64
 	workspace string
 }
 
-// keep takes counts, which only rise, and forgets old windows. Without any it
-// returns all that are kept.
-func (t *tallies) keep(m *protocol.TallyMsg) *protocol.TallyReply {
+// update merges counts, which only increase, and prunes old windows. Without rows in
+// the message, it returns all stored counts.
+func (t *tallies) update(m *protocol.TallyMsg) *protocol.TallyReply {
 	if len(m.Rows) == 0 {
 		return &protocol.TallyReply{Rows: t.list()}
 	}
@@ -36,13 +37,13 @@
 	}
 	if newest > t.newest {
 		t.newest = newest
-		t.forget()
+		t.prune()
 	}
 	return &protocol.TallyReply{}
 }
 
 func (t *tallies) add(r protocol.TallyRow) {
-	if r.Window < t.newest-talliesKept {
+	if r.Window < t.newest-tallyWindowRetention {
 		return
 	}
 	w := t.windows[r.Window]
@@ -57,16 +58,16 @@
 	w[k] = max(w[k], r.Count)
 }
 
-// forget drops the windows that are behind those that are kept.
-func (t *tallies) forget() {
+// prune drops windows that are past the retention.
+func (t *tallies) prune() {
 	for window := range t.windows {
-		if window < t.newest-talliesKept {
+		if window < t.newest-tallyWindowRetention {
 			delete(t.windows, window)
 		}
 	}
 }
 
-// list returns all counts in a fixed order.
+// list returns all counts in a deterministic order.
 func (t *tallies) list() []protocol.TallyRow {
 	var rows []protocol.TallyRow
 	for window, counts := range t.windows {
--- a/state/windows.go
+++ b/state/windows.go
@@ -6,22 +6,22 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// windowsKept is how many settled windows are kept behind the newest: more than
-// any report may be late.
-const windowsKept = 64
+// settledWindowRetention is how many settled windows before the newest one are
+// retained. It exceeds the delay of any report.
+const settledWindowRetention = 64
 
-// windows are the usage counts that are settled, by window. The first counts
-// that are settled for a window stay.
+// windows holds the settled usage counts by window. The first counts settled for a
+// window are final.
 type windows map[int64]*protocol.SettleUsageMsg
 
-// settle fixes a window's counts, or notes that their report was taken, and
-// returns what holds.
+// settle fixes the counts of a window unless they are settled already, records whether
+// the report was accepted, and returns the settled counts.
 func (w windows) settle(m *protocol.SettleUsageMsg) *protocol.SettleUsageReply {
 	row := w[m.Window]
 	if row == nil {
 		row = &protocol.SettleUsageMsg{Window: m.Window, Counts: m.Counts}
 		w[m.Window] = row
-		w.forget(m.Window)
+		w.prune(m.Window)
 	}
 	row.Sent = row.Sent || m.Sent
 	return &protocol.SettleUsageReply{Counts: row.Counts, Sent: row.Sent}
@@ -35,15 +35,15 @@
 	return &protocol.SettleUsageReply{Counts: row.Counts, Sent: row.Sent}
 }
 
-func (w windows) forget(newest int64) {
+func (w windows) prune(newest int64) {
 	for k := range w {
-		if k < newest-windowsKept {
+		if k < newest-settledWindowRetention {
 			delete(w, k)
 		}
 	}
 }
 
-// list returns copies of the rows in the order of their windows.
+// list returns copies of the rows, sorted by window.
 func (w windows) list() []protocol.SettleUsageMsg {
 	rows := make([]protocol.SettleUsageMsg, 0, len(w))
 	for _, row := range w {
