--- a/transport/forward/exchange.go
+++ b/transport/forward/exchange.go
@@ -30,14 +30,14 @@
 
 	index     *Index
 	route     *protocol.PathRoute
-	workspace *protocol.Tenancy // workspace is nil on a route that needs none.
+	workspace *protocol.WorkspaceSpec // workspace is nil on a route that needs none.
 	service   string
 	prefix    uint64
 	chain     []protocol.PromptLink // chain are the shared parts of the prompt.
 	newLinks  []uint32              // newLinks are the links that the present server was not known to hold.
 	lane      place.Lane
-	parts     protocol.LaneParts // parts say how the servers are parted between the lanes.
-	size      float64            // size is the prompt's length as a multiple of the mean one.
+	parts     protocol.LaneShares // parts say how the servers are parted between the lanes.
+	size      float64             // size is the prompt's length as a multiple of the mean one.
 	start     time.Time
 	deadline  time.Time
 
@@ -54,10 +54,10 @@
 	headed       bool                  // headed says that the head of the answer was written.
 	server       string
 
-	pace    protocol.Pace // pace is that of the server that answered last.
-	first   time.Duration // first is from the start to the first byte of the answer.
-	pieceAt time.Time     // pieceAt is when the last events were passed on.
-	gap     time.Duration // gap is the longest pause between two of them.
+	pace    protocol.Slowdown // pace is that of the server that answered last.
+	first   time.Duration     // first is from the start to the first byte of the answer.
+	pieceAt time.Time         // pieceAt is when the last events were passed on.
+	gap     time.Duration     // gap is the longest pause between two of them.
 }
 
 func newExchange(ctx context.Context, g *Gateway, req *fasthttp.Request, a *caller.Answer) *exchange {
