--- a/coordination/place/cell.go
+++ b/coordination/place/cell.go
@@ -20,8 +20,8 @@
 	rateWeight = 0.15
 )
 
-// Cell is one gateway's own knowledge of one server.
-type Cell struct {
+// ServerStats is one gateway's own knowledge of one server.
+type ServerStats struct {
 	mu          sync.Mutex // mu guards all below.
 	own         int        // own counts requests sent and not ended.
 	lastLoad    int        // lastLoad is the load that the server reported last, of all gateways.
@@ -37,14 +37,14 @@
 }
 
 // Began notes a request that is sent.
-func (c *Cell) Began() {
+func (c *ServerStats) Began() {
 	c.mu.Lock()
 	c.own++
 	c.mu.Unlock()
 }
 
 // Ended notes that one ended.
-func (c *Cell) Ended() {
+func (c *ServerStats) Ended() {
 	c.mu.Lock()
 	c.own--
 	c.mu.Unlock()
@@ -52,18 +52,18 @@
 
 // Reads notes a prompt that the server is to read, as a multiple of the mean
 // one, and Read that it has read it.
-func (c *Cell) Reads(prompt float64) {
+func (c *ServerStats) Reads(prompt float64) {
 	c.mu.Lock()
 	c.pending += prompt
 	c.mu.Unlock()
 }
 
 // Read notes that the server has read a prompt.
-func (c *Cell) Read(prompt float64) { c.Reads(-prompt) }
+func (c *ServerStats) Read(prompt float64) { c.Reads(-prompt) }
 
 // ReportedLoad notes what the server reported of its load: the requests that run there and
 // wait there, of all gateways.
-func (c *Cell) ReportedLoad(load int, now time.Time) {
+func (c *ServerStats) ReportedLoad(load int, now time.Time) {
 	c.mu.Lock()
 	c.lastLoad, c.lastLoadOwn, c.lastLoadAt = load, c.own, now
 	c.mu.Unlock()
@@ -71,7 +71,7 @@
 
 // report returns how many requests the server has from this gateway, which is
 // about to tell it.
-func (c *Cell) report() int {
+func (c *ServerStats) report() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.ownReported = c.own
@@ -81,7 +81,7 @@
 // shared notes the load from all gateways, in which this one's own is as it was
 // reported, and whether others distrust the server. It reports whether they do
 // since now.
-func (c *Cell) shared(load int, distrusted bool, now time.Time) (since bool) {
+func (c *ServerStats) shared(load int, distrusted bool, now time.Time) (since bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastLoad, c.lastLoadOwn, c.lastLoadAt = load, c.ownReported, now
@@ -94,7 +94,7 @@
 }
 
 // distrusts reports whether the server is passed over for failures that this gateway saw itself.
-func (c *Cell) distrusts(now time.Time) bool {
+func (c *ServerStats) distrusts(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return now.Before(c.until)
@@ -103,7 +103,7 @@
 // Failed notes a failure that speaks against the server, and reports whether the
 // server is passed over from now on. A hard one, such as a connection that cannot
 // be opened, counts at once.
-func (c *Cell) Failed(hard bool, now time.Time) (distrusted bool) {
+func (c *ServerStats) Failed(hard bool, now time.Time) (distrusted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	trusted := !now.Before(c.until)
@@ -122,7 +122,7 @@
 
 // Worked notes an answer that speaks for the server, and reports whether the
 // server had been passed over.
-func (c *Cell) Worked() (trusted bool) {
+func (c *ServerStats) Worked() (trusted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	trusted = !c.until.IsZero()
@@ -132,7 +132,7 @@
 }
 
 // Outstanding returns how many requests of this gateway the server has.
-func (c *Cell) Outstanding() int {
+func (c *ServerStats) Outstanding() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.own
@@ -140,19 +140,21 @@
 
 // Suspect reports whether the server failed lately, here or elsewhere, and is to
 // be passed over.
-func (c *Cell) Suspect(now time.Time) bool {
+func (c *ServerStats) Suspect(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.suspect(now)
 }
 
 // suspect needs c.mu.
-func (c *Cell) suspect(now time.Time) bool { return now.Before(c.until) || now.Before(c.byOthers) }
+func (c *ServerStats) suspect(now time.Time) bool {
+	return now.Before(c.until) || now.Before(c.byOthers)
+}
 
 // load estimates how many requests the server has, tells the prompts of mean length that
 // it has still to read and the part of its latest requests that failed, and reports
 // whether it is to be passed over. What it reported of its load fades as it grows old.
-func (c *Cell) load(now time.Time) (load, pending, failing float64, suspect bool) {
+func (c *ServerStats) load(now time.Time) (load, pending, failing float64, suspect bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	load = float64(c.own)
@@ -171,7 +173,7 @@
 
 // Leaves notes that the server is leaving and stops running after a time. The first
 // notice holds, since a later one may have been on the way for longer.
-func (c *Cell) Leaves(after time.Duration, now time.Time) {
+func (c *ServerStats) Leaves(after time.Duration, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.gone.IsZero() {
@@ -180,7 +182,7 @@
 }
 
 // runsUntil returns when a leaving server stops running; zero where that is not known.
-func (c *Cell) runsUntil() time.Time {
+func (c *ServerStats) runsUntil() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.gone
--- a/coordination/place/cell_test.go
+++ b/coordination/place/cell_test.go
@@ -7,7 +7,7 @@
 
 // TestDistrust walks through when a server is passed over, and for how long.
 func TestDistrust(t *testing.T) {
-	var soft, hard Cell
+	var soft, hard ServerStats
 	if soft.Failed(false, start) || soft.Suspect(start) {
 		t.Error("passed over after one failure that may be the request's own")
 	}
@@ -25,7 +25,7 @@
 // TestDistrustGrows checks that a server which fails again and again is passed
 // over for longer each time, up to a bound, and trusted at its first answer.
 func TestDistrustGrows(t *testing.T) {
-	var c Cell
+	var c ServerStats
 	last := time.Duration(0)
 	for range 12 {
 		c.Failed(true, start)
@@ -46,7 +46,7 @@
 // TestToldLoad checks that a load which a server told counts the requests of
 // others only, and less as it grows old.
 func TestToldLoad(t *testing.T) {
-	var c Cell
+	var c ServerStats
 	c.Began()
 	c.Began()
 	c.ReportedLoad(8, start) // Two are this gateway's.
--- a/coordination/place/place.go
+++ b/coordination/place/place.go
@@ -1,7 +1,7 @@
 // Package place chooses the backend server for one attempt of a request that
 // came by host and path.
 //
-// A [View] is an immutable snapshot of the servers; each has a [Cell] with this
+// A [View] is an immutable snapshot of the servers; each has a [ServerStats] with this
 // gateway's own counts and the load that the server reported last. [Choose] is a
 // function of both and of a message: it holds no clock and sends nothing.
 //
@@ -25,8 +25,8 @@
 // Server is one backend server in a view.
 type Server struct {
 	protocol.Instance
-	Hash     uint64 // Hash is of the identity, for rendezvous ranks.
-	Cell     *Cell  // Cell is shared by all views that hold the server.
+	Hash     uint64       // Hash is of the identity, for rendezvous ranks.
+	Cell     *ServerStats // Cell is shared by all views that hold the server.
 	location topology.Location
 	region   int    // region is the number of its region in the view; 0 where all are near.
 	order    uint64 // order is that in which the long lane takes servers, the highest first.
@@ -71,7 +71,7 @@
 		if old := before.Find(in.ID); old != nil && old.Address == in.Address {
 			s.Cell = old.Cell
 		} else {
-			s.Cell = &Cell{}
+			s.Cell = &ServerStats{}
 		}
 		v.byID[in.ID] = len(v.Servers)
 		v.index(&in, v.rollouts[in.Service])
