--- a/coordination/place/loads.go
+++ b/coordination/place/loads.go
@@ -122,7 +122,7 @@
 	}
 	var rows []protocol.ServerLoad
 	for i := range v.Servers {
-		if n := v.Servers[i].Cell.report(); n > 0 {
+		if n := v.Servers[i].Stats.report(); n > 0 {
 			rows = append(rows, protocol.ServerLoad{Server: v.Servers[i].ID, Running: n})
 		}
 	}
@@ -136,7 +136,7 @@
 	}
 	var ids []string
 	for i := range v.Servers {
-		if v.Servers[i].Cell.distrusts(now) {
+		if v.Servers[i].Stats.distrusts(now) {
 			ids = append(ids, v.Servers[i].ID)
 		}
 	}
@@ -152,7 +152,7 @@
 	}
 	var ids []string
 	for i, n := range loads {
-		if v.Servers[i].Cell.shared(int(n), bitSet(distrusted, i), now) {
+		if v.Servers[i].Stats.shared(int(n), bitSet(distrusted, i), now) {
 			ids = append(ids, v.Servers[i].ID)
 		}
 	}
--- a/coordination/place/loads_test.go
+++ b/coordination/place/loads_test.go
@@ -51,7 +51,7 @@
 // this one's own changes since its report on top.
 func TestSharedLoad(t *testing.T) {
 	v := fleet(2)
-	cell := v.Servers[1].Cell
+	cell := v.Servers[1].Stats
 	cell.Began()
 	cell.Began()
 	rows := v.Running()
@@ -132,21 +132,21 @@
 		t.Errorf("told again, it counts as new: %v", since)
 	}
 	for i := range v.Servers {
-		if got := v.Servers[i].Cell.Suspect(start); got != (i == 9) {
+		if got := v.Servers[i].Stats.Suspect(start); got != (i == 9) {
 			t.Errorf("server %d is suspect: %v", i, got)
 		}
 	}
 	if own := v.Distrusts(start); len(own) > 0 {
 		t.Errorf("the others' word is told on: %v", own)
 	}
-	if v.Servers[9].Cell.Suspect(start.Add(time.Millisecond + othersLast)) {
+	if v.Servers[9].Stats.Suspect(start.Add(time.Millisecond + othersLast)) {
 		t.Error("it is passed over though nobody renewed it")
 	}
 	v.Share(loads, nil, start)
-	if v.Servers[9].Cell.Suspect(start) {
+	if v.Servers[9].Stats.Suspect(start) {
 		t.Error("it is passed over though nobody distrusts it")
 	}
-	v.Servers[3].Cell.Failed(true, start)
+	v.Servers[3].Stats.Failed(true, start)
 	if own := v.Distrusts(start); len(own) != 1 || own[0] != v.Servers[3].ID {
 		t.Errorf("by its own word it passes over %v", own)
 	}
--- a/coordination/place/movetarget_test.go
+++ b/coordination/place/movetarget_test.go
@@ -19,11 +19,11 @@
 			s.Version = rapid.SampledFrom([]string{"1", "2"}).Draw(t, "version")
 			running := rapid.SampledFrom([]int{0, 8, 16}).Draw(t, "running")
 			for range running {
-				s.Cell.Began()
+				s.Stats.Began()
 			}
 			failed := rapid.Bool().Draw(t, "failed")
 			if failed {
-				s.Cell.Failed(true, start)
+				s.Stats.Failed(true, start)
 			}
 			fit[s.ID] = !s.Leaving && s.Version == v.Servers[0].Version && running < 16 && !failed
 		}
--- a/coordination/place/near.go
+++ b/coordination/place/near.go
@@ -51,7 +51,7 @@
 	failed := 0
 	for _, id := range m.Avoid {
 		s := v.Find(id)
-		if s != nil && v.topology.Distance(m.Domain, s.Domain) < topology.OtherRegion && s.Cell.Suspect(m.Now) {
+		if s != nil && v.topology.Distance(m.Domain, s.Domain) < topology.OtherRegion && s.Stats.Suspect(m.Now) {
 			failed++
 		}
 	}
--- a/coordination/place/near_test.go
+++ b/coordination/place/near_test.go
@@ -59,7 +59,7 @@
 					n = c.own
 				}
 				for range n {
-					v.Servers[i].Cell.Began()
+					v.Servers[i].Stats.Began()
 				}
 			}
 			i, ok := Choose(v, ChooseMsg{Service: "model", Domain: "b-1", Prefix: prefix, Rand: 5, Now: start})
@@ -79,10 +79,10 @@
 func TestRegionCutOff(t *testing.T) {
 	regions, now := threeRegions(), start
 	for name, cut := range map[string]func(*Server){
-		"suspect": func(s *Server) { s.Cell.Failed(true, now) },
+		"suspect": func(s *Server) { s.Stats.Failed(true, now) },
 		"leaving": func(s *Server) { s.Leaving = true },
 		"others distrust them": func(s *Server) {
-			s.Cell.shared(0, true, now)
+			s.Stats.shared(0, true, now)
 		},
 	} {
 		v := spreadOver(regions, 3, sixDomains...)
@@ -115,7 +115,7 @@
 		}
 		for i := range v.Servers {
 			v.Servers[i].Leaving = false
-			v.Servers[i].Cell.Worked()
+			v.Servers[i].Stats.Worked()
 		}
 		for _, prefix := range []uint64{0, 42} {
 			if got := at(LaneAny, prefix, now.Add(distrustMost)); got != "b" {
@@ -136,7 +136,7 @@
 		if regions.Region(s.Domain) != "b" {
 			continue
 		}
-		s.Cell.Failed(true, start)
+		s.Stats.Failed(true, start)
 		gone++
 		for _, prefix := range []uint64{0, 42} {
 			j, _ := Choose(v, ChooseMsg{Service: "model", Domain: "b-2", Prefix: prefix, Rand: 3, Now: start})
@@ -310,7 +310,7 @@
 					kept = append(kept, e)
 					continue
 				}
-				v.Servers[e.server].Cell.Ended()
+				v.Servers[e.server].Stats.Ended()
 			}
 			running = kept
 			for range poisson(rnd, 4.6) {
@@ -319,8 +319,8 @@
 					domain = sixDomains[rnd.IntN(2)]
 				}
 				i, _ := Choose(v, ChooseMsg{Service: "model", Domain: domain, Prefix: mix(uint64(rnd.IntN(40))), Rand: rnd.Uint64(), Now: now})
-				v.Servers[i].Cell.Began()
-				fullest = max(fullest, v.Servers[i].Cell.Outstanding())
+				v.Servers[i].Stats.Began()
+				fullest = max(fullest, v.Servers[i].Stats.Outstanding())
 				running = append(running, event{now.Add(500 * time.Millisecond), i})
 				sent++
 				if regions.Distance(domain, v.Servers[i].Domain) == topology.OtherRegion {
@@ -345,7 +345,7 @@
 		b.Run(fmt.Sprint(6*n), func(b *testing.B) {
 			v, rnd := spreadOver(threeRegions(), n, sixDomains...), rand.New(rand.NewPCG(1, 2))
 			for i := range v.Servers {
-				v.Servers[i].Cell.ReportedLoad(rnd.IntN(24), start)
+				v.Servers[i].Stats.ReportedLoad(rnd.IntN(24), start)
 			}
 			for i := 0; b.Loop(); i++ {
 				Choose(v, ChooseMsg{Service: "model", Domain: "b-1", Prefix: mix(uint64(i)), Lane: LaneLong + Lane(i%2), Parts: protocol.LaneParts{Tokens: 0.6}, Now: start})
@@ -369,12 +369,12 @@
 					own = 16
 				}
 				for range own {
-					v.Servers[r.index].Cell.Began()
+					v.Servers[r.index].Stats.Began()
 				}
 			}
 			i, ok := Choose(v, m)
-			if s := &v.Servers[i]; !ok || s.location.Region != "b" || s.Cell.Outstanding() != 0 {
-				t.Errorf("lane %d, prefix %d: %s has %d requests, want an idle server of region b", lane, prefix, s.ID, s.Cell.Outstanding())
+			if s := &v.Servers[i]; !ok || s.location.Region != "b" || s.Stats.Outstanding() != 0 {
+				t.Errorf("lane %d, prefix %d: %s has %d requests, want an idle server of region b", lane, prefix, s.ID, s.Stats.Outstanding())
 			}
 		}
 	}
@@ -415,11 +415,11 @@
 	for i := range v.Servers {
 		s := &v.Servers[i]
 		if s.location.Region == "b" {
-			s.Cell.Failed(true, start)
+			s.Stats.Failed(true, start)
 			continue
 		}
 		for range s.Width() {
-			s.Cell.Began()
+			s.Stats.Began()
 		}
 	}
 	for _, prefix := range []uint64{0, 42} {
@@ -441,7 +441,7 @@
 				s := &v.Servers[i]
 				for range s.Width() {
 					if full && s.location.Region != "b" {
-						s.Cell.Began()
+						s.Stats.Began()
 					}
 				}
 			}
@@ -455,7 +455,7 @@
 				if across := s.location.Region != "b"; across != (try == leaveAfter && !full) {
 					t.Errorf("others full %v, prefix %d, attempt %d: taken from %s", full, prefix, try+1, s.Domain)
 				}
-				s.Cell.Failed(true, start)
+				s.Stats.Failed(true, start)
 				m.Avoid = append(m.Avoid, s.ID)
 			}
 		}
--- a/coordination/place/place.go
+++ b/coordination/place/place.go
@@ -26,7 +26,7 @@
 type Server struct {
 	protocol.Instance
 	Hash     uint64       // Hash is of the identity, for rendezvous ranks.
-	Cell     *ServerStats // Cell is shared by all views that hold the server.
+	Stats    *ServerStats // Cell is shared by all views that hold the server.
 	location topology.Location
 	region   int    // region is the number of its region in the view; 0 where all are near.
 	order    uint64 // order is that in which the long lane takes servers, the highest first.
@@ -69,9 +69,9 @@
 		s := Server{Instance: in, Hash: xxhash.Sum64String(in.ID), location: v.topology.Location(in.Domain)}
 		s.order = mix(laneSeed ^ s.Hash)
 		if old := before.Find(in.ID); old != nil && old.Address == in.Address {
-			s.Cell = old.Cell
+			s.Stats = old.Stats
 		} else {
-			s.Cell = &ServerStats{}
+			s.Stats = &ServerStats{}
 		}
 		v.byID[in.ID] = len(v.Servers)
 		v.index(&in, v.rollouts[in.Service])
@@ -210,7 +210,7 @@
 
 // leavingCandidates returns those that are leaving and run for long enough.
 func leavingCandidates(v *View, m ChooseMsg) []row {
-	return eligible(v, v.Service(m.Service), m, func(s *Server) bool { return s.Leaving && s.Cell.runsUntil().Sub(m.Now) > leaveMargin })
+	return eligible(v, v.Service(m.Service), m, func(s *Server) bool { return s.Leaving && s.Stats.runsUntil().Sub(m.Now) > leaveMargin })
 }
 
 func eligible(v *View, list []int, m ChooseMsg, may func(*Server) bool) []row {
@@ -220,8 +220,8 @@
 		if !may(s) || slices.Contains(m.Avoid, s.ID) {
 			continue
 		}
-		load, pending, failing, suspect := s.Cell.load(m.Now)
-		if m.Most > 0 && s.Cell.Outstanding() >= m.Most {
+		load, pending, failing, suspect := s.Stats.load(m.Now)
+		if m.Most > 0 && s.Stats.Outstanding() >= m.Most {
 			continue
 		}
 		load += pendingLoad * pending * float64(s.Width())
--- a/coordination/place/place_test.go
+++ b/coordination/place/place_test.go
@@ -49,10 +49,10 @@
 			}
 			own := rapid.IntRange(0, 4).Draw(t, "own")
 			for range own {
-				s.Cell.Began()
+				s.Stats.Began()
 			}
 			if rapid.Bool().Draw(t, "failed") {
-				s.Cell.Failed(true, start)
+				s.Stats.Failed(true, start)
 			}
 			if !s.Leaving && !avoided && (m.Most == 0 || own < m.Most) {
 				left++
@@ -71,8 +71,8 @@
 				t.Fatalf("%s was to be avoided", id)
 			}
 		}
-		if s.Leaving || (m.Most > 0 && s.Cell.Outstanding() >= m.Most) {
-			t.Fatalf("chosen %+v with %d outstanding of %d", s, s.Cell.Outstanding(), m.Most)
+		if s.Leaving || (m.Most > 0 && s.Stats.Outstanding() >= m.Most) {
+			t.Fatalf("chosen %+v with %d outstanding of %d", s, s.Stats.Outstanding(), m.Most)
 		}
 	})
 }
@@ -110,7 +110,7 @@
 	m := ChooseMsg{Service: "model", Prefix: 42, Now: start}
 	home, _ := Choose(v, m)
 	for n := 1; ; n++ {
-		v.Servers[home].Cell.Began()
+		v.Servers[home].Stats.Began()
 		if i, _ := Choose(v, m); i != home {
 			if n > 4 {
 				t.Errorf("left its server only at %d requests", n)
@@ -129,14 +129,14 @@
 		now = now.Add(20 * time.Millisecond)
 		i, _ := Choose(v, ChooseMsg{Service: "model", Rand: uint64(n) * 0x9e3779b97f4a7c15, Now: now})
 		if i != 0 {
-			v.Servers[i].Cell.Worked()
+			v.Servers[i].Stats.Worked()
 			continue
 		}
 		bad++
 		if n%2 == 0 {
-			v.Servers[i].Cell.Failed(false, now)
+			v.Servers[i].Stats.Failed(false, now)
 		} else {
-			v.Servers[i].Cell.Worked()
+			v.Servers[i].Stats.Worked()
 		}
 	}
 	if bad > 40 {
@@ -153,7 +153,7 @@
 		t.Errorf("chosen %d, want the own domain's", i)
 	}
 	for range 4 {
-		v.Servers[2].Cell.Began()
+		v.Servers[2].Stats.Began()
 	}
 	if i, _ := Choose(v, m); i == 2 {
 		t.Error("the own domain's was taken though it is a quarter full")
@@ -206,14 +206,14 @@
 // known of it, and that one with its address does not get it.
 func TestNewViewKeepsCells(t *testing.T) {
 	before := fleet(3)
-	before.Servers[1].Cell.Began()
+	before.Servers[1].Stats.Began()
 	list := []protocol.Instance{before.Servers[1].Instance, before.Servers[2].Instance}
 	list[1].ID = "another"
 	after := NewView(list, before)
-	if after.Servers[0].Cell.Outstanding() != 1 {
+	if after.Servers[0].Stats.Outstanding() != 1 {
 		t.Error("what was known of a server is lost")
 	}
-	if after.Servers[1].Cell == before.Servers[2].Cell {
+	if after.Servers[1].Stats == before.Servers[2].Stats {
 		t.Error("a server got what was known of another one at its address")
 	}
 }
@@ -234,10 +234,10 @@
 // another address begins without what was known of it.
 func TestNewAddressIsUnknown(t *testing.T) {
 	before := fleet(1)
-	before.Servers[0].Cell.Failed(true, start)
+	before.Servers[0].Stats.Failed(true, start)
 	in := before.Servers[0].Instance
 	in.Address = "10.9.9.9:80"
-	if NewView([]protocol.Instance{in}, before).Servers[0].Cell.Suspect(start) {
+	if NewView([]protocol.Instance{in}, before).Servers[0].Stats.Suspect(start) {
 		t.Error("a new server is passed over for what another did")
 	}
 }
@@ -273,10 +273,10 @@
 	} {
 		v := NewView([]protocol.Instance{{ID: "stays", Service: "model", Slots: 2}, {ID: "leaving", Service: "model", Slots: 2, Leaving: true}}, nil)
 		if c.left > 0 {
-			v.Find("leaving").Cell.Leaves(c.left, start)
+			v.Find("leaving").Stats.Leaves(c.left, start)
 		}
 		if c.full {
-			v.Find("stays").Cell.ReportedLoad(2, start.Add(c.since))
+			v.Find("stays").Stats.ReportedLoad(2, start.Add(c.since))
 		}
 		i, ok := Choose(v, ChooseMsg{Service: "model", Brief: c.brief, Now: start.Add(c.since)})
 		if !ok || v.Servers[i].ID != c.want {
--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -109,7 +109,7 @@
 	conn.Count(&x.g.meters.distances.bytes[distance])
 	x.g.meters.distances.attempts[distance].Inc(1)
 	x.log.Info().Str("server", server.ID).Str("domain", server.Domain).Str("region", x.g.cfg.Topology.Region(server.Domain)).
-		Stringer("distance", distance).Int("outstanding", server.Cell.Outstanding()).Bool("placed", x.placed.Server != "").
+		Stringer("distance", distance).Int("outstanding", server.Stats.Outstanding()).Bool("placed", x.placed.Server != "").
 		Uint8("lane", uint8(x.lane)).Int("sent", x.state.Sent).Bool("kept", conn.Used()).
 		Int64("left", x.left().Milliseconds()).Dur("waited", clock.Since(x.start)).Str("go_on", x.copyName()).Msg("attempt")
 }
@@ -125,14 +125,14 @@
 
 // distrust notes a failure that speaks against a server.
 func (x *exchange) distrust(s *place.Server, hard bool) {
-	if s.Cell.Failed(hard, clock.Now()) {
-		x.log.Warn().Str("server", s.ID).Bool("hard", hard).Int("outstanding", s.Cell.Outstanding()).Msg("server distrusted")
+	if s.Stats.Failed(hard, clock.Now()) {
+		x.log.Warn().Str("server", s.ID).Bool("hard", hard).Int("outstanding", s.Stats.Outstanding()).Msg("server distrusted")
 	}
 }
 
 // trust notes an answer that speaks for a server.
 func (x *exchange) trust(s *place.Server) {
-	if s.Cell.Worked() {
+	if s.Stats.Worked() {
 		x.log.Info().Str("server", s.ID).Msg("server trusted again")
 	}
 }
@@ -166,8 +166,8 @@
 func (t *try) run() *protocol.Refusal {
 	x := t.x
 	x.g.meters.attempts.Inc(1)
-	t.server.Cell.Began()
-	t.server.Cell.Reads(x.size)
+	t.server.Stats.Began()
+	t.server.Stats.Reads(x.size)
 	x.takesSlot(t.server.Width())
 	t.beginBytes()
 	stop := context.AfterFunc(x.ctx, t.conn.Close)
@@ -217,7 +217,7 @@
 	t.left = true
 	t.untrack()
 	t.hasRead()
-	t.server.Cell.Ended()
+	t.server.Stats.Ended()
 	t.x.givesBack(time.Since(t.began), t.server.Width())
 	t.endBytes()
 }
@@ -229,7 +229,7 @@
 		if t.running != nil {
 			t.running.begun.Store(true)
 		}
-		t.server.Cell.Read(t.x.size)
+		t.server.Stats.Read(t.x.size)
 	}
 }
 
@@ -293,7 +293,7 @@
 func (t *try) answered(stop func() bool) *protocol.Refusal {
 	x, status := t.x, t.x.resp.StatusCode()
 	if t.reply.Load.Known {
-		t.server.Cell.ReportedLoad(t.reply.Load.Requests, clock.Now())
+		t.server.Stats.ReportedLoad(t.reply.Load.Requests, clock.Now())
 	}
 	x.pace = t.reply.Load.Pace
 	if t.reply.ID != "" && t.reply.ID != x.call.ID {
--- a/transport/forward/copy.go
+++ b/transport/forward/copy.go
@@ -61,7 +61,7 @@
 func (x *exchange) copyFrom(at *place.Server, now time.Time) string {
 	view := x.g.view.Load()
 	may := func(s *place.Server) bool {
-		return s.ID != at.ID && s.Service == at.Service && s.Version == at.Version && !s.Cell.Suspect(now)
+		return s.ID != at.ID && s.Service == at.Service && s.Version == at.Version && !s.Stats.Suspect(now)
 	}
 	if x.placed.Server != "" {
 		if holder := view.Find(x.placed.Holder); holder != nil && may(holder) {
--- a/transport/forward/exchange.go
+++ b/transport/forward/exchange.go
@@ -243,7 +243,7 @@
 	}
 	x.placed = reply
 	s := view.Find(reply.Server)
-	if s == nil || s.Leaving || s.Cell.Suspect(clock.Now()) {
+	if s == nil || s.Leaving || s.Stats.Suspect(clock.Now()) {
 		x.ended()
 		return nil
 	}
--- a/transport/forward/move_test.go
+++ b/transport/forward/move_test.go
@@ -375,7 +375,7 @@
 				f.mu.Unlock()
 				f.awaitFreed()
 				for _, id := range []string{"a", "b", "c"} {
-					if c.do.target == 421 && f.w.g.view.Load().Find(id).Cell.Suspect(clock.Now()) {
+					if c.do.target == 421 && f.w.g.view.Load().Find(id).Stats.Suspect(clock.Now()) {
 						t.Errorf("%s is distrusted for its weights", id)
 					}
 				}
--- a/transport/forward/room_test.go
+++ b/transport/forward/room_test.go
@@ -51,8 +51,8 @@
 		if got := w.ask(); got.status != 502 || got.verdict != "may-have-run" || b.runs.Load() != 1 {
 			t.Errorf("chunked %v: beyond the share: %+v after %d runs", chunked, got, b.runs.Load())
 		}
-		if s := w.g.view.Load().Find("a"); s.Cell.Suspect(clock.Now()) || s.Cell.Outstanding() != 0 {
-			t.Errorf("the server is blamed (%v), or has %d requests", s.Cell.Suspect(clock.Now()), s.Cell.Outstanding())
+		if s := w.g.view.Load().Find("a"); s.Stats.Suspect(clock.Now()) || s.Stats.Outstanding() != 0 {
+			t.Errorf("the server is blamed (%v), or has %d requests", s.Stats.Suspect(clock.Now()), s.Stats.Outstanding())
 		}
 	}
 	// What was given back is counted as the connection ends, which its caller may see
@@ -118,7 +118,7 @@
 		defer slow.Close()
 		_ = slow.(*net.TCPConn).SetReadBuffer(32 << 10)
 		_, _ = io.WriteString(slow, "POST /r/x HTTP/1.1\r\nHost: h\r\nId: 7\r\nContent-Length: 0\r\n\r\n")
-		cell := w.g.view.Load().Find("a").Cell
+		cell := w.g.view.Load().Find("a").Stats
 		for end := time.Now().Add(patience); w.g.meters.answered.Count() == 0 || cell.Outstanding() > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("route kind %v: the server has %d requests", kind, cell.Outstanding())
@@ -253,7 +253,7 @@
 	if got := w.ask(); got.status != 503 || got.verdict != "not-run" || got.retry == "" {
 		t.Errorf("got %+v", got)
 	}
-	if w.g.view.Load().Find("a").Cell.Suspect(clock.Now()) {
+	if w.g.view.Load().Find("a").Stats.Suspect(clock.Now()) {
 		t.Error("the server is blamed")
 	}
 	close(release)
--- a/transport/forward/says_test.go
+++ b/transport/forward/says_test.go
@@ -38,7 +38,7 @@
 			t.Fatalf("got %+v", got)
 		}
 	}
-	if w.g.view.Load().Find("tired").Cell.Suspect(clock.Now()) {
+	if w.g.view.Load().Find("tired").Stats.Suspect(clock.Now()) {
 		t.Error("the server is distrusted")
 	}
 	asked := time.Now()
@@ -93,7 +93,7 @@
 	}
 	other := w.g.view.Load().Find("other@1")
 	for range 100 {
-		other.Cell.Began() // It has more to do than it does at once.
+		other.Stats.Began() // It has more to do than it does at once.
 	}
 	ask := func(when string) {
 		t.Helper()
