--- a/coordination/place/cell.go
+++ b/coordination/place/cell.go
@@ -36,8 +36,8 @@
 	rate        float64   // rate is the part of the latest requests that failed.
 }
 
-// Began notes a request that is sent.
-func (c *ServerStats) Began() {
+// RequestStarted notes a request that is sent.
+func (c *ServerStats) RequestStarted() {
 	c.mu.Lock()
 	c.own++
 	c.mu.Unlock()
--- a/coordination/place/cell_test.go
+++ b/coordination/place/cell_test.go
@@ -47,8 +47,8 @@
 // others only, and less as it grows old.
 func TestToldLoad(t *testing.T) {
 	var c ServerStats
-	c.Began()
-	c.Began()
+	c.RequestStarted()
+	c.RequestStarted()
 	c.ReportedLoad(8, start) // Two are this gateway's.
 	c.Ended()
 	for age, want := range map[time.Duration]float64{0: 7, reportHalf: 4} {
--- a/coordination/place/loads_test.go
+++ b/coordination/place/loads_test.go
@@ -52,13 +52,13 @@
 func TestSharedLoad(t *testing.T) {
 	v := fleet(2)
 	cell := v.Servers[1].Stats
-	cell.Began()
-	cell.Began()
+	cell.RequestStarted()
+	cell.RequestStarted()
 	rows := v.Running()
 	if diff := cmp.Diff([]protocol.ServerLoad{{Server: "server-1", Running: 2}}, rows); diff != "" {
 		t.Fatal(diff)
 	}
-	cell.Began() // Behind the report, so the leader does not know of it.
+	cell.RequestStarted() // Behind the report, so the leader does not know of it.
 	v.Share([]byte{0, 7}, nil, start)
 	if load, _, _, _ := cell.load(start); load != 8 {
 		t.Errorf("the load is %v, want the 7 that were told and one more", load)
--- a/coordination/place/movetarget_test.go
+++ b/coordination/place/movetarget_test.go
@@ -19,7 +19,7 @@
 			s.Version = rapid.SampledFrom([]string{"1", "2"}).Draw(t, "version")
 			running := rapid.SampledFrom([]int{0, 8, 16}).Draw(t, "running")
 			for range running {
-				s.Stats.Began()
+				s.Stats.RequestStarted()
 			}
 			failed := rapid.Bool().Draw(t, "failed")
 			if failed {
--- a/coordination/place/near_test.go
+++ b/coordination/place/near_test.go
@@ -59,7 +59,7 @@
 					n = c.own
 				}
 				for range n {
-					v.Servers[i].Stats.Began()
+					v.Servers[i].Stats.RequestStarted()
 				}
 			}
 			i, ok := Choose(v, ChooseMsg{Service: "model", Domain: "b-1", Prefix: prefix, Rand: 5, Now: start})
@@ -319,7 +319,7 @@
 					domain = sixDomains[rnd.IntN(2)]
 				}
 				i, _ := Choose(v, ChooseMsg{Service: "model", Domain: domain, Prefix: mix(uint64(rnd.IntN(40))), Rand: rnd.Uint64(), Now: now})
-				v.Servers[i].Stats.Began()
+				v.Servers[i].Stats.RequestStarted()
 				fullest = max(fullest, v.Servers[i].Stats.Outstanding())
 				running = append(running, event{now.Add(500 * time.Millisecond), i})
 				sent++
@@ -369,7 +369,7 @@
 					own = 16
 				}
 				for range own {
-					v.Servers[r.index].Stats.Began()
+					v.Servers[r.index].Stats.RequestStarted()
 				}
 			}
 			i, ok := Choose(v, m)
@@ -419,7 +419,7 @@
 			continue
 		}
 		for range s.Width() {
-			s.Stats.Began()
+			s.Stats.RequestStarted()
 		}
 	}
 	for _, prefix := range []uint64{0, 42} {
@@ -441,7 +441,7 @@
 				s := &v.Servers[i]
 				for range s.Width() {
 					if full && s.location.Region != "b" {
-						s.Stats.Began()
+						s.Stats.RequestStarted()
 					}
 				}
 			}
--- a/coordination/place/place_test.go
+++ b/coordination/place/place_test.go
@@ -49,7 +49,7 @@
 			}
 			own := rapid.IntRange(0, 4).Draw(t, "own")
 			for range own {
-				s.Stats.Began()
+				s.Stats.RequestStarted()
 			}
 			if rapid.Bool().Draw(t, "failed") {
 				s.Stats.Failed(true, start)
@@ -110,7 +110,7 @@
 	m := ChooseMsg{Service: "model", Prefix: 42, Now: start}
 	home, _ := Choose(v, m)
 	for n := 1; ; n++ {
-		v.Servers[home].Stats.Began()
+		v.Servers[home].Stats.RequestStarted()
 		if i, _ := Choose(v, m); i != home {
 			if n > 4 {
 				t.Errorf("left its server only at %d requests", n)
@@ -153,7 +153,7 @@
 		t.Errorf("chosen %d, want the own domain's", i)
 	}
 	for range 4 {
-		v.Servers[2].Stats.Began()
+		v.Servers[2].Stats.RequestStarted()
 	}
 	if i, _ := Choose(v, m); i == 2 {
 		t.Error("the own domain's was taken though it is a quarter full")
@@ -206,7 +206,7 @@
 // known of it, and that one with its address does not get it.
 func TestNewViewKeepsCells(t *testing.T) {
 	before := fleet(3)
-	before.Servers[1].Stats.Began()
+	before.Servers[1].Stats.RequestStarted()
 	list := []protocol.Instance{before.Servers[1].Instance, before.Servers[2].Instance}
 	list[1].ID = "another"
 	after := NewView(list, before)
--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -166,7 +166,7 @@
 func (t *try) run() *protocol.Refusal {
 	x := t.x
 	x.g.meters.attempts.Inc(1)
-	t.server.Stats.Began()
+	t.server.Stats.RequestStarted()
 	t.server.Stats.Reads(x.size)
 	x.takesSlot(t.server.Width())
 	t.beginBytes()
--- a/transport/forward/says_test.go
+++ b/transport/forward/says_test.go
@@ -93,7 +93,7 @@
 	}
 	other := w.g.view.Load().Find("other@1")
 	for range 100 {
-		other.Stats.Began() // It has more to do than it does at once.
+		other.Stats.RequestStarted() // It has more to do than it does at once.
 	}
 	ask := func(when string) {
 		t.Helper()
