--- a/coordination/place/cell.go
+++ b/coordination/place/cell.go
@@ -43,8 +43,8 @@
 	c.mu.Unlock()
 }
 
-// Ended notes that one ended.
-func (c *ServerStats) Ended() {
+// RequestEnded notes that one ended.
+func (c *ServerStats) RequestEnded() {
 	c.mu.Lock()
 	c.own--
 	c.mu.Unlock()
--- a/coordination/place/cell_test.go
+++ b/coordination/place/cell_test.go
@@ -50,7 +50,7 @@
 	c.RequestStarted()
 	c.RequestStarted()
 	c.ReportedLoad(8, start) // Two are this gateway's.
-	c.Ended()
+	c.RequestEnded()
 	for age, want := range map[time.Duration]float64{0: 7, reportHalf: 4} {
 		if got, _, _, _ := c.load(start.Add(age)); got != want {
 			t.Errorf("after %v the load is %v, want %v", age, got, want)
--- a/coordination/place/loads_test.go
+++ b/coordination/place/loads_test.go
@@ -63,9 +63,9 @@
 	if load, _, _, _ := cell.load(start); load != 8 {
 		t.Errorf("the load is %v, want the 7 that were told and one more", load)
 	}
-	cell.Ended()
-	cell.Ended()
-	cell.Ended()
+	cell.RequestEnded()
+	cell.RequestEnded()
+	cell.RequestEnded()
 	if load, _, _, _ := cell.load(start); load != 5 {
 		t.Errorf("the load is %v, want the 5 of others", load)
 	}
--- a/coordination/place/near_test.go
+++ b/coordination/place/near_test.go
@@ -310,7 +310,7 @@
 					kept = append(kept, e)
 					continue
 				}
-				v.Servers[e.server].Stats.Ended()
+				v.Servers[e.server].Stats.RequestEnded()
 			}
 			running = kept
 			for range poisson(rnd, 4.6) {
--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -217,7 +217,7 @@
 	t.left = true
 	t.untrack()
 	t.hasRead()
-	t.server.Stats.Ended()
+	t.server.Stats.RequestEnded()
 	t.x.givesBack(time.Since(t.began), t.server.Width())
 	t.endBytes()
 }
