--- a/coordination/place/cell.go
+++ b/coordination/place/cell.go
@@ -100,10 +100,10 @@
 	return now.Before(c.until)
 }
 
-// Failed notes a failure that speaks against the server, and reports whether the
+// RequestFailed notes a failure that speaks against the server, and reports whether the
 // server is passed over from now on. A hard one, such as a connection that cannot
 // be opened, counts at once.
-func (c *ServerStats) Failed(hard bool, now time.Time) (distrusted bool) {
+func (c *ServerStats) RequestFailed(hard bool, now time.Time) (distrusted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	trusted := !now.Before(c.until)
--- a/coordination/place/cell_test.go
+++ b/coordination/place/cell_test.go
@@ -8,13 +8,13 @@
 // TestDistrust walks through when a server is passed over, and for how long.
 func TestDistrust(t *testing.T) {
 	var soft, hard ServerStats
-	if soft.Failed(false, start) || soft.Suspect(start) {
+	if soft.RequestFailed(false, start) || soft.Suspect(start) {
 		t.Error("passed over after one failure that may be the request's own")
 	}
-	if !soft.Failed(false, start) || !soft.Suspect(start) {
+	if !soft.RequestFailed(false, start) || !soft.Suspect(start) {
 		t.Error("not passed over after two in a row")
 	}
-	if !hard.Failed(true, start) || !hard.Suspect(start) {
+	if !hard.RequestFailed(true, start) || !hard.Suspect(start) {
 		t.Error("not passed over after a hard failure")
 	}
 	if hard.Suspect(start.Add(distrustFirst)) {
@@ -28,7 +28,7 @@
 	var c ServerStats
 	last := time.Duration(0)
 	for range 12 {
-		c.Failed(true, start)
+		c.RequestFailed(true, start)
 		wait := c.until.Sub(start)
 		if wait < last || wait > distrustMost || (wait == last && wait != distrustMost) {
 			t.Fatalf("passed over for %v after %v", wait, last)
--- a/coordination/place/loads_test.go
+++ b/coordination/place/loads_test.go
@@ -146,7 +146,7 @@
 	if v.Servers[9].Stats.Suspect(start) {
 		t.Error("it is passed over though nobody distrusts it")
 	}
-	v.Servers[3].Stats.Failed(true, start)
+	v.Servers[3].Stats.RequestFailed(true, start)
 	if own := v.Distrusts(start); len(own) != 1 || own[0] != v.Servers[3].ID {
 		t.Errorf("by its own word it passes over %v", own)
 	}
--- a/coordination/place/movetarget_test.go
+++ b/coordination/place/movetarget_test.go
@@ -23,7 +23,7 @@
 			}
 			failed := rapid.Bool().Draw(t, "failed")
 			if failed {
-				s.Stats.Failed(true, start)
+				s.Stats.RequestFailed(true, start)
 			}
 			fit[s.ID] = !s.Leaving && s.Version == v.Servers[0].Version && running < 16 && !failed
 		}
--- a/coordination/place/near_test.go
+++ b/coordination/place/near_test.go
@@ -79,7 +79,7 @@
 func TestRegionCutOff(t *testing.T) {
 	regions, now := threeRegions(), start
 	for name, cut := range map[string]func(*Server){
-		"suspect": func(s *Server) { s.Stats.Failed(true, now) },
+		"suspect": func(s *Server) { s.Stats.RequestFailed(true, now) },
 		"leaving": func(s *Server) { s.Leaving = true },
 		"others distrust them": func(s *Server) {
 			s.Stats.shared(0, true, now)
@@ -136,7 +136,7 @@
 		if regions.Region(s.Domain) != "b" {
 			continue
 		}
-		s.Stats.Failed(true, start)
+		s.Stats.RequestFailed(true, start)
 		gone++
 		for _, prefix := range []uint64{0, 42} {
 			j, _ := Choose(v, ChooseMsg{Service: "model", Domain: "b-2", Prefix: prefix, Rand: 3, Now: start})
@@ -415,7 +415,7 @@
 	for i := range v.Servers {
 		s := &v.Servers[i]
 		if s.location.Region == "b" {
-			s.Stats.Failed(true, start)
+			s.Stats.RequestFailed(true, start)
 			continue
 		}
 		for range s.Width() {
@@ -455,7 +455,7 @@
 				if across := s.location.Region != "b"; across != (try == leaveAfter && !full) {
 					t.Errorf("others full %v, prefix %d, attempt %d: taken from %s", full, prefix, try+1, s.Domain)
 				}
-				s.Stats.Failed(true, start)
+				s.Stats.RequestFailed(true, start)
 				m.Avoid = append(m.Avoid, s.ID)
 			}
 		}
--- a/coordination/place/place_test.go
+++ b/coordination/place/place_test.go
@@ -52,7 +52,7 @@
 				s.Stats.RequestStarted()
 			}
 			if rapid.Bool().Draw(t, "failed") {
-				s.Stats.Failed(true, start)
+				s.Stats.RequestFailed(true, start)
 			}
 			if !s.Leaving && !avoided && (m.Most == 0 || own < m.Most) {
 				left++
@@ -134,7 +134,7 @@
 		}
 		bad++
 		if n%2 == 0 {
-			v.Servers[i].Stats.Failed(false, now)
+			v.Servers[i].Stats.RequestFailed(false, now)
 		} else {
 			v.Servers[i].Stats.Worked()
 		}
@@ -234,7 +234,7 @@
 // another address begins without what was known of it.
 func TestNewAddressIsUnknown(t *testing.T) {
 	before := fleet(1)
-	before.Servers[0].Stats.Failed(true, start)
+	before.Servers[0].Stats.RequestFailed(true, start)
 	in := before.Servers[0].Instance
 	in.Address = "10.9.9.9:80"
 	if NewView([]protocol.Instance{in}, before).Servers[0].Stats.Suspect(start) {
--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -125,7 +125,7 @@
 
 // distrust notes a failure that speaks against a server.
 func (x *exchange) distrust(s *place.Server, hard bool) {
-	if s.Stats.Failed(hard, clock.Now()) {
+	if s.Stats.RequestFailed(hard, clock.Now()) {
 		x.log.Warn().Str("server", s.ID).Bool("hard", hard).Int("outstanding", s.Stats.Outstanding()).Msg("server distrusted")
 	}
 }
--- a/transport/forward/forward_test.go
+++ b/transport/forward/forward_test.go
@@ -656,7 +656,7 @@
 		w.install(protocol.PathRoute{Attempts: 1})
 		a, b := w.backend("a", good), w.backend("b", good)
 		if c.fails {
-			w.g.view.Load().Find("b").Stats.Failed(true, clock.Now())
+			w.g.view.Load().Find("b").Stats.RequestFailed(true, clock.Now())
 		}
 		x := &exchange{g: w.g, placed: protocol.PlaceReply{Server: a.id, Holder: c.holder}}
 		at := w.g.view.Load().Find(a.id)
--- a/transport/forward/restart_test.go
+++ b/transport/forward/restart_test.go
@@ -83,7 +83,7 @@
 	w := newWorld(t)
 	w.install(protocol.PathRoute{Attempts: 1})
 	b := w.backend("a@1", good)
-	w.g.view.Load().Find("a@1").Stats.Failed(true, clock.Now())
+	w.g.view.Load().Find("a@1").Stats.RequestFailed(true, clock.Now())
 	former := append([]protocol.Instance(nil), w.servers...)
 	w.startsAgain(b, 2)
 	if s := w.g.view.Load().Find("a@2"); s == nil || s.Stats.Suspect(clock.Now()) {
