--- a/coordination/place/cell.go
+++ b/coordination/place/cell.go
@@ -120,9 +120,9 @@
 	return trusted
 }
 
-// Worked notes an answer that speaks for the server, and reports whether the
+// RequestSucceeded notes an answer that speaks for the server, and reports whether the
 // server had been passed over.
-func (c *ServerStats) Worked() (trusted bool) {
+func (c *ServerStats) RequestSucceeded() (trusted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	trusted = !c.until.IsZero()
--- a/coordination/place/cell_test.go
+++ b/coordination/place/cell_test.go
@@ -38,7 +38,7 @@
 	if last != distrustMost {
 		t.Errorf("passed over for %v in the end", last)
 	}
-	if !c.Worked() || c.Suspect(start) {
+	if !c.RequestSucceeded() || c.Suspect(start) {
 		t.Error("passed over after an answer")
 	}
 }
--- a/coordination/place/near_test.go
+++ b/coordination/place/near_test.go
@@ -115,7 +115,7 @@
 		}
 		for i := range v.Servers {
 			v.Servers[i].Leaving = false
-			v.Servers[i].Stats.Worked()
+			v.Servers[i].Stats.RequestSucceeded()
 		}
 		for _, prefix := range []uint64{0, 42} {
 			if got := at(LaneAny, prefix, now.Add(distrustMost)); got != "b" {
--- a/coordination/place/place_test.go
+++ b/coordination/place/place_test.go
@@ -129,14 +129,14 @@
 		now = now.Add(20 * time.Millisecond)
 		i, _ := Choose(v, ChooseMsg{Service: "model", Rand: uint64(n) * 0x9e3779b97f4a7c15, Now: now})
 		if i != 0 {
-			v.Servers[i].Stats.Worked()
+			v.Servers[i].Stats.RequestSucceeded()
 			continue
 		}
 		bad++
 		if n%2 == 0 {
 			v.Servers[i].Stats.RequestFailed(false, now)
 		} else {
-			v.Servers[i].Stats.Worked()
+			v.Servers[i].Stats.RequestSucceeded()
 		}
 	}
 	if bad > 40 {
--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -132,7 +132,7 @@
 
 // trust notes an answer that speaks for a server.
 func (x *exchange) trust(s *place.Server) {
-	if s.Stats.Worked() {
+	if s.Stats.RequestSucceeded() {
 		x.log.Info().Str("server", s.ID).Msg("server trusted again")
 	}
 }
