--- a/coordination/place/cell.go
+++ b/coordination/place/cell.go
@@ -50,16 +50,16 @@
 	c.mu.Unlock()
 }
 
-// Reads notes a prompt that the server is to read, as a multiple of the mean
+// PrefillStarted notes a prompt that the server is to read, as a multiple of the mean
 // one, and Read that it has read it.
-func (c *ServerStats) Reads(prompt float64) {
+func (c *ServerStats) PrefillStarted(prompt float64) {
 	c.mu.Lock()
 	c.pending += prompt
 	c.mu.Unlock()
 }
 
 // Read notes that the server has read a prompt.
-func (c *ServerStats) Read(prompt float64) { c.Reads(-prompt) }
+func (c *ServerStats) Read(prompt float64) { c.PrefillStarted(-prompt) }
 
 // ReportedLoad notes what the server reported of its load: the requests that run there and
 // wait there, of all gateways.
--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -167,7 +167,7 @@
 	x := t.x
 	x.g.meters.attempts.Inc(1)
 	t.server.Stats.RequestStarted()
-	t.server.Stats.Reads(x.size)
+	t.server.Stats.PrefillStarted(x.size)
 	x.takesSlot(t.server.Width())
 	t.beginBytes()
 	stop := context.AfterFunc(x.ctx, t.conn.Close)
