--- a/coordination/place/cell.go
+++ b/coordination/place/cell.go
@@ -58,8 +58,8 @@
 	c.mu.Unlock()
 }
 
-// Read notes that the server has read a prompt.
-func (c *ServerStats) Read(prompt float64) { c.PrefillStarted(-prompt) }
+// PrefillDone notes that the server has read a prompt.
+func (c *ServerStats) PrefillDone(prompt float64) { c.PrefillStarted(-prompt) }
 
 // ReportedLoad notes what the server reported of its load: the requests that run there and
 // wait there, of all gateways.
--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -229,7 +229,7 @@
 		if t.running != nil {
 			t.running.begun.Store(true)
 		}
-		t.server.Stats.Read(t.x.size)
+		t.server.Stats.PrefillDone(t.x.size)
 	}
 }
 
