--- a/coordination/place/cell.go
+++ b/coordination/place/cell.go
@@ -171,9 +171,9 @@
 // notice itself may come a second late.
 const leavingMost = 1500 * time.Millisecond
 
-// Leaves notes that the server is leaving and stops running after a time. The first
+// SetLeaving notes that the server is leaving and stops running after a time. The first
 // notice holds, since a later one may have been on the way for longer.
-func (c *ServerStats) Leaves(after time.Duration, now time.Time) {
+func (c *ServerStats) SetLeaving(after time.Duration, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.gone.IsZero() {
--- a/coordination/place/place_test.go
+++ b/coordination/place/place_test.go
@@ -273,7 +273,7 @@
 	} {
 		v := NewView([]protocol.Instance{{ID: "stays", Service: "model", Slots: 2}, {ID: "leaving", Service: "model", Slots: 2, Leaving: true}}, nil)
 		if c.left > 0 {
-			v.Find("leaving").Stats.Leaves(c.left, start)
+			v.Find("leaving").Stats.SetLeaving(c.left, start)
 		}
 		if c.full {
 			v.Find("stays").Stats.ReportedLoad(2, start.Add(c.since))
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -230,7 +230,7 @@
 			leaving++
 		}
 		if s.Leaving && s.LeftMS > 0 {
-			s.Stats.Leaves(time.Duration(s.LeftMS)*time.Millisecond, now)
+			s.Stats.SetLeaving(time.Duration(s.LeftMS)*time.Millisecond, now)
 		}
 	}
 	g.log.Info().Int("servers", len(view.Servers)).Int("leaving", leaving).Msg("list of servers")
