--- a/coordination/place/cell.go
+++ b/coordination/place/cell.go
@@ -61,9 +61,9 @@
 // PrefillDone notes that the server has read a prompt.
 func (c *ServerStats) PrefillDone(prompt float64) { c.PrefillStarted(-prompt) }
 
-// ReportedLoad notes what the server reported of its load: the requests that run there and
+// SetReportedLoad notes what the server reported of its load: the requests that run there and
 // wait there, of all gateways.
-func (c *ServerStats) ReportedLoad(load int, now time.Time) {
+func (c *ServerStats) SetReportedLoad(load int, now time.Time) {
 	c.mu.Lock()
 	c.lastLoad, c.lastLoadOwn, c.lastLoadAt = load, c.own, now
 	c.mu.Unlock()
--- a/coordination/place/cell_test.go
+++ b/coordination/place/cell_test.go
@@ -49,7 +49,7 @@
 	var c ServerStats
 	c.RequestStarted()
 	c.RequestStarted()
-	c.ReportedLoad(8, start) // Two are this gateway's.
+	c.SetReportedLoad(8, start) // Two are this gateway's.
 	c.RequestEnded()
 	for age, want := range map[time.Duration]float64{0: 7, reportHalf: 4} {
 		if got, _, _, _ := c.load(start.Add(age)); got != want {
--- a/coordination/place/near_test.go
+++ b/coordination/place/near_test.go
@@ -345,7 +345,7 @@
 		b.Run(fmt.Sprint(6*n), func(b *testing.B) {
 			v, rnd := spreadOver(threeRegions(), n, sixDomains...), rand.New(rand.NewPCG(1, 2))
 			for i := range v.Servers {
-				v.Servers[i].Stats.ReportedLoad(rnd.IntN(24), start)
+				v.Servers[i].Stats.SetReportedLoad(rnd.IntN(24), start)
 			}
 			for i := 0; b.Loop(); i++ {
 				Choose(v, ChooseMsg{Service: "model", Domain: "b-1", Prefix: mix(uint64(i)), Lane: LaneLong + Lane(i%2), Parts: protocol.LaneParts{Tokens: 0.6}, Now: start})
--- a/coordination/place/place_test.go
+++ b/coordination/place/place_test.go
@@ -276,7 +276,7 @@
 			v.Find("leaving").Stats.SetLeaving(c.left, start)
 		}
 		if c.full {
-			v.Find("stays").Stats.ReportedLoad(2, start.Add(c.since))
+			v.Find("stays").Stats.SetReportedLoad(2, start.Add(c.since))
 		}
 		i, ok := Choose(v, ChooseMsg{Service: "model", Brief: c.brief, Now: start.Add(c.since)})
 		if !ok || v.Servers[i].ID != c.want {
--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -293,7 +293,7 @@
 func (t *try) answered(stop func() bool) *protocol.Refusal {
 	x, status := t.x, t.x.resp.StatusCode()
 	if t.reply.Load.Known {
-		t.server.Stats.ReportedLoad(t.reply.Load.Requests, clock.Now())
+		t.server.Stats.SetReportedLoad(t.reply.Load.Requests, clock.Now())
 	}
 	x.pace = t.reply.Load.Pace
 	if t.reply.ID != "" && t.reply.ID != x.call.ID {
