--- a/coordination/place/holders.go
+++ b/coordination/place/holders.go
@@ -199,7 +199,7 @@
 // of a prompt; empty for none. The given holder has read all of them, and is kept where the
 // prompt does not name its links. Where it does, the best holder for the chosen server is
 // looked for, also among those that hold some of the parts.
-func (l *Ledger) source(v *View, at *Server, holder string, m PromptMsg, now time.Time) string {
+func (l *PromptScheduler) source(v *View, at *Server, holder string, m PromptMsg, now time.Time) string {
 	if m.Copies <= 0 || len(m.Chain) == 0 {
 		return holder
 	}
@@ -213,7 +213,7 @@
 }
 
 // NoteRead notes links that a server read for a gateway which placed the prompt by itself.
-func (l *Ledger) NoteRead(server string, links []uint32, now time.Time) {
+func (l *PromptScheduler) NoteRead(server string, links []uint32, now time.Time) {
 	for _, key := range links {
 		l.holders.note(server, linkKey(key), now)
 	}
--- a/coordination/place/ledger.go
+++ b/coordination/place/ledger.go
@@ -41,12 +41,12 @@
 	Took   time.Duration
 }
 
-// Ledger places the long prompts of all gateways. A server that reads a long
+// PromptScheduler places the long prompts of all gateways. A server that reads a long
 // prompt holds up every stream that it runs, so where the others are is what
 // matters most, and gateways that each know their own part cannot tell. The
 // leader of the control role keeps one ledger; a gateway that gets no answer
 // from it at once chooses by itself.
-type Ledger struct {
+type PromptScheduler struct {
 	loads    *Loads // loads are the requests of all gateways, those placed here among them.
 	servers  map[string]*book
 	placed   map[uint64]*stay
@@ -59,10 +59,12 @@
 }
 
 // LedgerOption changes a new ledger.
-type LedgerOption func(*Ledger)
+type LedgerOption func(*PromptScheduler)
 
 // WithTopology sets where the failure domains lie; without it they all are near.
-func WithTopology(t *topology.Topology) LedgerOption { return func(l *Ledger) { l.topology = t } }
+func WithTopology(t *topology.Topology) LedgerOption {
+	return func(l *PromptScheduler) { l.topology = t }
+}
 
 // book is what is known of one server.
 type book struct {
@@ -110,8 +112,8 @@
 )
 
 // NewLedger returns an empty ledger beside the loads of all gateways.
-func NewLedger(loads *Loads, opts ...LedgerOption) *Ledger {
-	l := &Ledger{loads: loads, servers: map[string]*book{}, placed: map[uint64]*stay{}, speed: firstSpeed, pace: firstPace}
+func NewLedger(loads *Loads, opts ...LedgerOption) *PromptScheduler {
+	l := &PromptScheduler{loads: loads, servers: map[string]*book{}, placed: map[uint64]*stay{}, speed: firstSpeed, pace: firstPace}
 	for _, opt := range opts {
 		opt(l)
 	}
@@ -120,7 +122,7 @@
 }
 
 // Place returns a server for a long prompt, or false where there is none.
-func (l *Ledger) Place(v *View, m PromptMsg, now time.Time) (Placed, bool) {
+func (l *PromptScheduler) Place(v *View, m PromptMsg, now time.Time) (Placed, bool) {
 	l.forget(now)
 	rows := inLane(v, candidates(v, ChooseMsg{Service: m.Service, Avoid: m.Avoid, Now: now}), ChooseMsg{Lane: LaneLong, Parts: m.Parts})
 	holder := l.holder(v, m, now)
@@ -146,7 +148,7 @@
 // holder returns the server that read the shared parts of a prompt last, one near the
 // gateway first, if the others can copy them from there. One that leaves still can be
 // copied from.
-func (l *Ledger) holder(v *View, m PromptMsg, now time.Time) string {
+func (l *PromptScheduler) holder(v *View, m PromptMsg, now time.Time) string {
 	if m.Copies <= 0 || m.Prefix == 0 {
 		return ""
 	}
@@ -166,7 +168,7 @@
 	return holder
 }
 
-func (l *Ledger) book(server string) *book {
+func (l *PromptScheduler) book(server string) *book {
 	b := l.servers[server]
 	if b == nil {
 		b = &book{stays: map[uint64]*stay{}, prefixes: map[uint64]time.Time{}}
@@ -177,7 +179,7 @@
 
 // uncached is how many tokens a server has to read of a prompt. What it can copy is
 // counted by the time that the copy takes.
-func (l *Ledger) uncached(b *book, m PromptMsg, copies bool, now time.Time) int {
+func (l *PromptScheduler) uncached(b *book, m PromptMsg, copies bool, now time.Time) int {
 	own := max(1, m.Prompt-m.Shared)
 	switch {
 	case b.holds(m.Prefix, now):
@@ -189,7 +191,7 @@
 }
 
 // copyPart is the time of a copy as a part of that of reading.
-func (l *Ledger) copyPart(m PromptMsg) float64 { return min(1, l.speed/m.Copies) }
+func (l *PromptScheduler) copyPart(m PromptMsg) float64 { return min(1, l.speed/m.Copies) }
 
 // holds reports whether the server has read a prefix lately.
 func (b *book) holds(prefix uint64, now time.Time) bool {
@@ -197,12 +199,12 @@
 	return ok && prefix != 0 && now.Sub(at) < prefixKept
 }
 
-func (l *Ledger) reading(tokens int) time.Duration {
+func (l *PromptScheduler) reading(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / l.speed * float64(time.Millisecond))
 }
 
 // cost is what placing a prompt at a server costs, in streams held up.
-func (l *Ledger) cost(s *Server, m PromptMsg, copies bool, now time.Time) float64 {
+func (l *PromptScheduler) cost(s *Server, m PromptMsg, copies bool, now time.Time) float64 {
 	b := l.book(s.ID)
 	wait := max(0, b.readUntil.Sub(now))
 	read := l.reading(l.uncached(b, m, copies, now))
@@ -245,7 +247,7 @@
 }
 
 // enter notes a request at a server.
-func (l *Ledger) enter(server, holder string, m PromptMsg, now time.Time) Placed {
+func (l *PromptScheduler) enter(server, holder string, m PromptMsg, now time.Time) Placed {
 	b := l.book(server)
 	if b.holds(m.Prefix, now) {
 		holder = ""
@@ -285,7 +287,7 @@
 }
 
 // Done notes that a placed request ended, and learns from how long it took.
-func (l *Ledger) Done(m DoneMsg) {
+func (l *PromptScheduler) Done(m DoneMsg) {
 	st := l.placed[m.Number]
 	if st == nil {
 		return
@@ -311,7 +313,7 @@
 	return learnWeight * diff
 }
 
-func (l *Ledger) drop(number uint64, st *stay) {
+func (l *PromptScheduler) drop(number uint64, st *stay) {
 	delete(l.placed, number)
 	delete(l.servers[st.server].stays, number)
 }
@@ -319,7 +321,7 @@
 // forgetAfter its expected end a request whose end was never reported is dropped.
 const forgetAfter = 2 * time.Second
 
-func (l *Ledger) forget(now time.Time) {
+func (l *PromptScheduler) forget(now time.Time) {
 	for number, st := range l.placed {
 		if now.Sub(st.ends) > forgetAfter {
 			l.drop(number, st)
@@ -328,10 +330,10 @@
 }
 
 // UnderWay returns how many requests were placed and have not ended.
-func (l *Ledger) UnderWay() int { return len(l.placed) }
+func (l *PromptScheduler) UnderWay() int { return len(l.placed) }
 
 // Keep drops the servers that are not listed any more.
-func (l *Ledger) Keep(v *View) {
+func (l *PromptScheduler) Keep(v *View) {
 	for id, b := range l.servers {
 		if v.Find(id) != nil {
 			continue
--- a/coordination/place/ledger_test.go
+++ b/coordination/place/ledger_test.go
@@ -16,7 +16,7 @@
 }
 
 // place places a prompt and fails the test where there is no place.
-func placeAt(t *testing.T, l *Ledger, v *View, m PromptMsg, now time.Time) Placed {
+func placeAt(t *testing.T, l *PromptScheduler, v *View, m PromptMsg, now time.Time) Placed {
 	t.Helper()
 	p, ok := l.Place(v, m, now)
 	if !ok {
@@ -92,21 +92,21 @@
 func TestLedgerNamesAHolder(t *testing.T) {
 	for name, c := range map[string]struct {
 		copies float64
-		change func(l *Ledger, list []protocol.Instance, first int) []protocol.Instance
+		change func(l *PromptScheduler, list []protocol.Instance, first int) []protocol.Instance
 		want   bool
 	}{
-		"it leaves": {500, func(_ *Ledger, list []protocol.Instance, i int) []protocol.Instance {
+		"it leaves": {500, func(_ *PromptScheduler, list []protocol.Instance, i int) []protocol.Instance {
 			list[i].Leaving = true
 			return list
 		}, true},
-		"nothing can be copied": {0, func(_ *Ledger, list []protocol.Instance, i int) []protocol.Instance {
+		"nothing can be copied": {0, func(_ *PromptScheduler, list []protocol.Instance, i int) []protocol.Instance {
 			list[i].Leaving = true
 			return list
 		}, false},
-		"it is gone": {500, func(_ *Ledger, list []protocol.Instance, i int) []protocol.Instance {
+		"it is gone": {500, func(_ *PromptScheduler, list []protocol.Instance, i int) []protocol.Instance {
 			return slices.Delete(list, i, i+1)
 		}, false},
-		"it fails": {500, func(l *Ledger, list []protocol.Instance, i int) []protocol.Instance {
+		"it fails": {500, func(l *PromptScheduler, list []protocol.Instance, i int) []protocol.Instance {
 			for _, gateway := range []string{"g", "h"} {
 				l.loads.Take(gateway, GatewayReport{Domain: "a", Distrusts: []string{list[i].ID}})
 			}
--- a/coordination/place/placements.go
+++ b/coordination/place/placements.go
@@ -17,7 +17,7 @@
 const mostFresh = 256
 
 // noteFresh keeps a place until it was sent to the other instances.
-func (l *Ledger) noteFresh(p Placed, m PromptMsg) {
+func (l *PromptScheduler) noteFresh(p Placed, m PromptMsg) {
 	st := l.placed[p.Number]
 	l.fresh = append(l.fresh, protocol.Placement{Server: p.Server, Prefix: m.Prefix, Tokens: st.tokens})
 	if len(l.fresh) > mostFresh {
@@ -26,7 +26,7 @@
 }
 
 // Fresh returns the places that were given since it was last asked.
-func (l *Ledger) Fresh() []protocol.Placement {
+func (l *PromptScheduler) Fresh() []protocol.Placement {
 	fresh := l.fresh
 	l.fresh = nil
 	return fresh
@@ -34,7 +34,7 @@
 
 // Note takes places that another instance gave. It does not learn when their requests end:
 // once its prompt is read, such a request counts by the server's load alone.
-func (l *Ledger) Note(rows []protocol.Placement, now time.Time) {
+func (l *PromptScheduler) Note(rows []protocol.Placement, now time.Time) {
 	for _, r := range rows {
 		b := l.book(r.Server)
 		from := now
--- a/transport/control/copies.go
+++ b/transport/control/copies.go
@@ -38,7 +38,7 @@
 	incarnation uint64 // incarnation is drawn with each new copies: versions of loads and placed requests go by it.
 	view        *place.View
 	loads       *place.Loads
-	places      *place.Ledger
+	places      *place.PromptScheduler
 
 	topology *topology.Topology
 }
--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -69,7 +69,7 @@
 	ledger   *usage.Ledger
 	marks    *usage.Watermarks // marks are up to when the gateways have told their counts.
 	view     *place.View
-	places   *place.Ledger
+	places   *place.PromptScheduler
 	readings *place.Readings
 	loads    *place.Loads
 	vector   place.Vector // vector is the loads as they were told last.
