--- a/coordination/place/ledger.go
+++ b/coordination/place/ledger.go
@@ -111,8 +111,8 @@
 	copyLeast = 0.25
 )
 
-// NewLedger returns an empty ledger beside the loads of all gateways.
-func NewLedger(loads *Loads, opts ...LedgerOption) *PromptScheduler {
+// NewPromptScheduler returns an empty ledger beside the loads of all gateways.
+func NewPromptScheduler(loads *Loads, opts ...LedgerOption) *PromptScheduler {
 	l := &PromptScheduler{loads: loads, servers: map[string]*book{}, placed: map[uint64]*stay{}, speed: firstSpeed, pace: firstPace}
 	for _, opt := range opts {
 		opt(l)
--- a/coordination/place/ledger_test.go
+++ b/coordination/place/ledger_test.go
@@ -28,7 +28,7 @@
 // TestLedgerSpreads checks that prompts which come together go to servers of
 // their own as long as there are any.
 func TestLedgerSpreads(t *testing.T) {
-	l, v := NewLedger(NewLoads()), fleet(6)
+	l, v := NewPromptScheduler(NewLoads()), fleet(6)
 	used := map[string]bool{}
 	for range 5 { // One server is always left to the other lane.
 		p := placeAt(t, l, v, prompt(20_000), start)
@@ -42,7 +42,7 @@
 // TestLedgerSparesStreams checks that a prompt which would hold streams up goes
 // where fewer run, and waits for another prompt rather than hold up two streams.
 func TestLedgerSparesStreams(t *testing.T) {
-	l, v := NewLedger(NewLoads()), fleet(3)
+	l, v := NewPromptScheduler(NewLoads()), fleet(3)
 	lane := inLane(v, candidates(v, ChooseMsg{Service: "model", Now: start}), ChooseMsg{Lane: LaneLong, Parts: protocol.LaneParts{Tokens: 1}})
 	a, b := &v.Servers[lane[0].index], &v.Servers[lane[1].index]
 	// Two streams run at a; b reads a short prompt and has no stream.
@@ -60,7 +60,7 @@
 // TestLedgerCountsWholeBlocks checks that prompts which are short one by one are
 // not put one behind the other under a stream: together they hold it up.
 func TestLedgerCountsWholeBlocks(t *testing.T) {
-	l, v := NewLedger(NewLoads()), fleet(2)
+	l, v := NewPromptScheduler(NewLoads()), fleet(2)
 	lane := inLane(v, candidates(v, ChooseMsg{Service: "model", Now: start}), ChooseMsg{Lane: LaneLong, Parts: protocol.LaneParts{Tokens: 0.5}})
 	only := &v.Servers[lane[0].index]
 	st := &stay{server: only.ID, reads: start.Add(-time.Second), ends: start.Add(time.Minute)}
@@ -75,7 +75,7 @@
 
 // TestLedgerKeepsPrefixes checks that a prompt goes where its prefix was read.
 func TestLedgerKeepsPrefixes(t *testing.T) {
-	l, v := NewLedger(NewLoads()), fleet(8)
+	l, v := NewPromptScheduler(NewLoads()), fleet(8)
 	m := prompt(8000)
 	m.Prefix = 77
 	first := placeAt(t, l, v, m, start)
@@ -114,7 +114,7 @@
 		}, false},
 	} {
 		loads := NewLoads()
-		l, v := NewLedger(loads), fleet(8)
+		l, v := NewPromptScheduler(loads), fleet(8)
 		m := prompt(8000)
 		m.Prefix, m.Copies, m.Domain = 77, c.copies, "a"
 		first := placeAt(t, l, v, m, start)
@@ -142,7 +142,7 @@
 // dearer than the one that holds them and cheaper than one that reads them, and the
 // dearer the slower the copy.
 func TestLedgerCountsCopies(t *testing.T) {
-	l, v := NewLedger(NewLoads()), fleet(4)
+	l, v := NewPromptScheduler(NewLoads()), fleet(4)
 	m := prompt(8000)
 	m.Prefix = 77
 	held := &v.Servers[0]
@@ -163,7 +163,7 @@
 // were never told of again, or whose server is gone.
 func TestLedgerForgets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, v, now := NewLedger(NewLoads()), fleet(rapid.IntRange(1, 8).Draw(t, "servers")), start
+		l, v, now := NewPromptScheduler(NewLoads()), fleet(rapid.IntRange(1, 8).Draw(t, "servers")), start
 		var open []Placed
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "pause")) * time.Millisecond)
--- a/coordination/place/loads_test.go
+++ b/coordination/place/loads_test.go
@@ -156,7 +156,7 @@
 // that gateways distrust while there is another.
 func TestLedgerAvoidsTheDistrusted(t *testing.T) {
 	loads, v := NewLoads(), fleet(4)
-	l := NewLedger(loads)
+	l := NewPromptScheduler(loads)
 	first := placeAt(t, l, v, prompt(20_000), start)
 	for _, g := range []string{"g", "h"} {
 		loads.Take(g, GatewayReport{Domain: "domain-1", Distrusts: []string{first.Server}})
--- a/coordination/place/near_test.go
+++ b/coordination/place/near_test.go
@@ -152,7 +152,7 @@
 // and come back.
 func TestLedgerPlacesNear(t *testing.T) {
 	regions, loads := threeRegions(), NewLoads()
-	l, v := NewLedger(loads, WithTopology(regions)), spreadOver(regions, 3, sixDomains...)
+	l, v := NewPromptScheduler(loads, WithTopology(regions)), spreadOver(regions, 3, sixDomains...)
 	m := prompt(8000)
 	m.Domain, m.Parts.Tokens, m.Shared = "b-1", 0.5, 0
 	region := func(now time.Time) string {
@@ -195,7 +195,7 @@
 // region, even if one far away read them later.
 func TestHolderIsNear(t *testing.T) {
 	regions := threeRegions()
-	l, v := NewLedger(NewLoads(), WithTopology(regions)), spreadOver(regions, 1, sixDomains...)
+	l, v := NewPromptScheduler(NewLoads(), WithTopology(regions)), spreadOver(regions, 1, sixDomains...)
 	m := prompt(8000)
 	m.Copies, m.Prefix, m.Domain = 100, 77, "b-1"
 	l.book("a-1-0").keep(77, start.Add(2*time.Second))
--- a/coordination/place/placements_test.go
+++ b/coordination/place/placements_test.go
@@ -75,7 +75,7 @@
 		list = append(list, protocol.Instance{ID: id, Service: "s", Slots: 8})
 	}
 	v := NewView(list, nil)
-	l := NewLedger(NewLoads())
+	l := NewPromptScheduler(NewLoads())
 	m := PromptMsg{Service: "s", Prompt: 4000, Shared: 3000, Prefix: 7, Parts: protocol.LaneParts{Tokens: 1}, Target: time.Second, Gap: time.Second}
 	first, ok := l.Place(v, m, now)
 	if !ok {
@@ -85,7 +85,7 @@
 	if len(fresh) != 1 || fresh[0].Server != first.Server || fresh[0].Prefix != 7 || fresh[0].Tokens != 4000 || len(l.Fresh()) > 0 {
 		t.Fatalf("tells %+v", fresh)
 	}
-	other := NewLedger(NewLoads())
+	other := NewPromptScheduler(NewLoads())
 	other.Note(fresh, now)
 	apart := m
 	apart.Prefix, apart.Shared = 0, 0
@@ -93,7 +93,7 @@
 	if second.Server == first.Server {
 		t.Errorf("placed at %s, which reads another instance's prompt", second.Server)
 	}
-	third, later := NewLedger(NewLoads()), now.Add(10*time.Second)
+	third, later := NewPromptScheduler(NewLoads()), now.Add(10*time.Second)
 	third.Note([]protocol.Placement{{Server: second.Server, Prefix: 7, Tokens: 4000}}, now)
 	if got, _ := third.Place(v, m, later); got.Server != second.Server {
 		t.Errorf("placed at %s, while %s holds the shared parts", got.Server, second.Server)
--- a/transport/control/copies.go
+++ b/transport/control/copies.go
@@ -48,7 +48,7 @@
 	return &copies{
 		incarnation: rand.Uint64(),
 		loads:       loads,
-		places:      place.NewLedger(loads, place.WithTopology(t)),
+		places:      place.NewPromptScheduler(loads, place.WithTopology(t)),
 		readings:    place.NewReadings(),
 		topology:    t,
 	}
--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -197,7 +197,7 @@
 	u.loads, u.order, u.common = place.NewLoads(), nil, common{}
 	u.vector.Reset(nil)
 	u.relays, u.placed = map[string]*relayRecord{}, place.Placements{}
-	u.view, u.places = nil, place.NewLedger(u.loads, place.WithTopology(u.topology))
+	u.view, u.places = nil, place.NewPromptScheduler(u.loads, place.WithTopology(u.topology))
 	u.readings = place.NewReadings()
 	u.keeper = quarantine.NewKeeper()
 	u.book = backpressure.NewBook()
