--- a/coordination/place/placements.go
+++ b/coordination/place/placements.go
@@ -32,9 +32,9 @@
 	return fresh
 }
 
-// Note takes places that another instance gave. It does not learn when their requests end:
+// AddRemote takes places that another instance gave. It does not learn when their requests end:
 // once its prompt is read, such a request counts by the server's load alone.
-func (l *PromptScheduler) Note(rows []protocol.Placement, now time.Time) {
+func (l *PromptScheduler) AddRemote(rows []protocol.Placement, now time.Time) {
 	for _, r := range rows {
 		b := l.book(r.Server)
 		from := now
--- a/coordination/place/placements_test.go
+++ b/coordination/place/placements_test.go
@@ -86,7 +86,7 @@
 		t.Fatalf("tells %+v", fresh)
 	}
 	other := NewPromptScheduler(NewLoads())
-	other.Note(fresh, now)
+	other.AddRemote(fresh, now)
 	apart := m
 	apart.Prefix, apart.Shared = 0, 0
 	second, _ := other.Place(v, apart, now)
@@ -94,7 +94,7 @@
 		t.Errorf("placed at %s, which reads another instance's prompt", second.Server)
 	}
 	third, later := NewPromptScheduler(NewLoads()), now.Add(10*time.Second)
-	third.Note([]protocol.Placement{{Server: second.Server, Prefix: 7, Tokens: 4000}}, now)
+	third.AddRemote([]protocol.Placement{{Server: second.Server, Prefix: 7, Tokens: 4000}}, now)
 	if got, _ := third.Place(v, m, later); got.Server != second.Server {
 		t.Errorf("placed at %s, while %s holds the shared parts", got.Server, second.Server)
 	}
--- a/transport/control/batch.go
+++ b/transport/control/batch.go
@@ -90,7 +90,7 @@
 func (u *Uplink) sharePlaces(m *protocol.BatchMsg, reply *protocol.BatchReply, now time.Time) {
 	u.placed.Add("", u.places.Fresh())
 	u.placed.Add(m.Relay, m.Placed)
-	u.places.Note(m.Placed, now)
+	u.places.AddRemote(m.Placed, now)
 	u.takeReadings(m.Life, m.Readings, now)
 	record := u.relays[m.Relay]
 	if record == nil {
--- a/transport/control/copies.go
+++ b/transport/control/copies.go
@@ -124,7 +124,7 @@
 	} else {
 		c.mark = protocol.LoadMark{} // All are asked for next.
 	}
-	c.places.Note(r.Placed, clock.Now())
+	c.places.AddRemote(r.Placed, clock.Now())
 	return nil
 }
 
