--- a/coordination/place/placements.go
+++ b/coordination/place/placements.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// Fresh returns the places that were given since it was last asked.
-func (l *PromptScheduler) Fresh() []protocol.Placement {
+// TakeUnsent returns the places that were given since it was last asked.
+func (l *PromptScheduler) TakeUnsent() []protocol.Placement {
 	fresh := l.fresh
 	l.fresh = nil
 	return fresh
--- a/coordination/place/placements_test.go
+++ b/coordination/place/placements_test.go
@@ -81,8 +81,8 @@
 	if !ok {
 		t.Fatal("no place")
 	}
-	fresh := l.Fresh()
-	if len(fresh) != 1 || fresh[0].Server != first.Server || fresh[0].Prefix != 7 || fresh[0].Tokens != 4000 || len(l.Fresh()) > 0 {
+	fresh := l.TakeUnsent()
+	if len(fresh) != 1 || fresh[0].Server != first.Server || fresh[0].Prefix != 7 || fresh[0].Tokens != 4000 || len(l.TakeUnsent()) > 0 {
 		t.Fatalf("tells %+v", fresh)
 	}
 	other := NewPromptScheduler(NewLoads())
--- a/transport/control/batch.go
+++ b/transport/control/batch.go
@@ -88,7 +88,7 @@
 // sharePlaces takes the places that a relay gave, and tells it those of others. It
 // needs u.mu.
 func (u *Uplink) sharePlaces(m *protocol.BatchMsg, reply *protocol.BatchReply, now time.Time) {
-	u.placed.Add("", u.places.Fresh())
+	u.placed.Add("", u.places.TakeUnsent())
 	u.placed.Add(m.Relay, m.Placed)
 	u.places.AddRemote(m.Placed, now)
 	u.takeReadings(m.Life, m.Readings, now)
--- a/transport/control/copies.go
+++ b/transport/control/copies.go
@@ -58,7 +58,7 @@
 func (c *copies) ask(m *protocol.BatchMsg) {
 	m.Lister, m.Servers, m.Rollouts, m.Loads = c.lister, c.version, c.changes, c.mark
 	m.Quarantined, m.Watched = c.quarantine.Changes, protocol.WatchMark(c.watched)
-	m.Placed = c.places.Fresh()
+	m.Placed = c.places.TakeUnsent()
 	m.Readings, c.fresh = c.fresh, nil
 }
 
