--- a/coordination/place/holders.go
+++ b/coordination/place/holders.go
@@ -212,8 +212,8 @@
 	return found
 }
 
-// NoteRead notes links that a server read for a gateway which placed the prompt by itself.
-func (l *PromptScheduler) NoteRead(server string, links []uint32, now time.Time) {
+// RecordPrefill notes links that a server read for a gateway which placed the prompt by itself.
+func (l *PromptScheduler) RecordPrefill(server string, links []uint32, now time.Time) {
 	for _, key := range links {
 		l.holders.note(server, linkKey(key), now)
 	}
--- a/transport/control/copies.go
+++ b/transport/control/copies.go
@@ -68,7 +68,7 @@
 	now := clock.Now()
 	for _, r := range rows {
 		c.readings.Add(c.incarnation, r.Server, r.Links)
-		c.places.NoteRead(r.Server, r.Links, now)
+		c.places.RecordPrefill(r.Server, r.Links, now)
 	}
 	c.fresh = append(c.fresh, rows...)
 }
@@ -87,7 +87,7 @@
 	now := clock.Now()
 	place.Unpacked(r.Readings, c.order, func(server string, key uint32) {
 		c.readings.Add(0, server, []uint32{key})
-		c.places.NoteRead(server, []uint32{key}, now)
+		c.places.RecordPrefill(server, []uint32{key}, now)
 	})
 }
 
--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -294,7 +294,7 @@
 func (u *Uplink) takeReadings(from uint64, rows []protocol.Reading, now time.Time) {
 	for _, r := range rows {
 		u.readings.Add(from, r.Server, r.Links)
-		u.places.NoteRead(r.Server, r.Links, now)
+		u.places.RecordPrefill(r.Server, r.Links, now)
 	}
 }
 
