--- a/coordination/place/ledger.go
+++ b/coordination/place/ledger.go
@@ -329,8 +329,8 @@
 	}
 }
 
-// UnderWay returns how many requests were placed and have not ended.
-func (l *PromptScheduler) UnderWay() int { return len(l.placed) }
+// InProgress returns how many requests were placed and have not ended.
+func (l *PromptScheduler) InProgress() int { return len(l.placed) }
 
 // Keep drops the servers that are not listed any more.
 func (l *PromptScheduler) Keep(v *View) {
--- a/transport/control/quota_test.go
+++ b/transport/control/quota_test.go
@@ -46,7 +46,7 @@
 		if err := u.Quota(protocol.QuotaMsg{Gateway: "g", Done: []protocol.PlaceDone{d}}, &reply); err != nil || !reply.Leads {
 			t.Fatalf("%+v, %v", reply, err)
 		}
-		return u.places.UnderWay()
+		return u.places.InProgress()
 	}
 	if n := ends(protocol.PlaceDone{Term: 1, Number: place.Number, Placer: place.Placer + 1}); n != 1 {
 		t.Errorf("%d places behind an end of another placer", n)
--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -277,7 +277,7 @@
 func (u *Uplink) placesUnderWay() int64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return int64(u.places.UnderWay())
+	return int64(u.places.InProgress())
 }
 
 // placesDone notes the ends of requests that this instance placed in a term. It needs u.mu.
