--- a/coordination/place/ledger_test.go
+++ b/coordination/place/ledger_test.go
@@ -108,7 +108,7 @@
 		}, false},
 		"it fails": {500, func(l *PromptScheduler, list []protocol.Instance, i int) []protocol.Instance {
 			for _, gateway := range []string{"g", "h"} {
-				l.loads.Take(gateway, GatewayReport{Domain: "a", Distrusts: []string{list[i].ID}})
+				l.loads.SetReport(gateway, GatewayReport{Domain: "a", Distrusts: []string{list[i].ID}})
 			}
 			return list
 		}, false},
--- a/coordination/place/loads.go
+++ b/coordination/place/loads.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// Take notes what one gateway knows, in place of its report before, also where that
+// SetReport notes what one gateway knows, in place of its report before, also where that
 // came through a relay.
-func (l *Loads) Take(gateway string, t GatewayReport) {
+func (l *Loads) SetReport(gateway string, t GatewayReport) {
 	l.leave(gateway)
 	l.gateways[gateway] = t
 	for _, r := range t.Running {
--- a/coordination/place/loads_test.go
+++ b/coordination/place/loads_test.go
@@ -32,7 +32,7 @@
 					rows = append(rows, protocol.ServerLoad{Server: s, Running: n})
 				}
 			}
-			l.Take(gateway, GatewayReport{Running: rows})
+			l.SetReport(gateway, GatewayReport{Running: rows})
 		}
 		packed := l.Pack(servers)
 		for i, s := range servers {
@@ -105,8 +105,8 @@
 	} {
 		l := NewLoads()
 		for gateway, domain := range c.by {
-			l.Take(gateway, GatewayReport{Domain: domain, Distrusts: []string{"s"}})
-			l.Take(gateway, GatewayReport{Domain: domain, Distrusts: []string{"s"}}) // Told again, it counts once.
+			l.SetReport(gateway, GatewayReport{Domain: domain, Distrusts: []string{"s"}})
+			l.SetReport(gateway, GatewayReport{Domain: domain, Distrusts: []string{"s"}}) // Told again, it counts once.
 		}
 		if here, far := l.Distrusted("s", "here"), l.Distrusted("s", "far"); here != c.here || far != c.far {
 			t.Errorf("%s: passed over here %v, want %v; far %v, want %v", name, here, c.here, far, c.far)
@@ -159,7 +159,7 @@
 	l := NewPromptScheduler(loads)
 	first := placeAt(t, l, v, prompt(20_000), start)
 	for _, g := range []string{"g", "h"} {
-		loads.Take(g, GatewayReport{Domain: "domain-1", Distrusts: []string{first.Server}})
+		loads.SetReport(g, GatewayReport{Domain: "domain-1", Distrusts: []string{first.Server}})
 	}
 	m := prompt(20_000)
 	m.Domain = "domain-1"
--- a/coordination/place/near_test.go
+++ b/coordination/place/near_test.go
@@ -179,7 +179,7 @@
 		}
 	}
 	for _, gateway := range []string{"one", "two"} {
-		loads.Take(gateway, GatewayReport{Domain: "b-1", Distrusts: all})
+		loads.SetReport(gateway, GatewayReport{Domain: "b-1", Distrusts: all})
 	}
 	if got := region(start.Add(5 * time.Second)); got == "b" {
 		t.Error("placed at a server that the gateways distrust")
--- a/coordination/place/relayed_test.go
+++ b/coordination/place/relayed_test.go
@@ -74,7 +74,7 @@
 		f.batch(home, []string{gateway}, true, true)
 		return
 	}
-	f.leader.Take(gateway, f.last[gateway])
+	f.leader.SetReport(gateway, f.last[gateway])
 }
 
 func (f *fleetOfRelays) batch(relay string, asked []string, arrives, answered bool) {
@@ -152,7 +152,7 @@
 		}
 		direct := NewLoads()
 		for g, r := range f.last {
-			direct.Take(g, r)
+			direct.SetReport(g, r)
 		}
 		if diff := cmp.Diff(direct.distrusts, f.leader.distrusts); diff != "" {
 			t.Fatal(diff)
--- a/coordination/place/sum.go
+++ b/coordination/place/sum.go
@@ -30,7 +30,7 @@
 func NewSum() *Sum { return &Sum{loads: NewLoads()} }
 
 // Take notes what one gateway knows, in place of its report before.
-func (s *Sum) Take(gateway string, t GatewayReport) { s.loads.Take(gateway, t) }
+func (s *Sum) Take(gateway string, t GatewayReport) { s.loads.SetReport(gateway, t) }
 
 // Drop forgets a gateway.
 func (s *Sum) Drop(gateway string) { s.loads.Drop(gateway) }
--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -243,7 +243,7 @@
 		return nil
 	}
 	u.identify(&m)
-	u.loads.Take(m.Gateway, place.GatewayReport{Domain: m.Domain, Running: m.Running, Distrusts: m.Distrusts})
+	u.loads.SetReport(m.Gateway, place.GatewayReport{Domain: m.Domain, Running: m.Running, Distrusts: m.Distrusts})
 	u.takeReadings(u.incarnation, m.Readings, now)
 	u.placesDone(m.Done, term)
 	reply.Term = term
