--- a/coordination/place/relayed_test.go
+++ b/coordination/place/relayed_test.go
@@ -70,7 +70,7 @@
 
 func (f *fleetOfRelays) ask(gateway string) {
 	if home := f.home[gateway]; home != "" {
-		f.relays[home].Take(gateway, f.last[gateway])
+		f.relays[home].SetReport(gateway, f.last[gateway])
 		f.batch(home, []string{gateway}, true, true)
 		return
 	}
--- a/coordination/place/sum.go
+++ b/coordination/place/sum.go
@@ -29,8 +29,8 @@
 // NewSum returns the sum of no gateways.
 func NewSum() *Sum { return &Sum{loads: NewLoads()} }
 
-// Take notes what one gateway knows, in place of its report before.
-func (s *Sum) Take(gateway string, t GatewayReport) { s.loads.SetReport(gateway, t) }
+// SetReport notes what one gateway knows, in place of its report before.
+func (s *Sum) SetReport(gateway string, t GatewayReport) { s.loads.SetReport(gateway, t) }
 
 // Drop forgets a gateway.
 func (s *Sum) Drop(gateway string) { s.loads.Drop(gateway) }
--- a/transport/control/relay.go
+++ b/transport/control/relay.go
@@ -311,7 +311,7 @@
 // note takes what a gateway's question tells this relay. It needs r.mu.
 func (r *Relay) note(m *protocol.SyncMsg, now time.Time) {
 	r.gateways[m.Gateway] = now
-	r.sum.Take(m.Gateway, place.GatewayReport{Domain: m.Domain, Running: m.Running, Distrusts: m.Distrusts})
+	r.sum.SetReport(m.Gateway, place.GatewayReport{Domain: m.Domain, Running: m.Running, Distrusts: m.Distrusts})
 	r.copies.done(m.Done)
 	r.copies.read(m.Readings)
 }
