--- a/coordination/place/relayed.go
+++ b/coordination/place/relayed.go
@@ -23,9 +23,9 @@
 	Asked []string // Asked are the gateways whose questions came with it.
 }
 
-// TakeRelay notes what a relay tells. It returns the gateways in its sums that ask
+// ApplyRelay notes what a relay tells. It returns the gateways in its sums that ask
 // elsewhere.
-func (l *Loads) TakeRelay(m RelayMsg) (moved []string) {
+func (l *Loads) ApplyRelay(m RelayMsg) (moved []string) {
 	r := l.relays[m.Relay]
 	if r == nil || m.Whole {
 		l.DropRelay(m.Relay)
--- a/coordination/place/relayed_test.go
+++ b/coordination/place/relayed_test.go
@@ -82,7 +82,7 @@
 	sums, whole := s.Changes()
 	var moved []string
 	if arrives {
-		moved = f.leader.TakeRelay(RelayMsg{Relay: relay, Whole: whole, Sums: sums, Asked: asked})
+		moved = f.leader.ApplyRelay(RelayMsg{Relay: relay, Whole: whole, Sums: sums, Asked: asked})
 	}
 	if !arrives || !answered {
 		s.Lost()
--- a/transport/control/batch.go
+++ b/transport/control/batch.go
@@ -72,7 +72,7 @@
 	for i := range m.Parts {
 		asked[i] = m.Parts[i].Gateway
 	}
-	reply.Moved = u.loads.TakeRelay(place.RelayMsg{Relay: m.Relay, Whole: whole, Sums: m.Sums, Asked: asked})
+	reply.Moved = u.loads.ApplyRelay(place.RelayMsg{Relay: m.Relay, Whole: whole, Sums: m.Sums, Asked: asked})
 }
 
 // dropRelays forgets the relays that ask no more. It needs u.mu.
