--- a/coordination/place/ledger.go
+++ b/coordination/place/ledger.go
@@ -224,7 +224,7 @@
 			held++
 		}
 	}
-	others := max(0, l.loads.Of(s.ID)-len(b.stays))
+	others := max(0, l.loads.Running(s.ID)-len(b.stays))
 	if stalls {
 		held += others
 	}
--- a/coordination/place/loads.go
+++ b/coordination/place/loads.go
@@ -78,8 +78,8 @@
 	return l.avoided[domain][server] || domains[domain] >= leastDistrusts || len(domains) >= leastDistrusts
 }
 
-// Of returns how many requests a server has.
-func (l *Loads) Of(server string) int { return l.totals[server] }
+// Running returns how many requests a server has.
+func (l *Loads) Running(server string) int { return l.totals[server] }
 
 // Pack returns the loads of some servers, in their order, a byte each; more than
 // fit into one are reported as the most that do.
--- a/coordination/place/loads_test.go
+++ b/coordination/place/loads_test.go
@@ -40,8 +40,8 @@
 			for _, loads := range told {
 				sum += loads[s]
 			}
-			if l.Of(s) != sum || int(packed[i]) != min(sum, 255) {
-				t.Fatalf("%s has %d, packed %d, want %d", s, l.Of(s), packed[i], sum)
+			if l.Running(s) != sum || int(packed[i]) != min(sum, 255) {
+				t.Fatalf("%s has %d, packed %d, want %d", s, l.Running(s), packed[i], sum)
 			}
 		}
 	})
--- a/coordination/place/relayed_test.go
+++ b/coordination/place/relayed_test.go
@@ -185,7 +185,7 @@
 			f.home[g] = ""
 		}
 		f.ask(g)
-		if n := f.leader.Of("s1"); n != 3*gateways {
+		if n := f.leader.Running("s1"); n != 3*gateways {
 			t.Errorf("with %d gateways moved the server seems to have %d requests, it has %d", i+1, n, 3*gateways)
 		}
 	}
@@ -198,11 +198,11 @@
 func TestReplacedLoads(t *testing.T) {
 	l := NewLoads()
 	l.Replace(servers, []byte{2, 0, 9}, map[string][]byte{"d1": {1 << 1}})
-	if l.Of("s1") != 2 || l.Of("s2") != 0 || l.Of("s3") != 9 || !l.Distrusted("s2", "d1") || l.Distrusted("s2", "d2") || l.Distrusted("s1", "d1") {
+	if l.Running("s1") != 2 || l.Running("s2") != 0 || l.Running("s3") != 9 || !l.Distrusted("s2", "d1") || l.Distrusted("s2", "d2") || l.Distrusted("s1", "d1") {
 		t.Errorf("knows %v, %v", l.totals, l.avoided)
 	}
 	l.Replace(servers, []byte{0, 1, 0}, nil)
-	if l.Of("s1") != 0 || l.Of("s2") != 1 || l.Distrusted("s2", "d1") {
+	if l.Running("s1") != 0 || l.Running("s2") != 1 || l.Distrusted("s2", "d1") {
 		t.Errorf("then %v, %v", l.totals, l.avoided)
 	}
 }
--- a/transport/control/control_test.go
+++ b/transport/control/control_test.go
@@ -667,7 +667,7 @@
 	if got := sync1(t, u, protocol.SyncMsg{Gateway: "h"}); !cmp.Equal(ids(t, got.List), []string{"a"}) || got.Term != 2 || got.ListLate {
 		t.Errorf("told of %v in term %d, late %v", ids(t, got.List), got.Term, got.ListLate)
 	}
-	if n := u.loads.Of("a"); n != 3 {
+	if n := u.loads.Running("a"); n != 3 {
 		t.Errorf("the server has %d requests, want 3", n)
 	}
 }
--- a/transport/control/loads_test.go
+++ b/transport/control/loads_test.go
@@ -25,7 +25,7 @@
 	}
 	u.gateways["g"].at = clock.Now().Add(-gatewayKept - time.Second)
 	u.alive(clock.Now())
-	if n := u.loads.Of("b"); n != 2 {
+	if n := u.loads.Running("b"); n != 2 {
 		t.Errorf("b has %d with a gateway gone, want 2", n)
 	}
 }
--- a/transport/control/relay_test.go
+++ b/transport/control/relay_test.go
@@ -317,7 +317,7 @@
 	if r := within(t, asked(relay, m), "the next leader"); !r.Leads || r.Term != 4 || r.Number != 6 {
 		t.Errorf("got %+v", r)
 	}
-	if n := next.loads.Of("s"); n != 4 {
+	if n := next.loads.Running("s"); n != 4 {
 		t.Errorf("the next leader knows of %d requests, 4 are under way", n)
 	}
 }
@@ -350,8 +350,8 @@
 	if b := ask(); b.Base != 0 || len(b.Sums.Running) != 2 {
 		t.Errorf("after the leader forgot %+v", b)
 	}
-	if leader.loads.Of("s") != 4 || leader.loads.Of("t") != 2 {
-		t.Errorf("the leader knows of %d and %d", leader.loads.Of("s"), leader.loads.Of("t"))
+	if leader.loads.Running("s") != 4 || leader.loads.Running("t") != 2 {
+		t.Errorf("the leader knows of %d and %d", leader.loads.Running("s"), leader.loads.Running("t"))
 	}
 }
 
--- a/transport/control/startless_test.go
+++ b/transport/control/startless_test.go
@@ -41,7 +41,7 @@
 		if byOrder := len(told.Loads) > 0; byOrder != (c.want == "a@5") {
 			t.Errorf("%s: told of loads by the order of the list: %v", name, byOrder)
 		}
-		if got := u.loads.Of("a@5"); got != 3 {
+		if got := u.loads.Running("a@5"); got != 3 {
 			t.Errorf("%s: the server has %d requests, want 3", name, got)
 		}
 	}
--- a/transport/control/steps.go
+++ b/transport/control/steps.go
@@ -82,7 +82,7 @@
 				m.Slots += width(s)
 			}
 		default:
-			m.OldRunning += u.loads.Of(s.ID)
+			m.OldRunning += u.loads.Running(s.ID)
 			if !slices.Contains(m.Others, s.Version) {
 				m.Others = append(m.Others, s.Version)
 			}
