--- a/coordination/place/loads.go
+++ b/coordination/place/loads.go
@@ -143,10 +143,10 @@
 	return ids
 }
 
-// Share takes the loads of all servers in the view's order, as they were when
+// ApplyLoads takes the loads of all servers in the view's order, as they were when
 // Running was last asked, or later, and which of them to pass over. It returns the
 // servers that are passed over from now on, and were not before.
-func (v *View) Share(loads, distrusted []byte, now time.Time) []string {
+func (v *View) ApplyLoads(loads, distrusted []byte, now time.Time) []string {
 	if v == nil || len(loads) != len(v.Servers) {
 		return nil // They are of another list.
 	}
--- a/coordination/place/loads_test.go
+++ b/coordination/place/loads_test.go
@@ -59,7 +59,7 @@
 		t.Fatal(diff)
 	}
 	cell.RequestStarted() // Behind the report, so the leader does not know of it.
-	v.Share([]byte{0, 7}, nil, start)
+	v.ApplyLoads([]byte{0, 7}, nil, start)
 	if load, _, _, _ := cell.load(start); load != 8 {
 		t.Errorf("the load is %v, want the 7 that were told and one more", load)
 	}
@@ -69,7 +69,7 @@
 	if load, _, _, _ := cell.load(start); load != 5 {
 		t.Errorf("the load is %v, want the 5 of others", load)
 	}
-	v.Share([]byte{9}, nil, start.Add(time.Second)) // Of another list.
+	v.ApplyLoads([]byte{9}, nil, start.Add(time.Second)) // Of another list.
 	if load, _, _, _ := cell.load(start); load != 5 {
 		t.Errorf("loads of another list were taken: %v", load)
 	}
@@ -83,7 +83,7 @@
 	first, _ := Choose(v, m)
 	loads := []byte{4, 4, 4, 4}
 	loads[first] = 16
-	v.Share(loads, nil, start)
+	v.ApplyLoads(loads, nil, start)
 	if again, _ := Choose(v, m); again == first {
 		t.Error("the server that others have filled is chosen")
 	}
@@ -125,10 +125,10 @@
 func TestSharedDistrust(t *testing.T) {
 	v := fleet(10)
 	loads := make([]byte, 10)
-	if since := v.Share(loads, []byte{0, 2}, start); len(since) != 1 || since[0] != v.Servers[9].ID {
+	if since := v.ApplyLoads(loads, []byte{0, 2}, start); len(since) != 1 || since[0] != v.Servers[9].ID {
 		t.Errorf("passed over since now: %v, want the tenth", since)
 	}
-	if since := v.Share(loads, []byte{0, 2}, start.Add(time.Millisecond)); len(since) > 0 {
+	if since := v.ApplyLoads(loads, []byte{0, 2}, start.Add(time.Millisecond)); len(since) > 0 {
 		t.Errorf("told again, it counts as new: %v", since)
 	}
 	for i := range v.Servers {
@@ -142,7 +142,7 @@
 	if v.Servers[9].Stats.Suspect(start.Add(time.Millisecond + othersLast)) {
 		t.Error("it is passed over though nobody renewed it")
 	}
-	v.Share(loads, nil, start)
+	v.ApplyLoads(loads, nil, start)
 	if v.Servers[9].Stats.Suspect(start) {
 		t.Error("it is passed over though nobody distrusts it")
 	}
--- a/transport/forward/limits.go
+++ b/transport/forward/limits.go
@@ -232,7 +232,7 @@
 // Share takes how many requests the listed servers have from all gateways, and
 // which of them others distrust.
 func (g *Gateway) Share(loads, distrusted []byte) {
-	if ids := g.view.Load().Share(loads, distrusted, clock.Now()); len(ids) > 0 {
+	if ids := g.view.Load().ApplyLoads(loads, distrusted, clock.Now()); len(ids) > 0 {
 		g.log.Info().Strs("servers", ids).Msg("servers distrusted by other gateways")
 	}
 }
