--- a/coordination/place/relayed_test.go
+++ b/coordination/place/relayed_test.go
@@ -85,7 +85,7 @@
 		moved = f.leader.ApplyRelay(RelayMsg{Relay: relay, Whole: whole, Sums: sums, Asked: asked})
 	}
 	if !arrives || !answered {
-		s.Lost()
+		s.Invalidate()
 		return
 	}
 	for _, name := range moved {
--- a/coordination/place/sum.go
+++ b/coordination/place/sum.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// Lost notes that the leader may lack the sums that were sent last, or that another
+// Invalidate notes that the leader may lack the sums that were sent last, or that another
 // leader is asked: Changes returns the whole sums next.
-func (s *Sum) Lost() { s.sent = nil }
+func (s *Sum) Invalidate() { s.sent = nil }
 
 // sums returns a copy of what the gateways know together.
 func (l *Loads) sums() *sums {
--- a/transport/control/relay.go
+++ b/transport/control/relay.go
@@ -285,7 +285,7 @@
 	now := clock.Now()
 	if leader != r.asked {
 		r.asked, r.answerTime = leader, link.AnswerTime{}
-		r.sum.Lost()
+		r.sum.Invalidate()
 	}
 	r.batch++
 	m := protocol.BatchMsg{Relay: r.name, Life: r.life, Batch: r.batch, Number: number}
@@ -380,7 +380,7 @@
 	r.overdue = false
 	r.answerTime.Observe(took)
 	if reply.Resend {
-		r.sum.Lost()
+		r.sum.Invalidate()
 	}
 	for _, name := range reply.Moved {
 		r.drop(name)
@@ -409,7 +409,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.overdue = false
-	r.sum.Lost()
+	r.sum.Invalidate()
 }
 
 // setOverdue notes that the answer to a batch is overdue.
