--- a/coordination/place/starts.go
+++ b/coordination/place/starts.go
@@ -10,10 +10,10 @@
 // any more: longer than any list, message or instance that was cut off or suspended is old.
 const startKept = time.Hour
 
-// Starts remember the newest start of each server by its name, so that older news of a
-// former start never bring that back. Starts are compared among what one server said of
+// Incarnations remember the newest start of each server by its name, so that older news of a
+// former start never bring that back. Incarnations are compared among what one server said of
 // itself alone. The zero value knows none.
-type Starts struct {
+type Incarnations struct {
 	newest map[string]newestStart
 }
 
@@ -30,7 +30,7 @@
 
 // Newest returns the listed servers without those of former starts, which is no nil list,
 // and which servers have started again since they were listed last.
-func (s *Starts) Newest(list []protocol.Instance, now time.Time) (kept []protocol.Instance, again []Restart) {
+func (s *Incarnations) Newest(list []protocol.Instance, now time.Time) (kept []protocol.Instance, again []Restart) {
 	if s.newest == nil {
 		s.newest = map[string]newestStart{}
 	}
--- a/coordination/place/starts_test.go
+++ b/coordination/place/starts_test.go
@@ -20,7 +20,7 @@
 
 // TestNewestStarts walks through lists and checks which servers are kept.
 func TestNewestStarts(t *testing.T) {
-	var s Starts
+	var s Incarnations
 	now := time.Unix(1_800_000_000, 0)
 	for _, step := range []struct {
 		name  string
@@ -56,7 +56,7 @@
 // whatever order and however often lists come.
 func TestFormerStartNeverComesBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var s Starts
+		var s Incarnations
 		newest := map[string]int64{}
 		for range rapid.IntRange(1, 20).Draw(t, "lists") {
 			var list []protocol.Instance
--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -80,7 +80,7 @@
 	trials   map[uint64]*trial // trials are the roll-outs that run, by number.
 	keeper   *quarantine.Keeper
 	book     *backpressure.Book      // book are the servers that limit their requests.
-	starts   place.Starts            // starts are the newest ones of the servers, over all terms.
+	starts   place.Incarnations      // starts are the newest ones of the servers, over all terms.
 	unnamed  map[versionOf]time.Time // unnamed are versions that nothing names, by when they were listed first.
 }
 
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -99,7 +99,7 @@
 	prompts   promptMemory
 	done      []protocol.PlaceDone // done are placed requests whose end is to be reported.
 	listed    []protocol.Instance  // listed are the servers of the last list.
-	starts    place.Starts         // starts are the newest ones of the servers.
+	starts    place.Incarnations   // starts are the newest ones of the servers.
 	rolled    uint64               // rolled is the change of the roll-outs that the gateway keeps to; 0 before the first.
 	rollouts  []protocol.Rollout
 	trials    map[string]*trial // trials are the roll-outs that run, by service.
