--- a/coordination/place/starts.go
+++ b/coordination/place/starts.go
@@ -28,9 +28,9 @@
 	Before, After protocol.Incarnation
 }
 
-// Newest returns the listed servers without those of former starts, which is no nil list,
+// Filter returns the listed servers without those of former starts, which is no nil list,
 // and which servers have started again since they were listed last.
-func (s *Incarnations) Newest(list []protocol.Instance, now time.Time) (kept []protocol.Instance, again []Restart) {
+func (s *Incarnations) Filter(list []protocol.Instance, now time.Time) (kept []protocol.Instance, again []Restart) {
 	if s.newest == nil {
 		s.newest = map[string]newestStart{}
 	}
--- a/coordination/place/starts_test.go
+++ b/coordination/place/starts_test.go
@@ -38,7 +38,7 @@
 		{"without its start", []string{"a"}, nil, 0},
 	} {
 		now = now.Add(time.Second)
-		kept, again := s.Newest(listOf(step.list...), now)
+		kept, again := s.Filter(listOf(step.list...), now)
 		var ids []string
 		for _, in := range kept {
 			ids = append(ids, in.ID)
@@ -47,7 +47,7 @@
 			t.Errorf("%s: kept %v, want %v; %d started again, want %d", step.name, ids, step.kept, len(again), step.again)
 		}
 	}
-	if s.Newest(listOf("x@1"), now.Add(2*startKept)); len(s.newest) != 1 {
+	if s.Filter(listOf("x@1"), now.Add(2*startKept)); len(s.newest) != 1 {
 		t.Errorf("%d servers are remembered for ever", len(s.newest))
 	}
 }
@@ -65,7 +65,7 @@
 				list = append(list, protocol.Instance{ID: in.String()})
 				newest[in.Name] = max(newest[in.Name], in.Start)
 			}
-			kept, _ := s.Newest(list, time.Unix(1_800_000_000, 0))
+			kept, _ := s.Filter(list, time.Unix(1_800_000_000, 0))
 			for _, in := range kept {
 				if i := protocol.ParseIncarnation(in.ID); i.Start < newest[i.Name] {
 					t.Fatalf("kept %v behind %d", i, newest[i.Name])
--- a/transport/control/list.go
+++ b/transport/control/list.go
@@ -90,7 +90,7 @@
 		return
 	}
 	u.enter(term)
-	list, again := u.starts.Newest(list, clock.Now())
+	list, again := u.starts.Filter(list, clock.Now())
 	for _, r := range again {
 		u.log.Warn().Str("server", r.After.String()).Str("before", r.Before.String()).Msg("server started again")
 	}
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -199,7 +199,7 @@
 	g.mu.Lock()
 	var again []place.Restart
 	if len(list) == 0 || slices.ContainsFunc(list, func(in protocol.Instance) bool { return protocol.ParseIncarnation(in.ID).Start > 0 }) {
-		list, again = g.starts.Newest(list, clock.Now())
+		list, again = g.starts.Filter(list, clock.Now())
 	}
 	g.listed = list
 	g.mu.Unlock()
