--- a/coordination/place/holders.go
+++ b/coordination/place/holders.go
@@ -75,9 +75,9 @@
 	return &Holders{links: map[linkKey][]holding{}, topology: t}
 }
 
-// Read notes that a server was given a prompt to read, and returns the keys of the
+// Record notes that a server was given a prompt to read, and returns the keys of the
 // links that it was not known to hold.
-func (h *Holders) Read(server string, chain []protocol.PromptLink, now time.Time) (fresh []uint32) {
+func (h *Holders) Record(server string, chain []protocol.PromptLink, now time.Time) (fresh []uint32) {
 	for _, link := range chain {
 		if key := keyOf(link); h.note(server, key, now) {
 			fresh = append(fresh, uint32(key))
--- a/coordination/place/holders_test.go
+++ b/coordination/place/holders_test.go
@@ -68,11 +68,11 @@
 			if server == "old" {
 				at = start.Add(-10 * time.Second)
 			}
-			h.Read(server, chain, at)
+			h.Record(server, chain, at)
 		}
 		now := start.Add(2*readingTime + c.after)
 		if c.reads != "" {
-			h.Read(c.reads, whole, now)
+			h.Record(c.reads, whole, now)
 		}
 		if holder, tokens := h.Find(v, whole, "a1", c.may, now); holder != c.holder || tokens != c.tokens {
 			t.Errorf("%s: found %q with %d tokens, want %q with %d", name, holder, tokens, c.holder, c.tokens)
@@ -95,7 +95,7 @@
 			var last []protocol.PromptLink
 			for i := range rapid.IntRange(1, linksMost/4).Draw(t, "prompts") {
 				last = Chain(parts(base, uint64(i)*7+base))
-				h.Read(server, last, now)
+				h.Record(server, last, now)
 				if given[server] == nil {
 					given[server] = map[uint64]bool{}
 				}
@@ -199,9 +199,9 @@
 // hold what it had not held before.
 func TestUnreadIsForgotten(t *testing.T) {
 	h, chain := NewHolders(nil), Chain(parts(1, 2))
-	h.Read("a", chain[:1], start)
-	h.Unread("a", h.Read("a", chain, start))
-	h.Unread("b", h.Read("b", chain, start))
+	h.Record("a", chain[:1], start)
+	h.Unread("a", h.Record("a", chain, start))
+	h.Unread("b", h.Record("b", chain, start))
 	if h.Held("a", chain, start) != 1000 || h.Held("b", chain, start) != 0 || h.Len() != 1 {
 		t.Errorf("held %d and %d, %d links", h.Held("a", chain, start), h.Held("b", chain, start), h.Len())
 	}
--- a/coordination/place/ledger.go
+++ b/coordination/place/ledger.go
@@ -264,7 +264,7 @@
 	st.ends = st.reads.Add(time.Duration(l.pace * float64(m.Answer) * float64(time.Millisecond)))
 	b.stays[l.number], l.placed[l.number] = st, st
 	b.keep(m.Prefix, now)
-	fresh := l.holders.Read(server, m.Chain, now)
+	fresh := l.holders.Record(server, m.Chain, now)
 	return Placed{Server: server, Holder: holder, Number: l.number, Fresh: fresh}
 }
 
--- a/transport/forward/copy.go
+++ b/transport/forward/copy.go
@@ -34,7 +34,7 @@
 	if from != "" {
 		g.meters.copies.Inc(1)
 	}
-	x.newLinks = g.prompts.holders.Read(at.ID, x.chain, now)
+	x.newLinks = g.prompts.holders.Record(at.ID, x.chain, now)
 	return from
 }
 
--- a/transport/forward/copy_test.go
+++ b/transport/forward/copy_test.go
@@ -23,15 +23,15 @@
 		learn func(w *world, x *exchange)
 		want  bool
 	}{
-		"read for this gateway":   {func(w *world, x *exchange) { w.g.prompts.holders.Read("b", x.chain, past) }, true},
+		"read for this gateway":   {func(w *world, x *exchange) { w.g.prompts.holders.Record("b", x.chain, past) }, true},
 		"read for another one":    {func(w *world, x *exchange) { w.g.prompts.holders.TakePacked(w.g.view.Load(), packed(x, 1), past) }, true},
 		"of another leader's log": {func(w *world, x *exchange) { w.g.takeReadings(&protocol.SyncReply{Term: 3}, past) }, false},
 		"read by itself": {func(w *world, x *exchange) {
-			w.g.prompts.holders.Read("a", x.chain, past)
-			w.g.prompts.holders.Read("b", x.chain, past)
+			w.g.prompts.holders.Record("a", x.chain, past)
+			w.g.prompts.holders.Record("b", x.chain, past)
 		}, false},
 		"switched off": {func(w *world, x *exchange) {
-			w.g.prompts.holders.Read("b", x.chain, past)
+			w.g.prompts.holders.Record("b", x.chain, past)
 			w.g.cfg.NoCopies = true
 		}, false},
 		"turned away": {func(w *world, x *exchange) {
@@ -40,12 +40,12 @@
 			other.notePromptRead(w.g.view.Load().Find("b"), false)
 		}, false},
 		"of another version": {func(w *world, x *exchange) {
-			w.g.prompts.holders.Read("b", x.chain, past)
+			w.g.prompts.holders.Record("b", x.chain, past)
 			w.servers[1].Version = "2"
 			w.g.SetServers(w.servers)
 		}, false},
 		"a moved run": {func(w *world, x *exchange) {
-			w.g.prompts.holders.Read("b", x.chain, past)
+			w.g.prompts.holders.Record("b", x.chain, past)
 			x.continuation = &continuation{}
 		}, false},
 		"nobody": {func(*world, *exchange) {}, false},
