--- a/coordination/place/holders.go
+++ b/coordination/place/holders.go
@@ -144,9 +144,9 @@
 // Len returns how many links are remembered.
 func (h *Holders) Len() int { return len(h.links) }
 
-// Unread notes that a server proved not to have run a prompt: what it was not known to
+// Forget notes that a server proved not to have run a prompt: what it was not known to
 // hold before it does not hold.
-func (h *Holders) Unread(server string, fresh []uint32) {
+func (h *Holders) Forget(server string, fresh []uint32) {
 	for _, key := range fresh {
 		rows := h.links[linkKey(key)]
 		h.links[linkKey(key)] = slices.DeleteFunc(rows, func(r holding) bool { return r.server == server })
--- a/coordination/place/holders_test.go
+++ b/coordination/place/holders_test.go
@@ -200,8 +200,8 @@
 func TestUnreadIsForgotten(t *testing.T) {
 	h, chain := NewHolders(nil), Chain(parts(1, 2))
 	h.Record("a", chain[:1], start)
-	h.Unread("a", h.Record("a", chain, start))
-	h.Unread("b", h.Record("b", chain, start))
+	h.Forget("a", h.Record("a", chain, start))
+	h.Forget("b", h.Record("b", chain, start))
 	if h.Held("a", chain, start) != 1000 || h.Held("b", chain, start) != 0 || h.Len() != 1 {
 		t.Errorf("held %d and %d, %d links", h.Held("a", chain, start), h.Held("b", chain, start), h.Len())
 	}
--- a/transport/forward/copy.go
+++ b/transport/forward/copy.go
@@ -49,7 +49,7 @@
 	defer g.mu.Unlock()
 	switch {
 	case !read:
-		g.prompts.holders.Unread(at.ID, x.newLinks)
+		g.prompts.holders.Forget(at.ID, x.newLinks)
 	case x.placed.Server == "":
 		g.prompts.unreported = append(g.prompts.unreported, protocol.Reading{Server: at.ID, Links: x.newLinks})
 	}
