--- a/coordination/place/holders_test.go
+++ b/coordination/place/holders_test.go
@@ -152,14 +152,14 @@
 			if rapid.Bool().Draw(t, "asks") {
 				var packed []byte
 				packed, position = r.Since(position)
-				told.TakePacked(v, packed, start)
+				told.RecordPacked(v, packed, start)
 			}
 			if rapid.IntRange(0, 5).Draw(t, "change") == 0 {
 				list()
 			}
 		}
 		packed, _ := r.Since(position)
-		told.TakePacked(v, packed, start)
+		told.RecordPacked(v, packed, start)
 		for i := range v.Servers {
 			for _, link := range read[v.Servers[i].ID] {
 				if told.Held(v.Servers[i].ID, []protocol.PromptLink{link}, start) == 0 {
--- a/coordination/place/readings.go
+++ b/coordination/place/readings.go
@@ -124,9 +124,9 @@
 	}
 }
 
-// TakePacked notes the rows that the leader or a relay tells a gateway, packed by the order of
+// RecordPacked notes the rows that the leader or a relay tells a gateway, packed by the order of
 // a view's servers. Without a view they are dropped.
-func (h *Holders) TakePacked(v *View, packed []byte, now time.Time) {
+func (h *Holders) RecordPacked(v *View, packed []byte, now time.Time) {
 	if v != nil {
 		eachPacked(packed, len(v.Servers), func(i int, key uint32) { h.note(v.Servers[i].ID, linkKey(key), now) })
 	}
--- a/transport/forward/copy.go
+++ b/transport/forward/copy.go
@@ -93,5 +93,5 @@
 		return
 	}
 	g.prompts.term, g.prompts.position = reply.Term, reply.ReadingsAt
-	g.prompts.holders.TakePacked(g.view.Load(), reply.Readings, now)
+	g.prompts.holders.RecordPacked(g.view.Load(), reply.Readings, now)
 }
--- a/transport/forward/copy_test.go
+++ b/transport/forward/copy_test.go
@@ -24,7 +24,7 @@
 		want  bool
 	}{
 		"read for this gateway":   {func(w *world, x *exchange) { w.g.prompts.holders.Record("b", x.chain, past) }, true},
-		"read for another one":    {func(w *world, x *exchange) { w.g.prompts.holders.TakePacked(w.g.view.Load(), packed(x, 1), past) }, true},
+		"read for another one":    {func(w *world, x *exchange) { w.g.prompts.holders.RecordPacked(w.g.view.Load(), packed(x, 1), past) }, true},
 		"of another leader's log": {func(w *world, x *exchange) { w.g.takeReadings(&protocol.SyncReply{Term: 3}, past) }, false},
 		"read by itself": {func(w *world, x *exchange) {
 			w.g.prompts.holders.Record("a", x.chain, past)
