--- a/coordination/place/holders.go
+++ b/coordination/place/holders.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// Held returns how many tokens of a prompt's shared parts a server surely holds.
-func (h *Holders) Held(server string, chain []protocol.PromptLink, now time.Time) int {
+// HeldTokens returns how many tokens of a prompt's shared parts a server surely holds.
+func (h *Holders) HeldTokens(server string, chain []protocol.PromptLink, now time.Time) int {
 	for i := len(chain) - 1; i >= 0; i-- {
 		for _, r := range h.links[keyOf(chain[i])] {
 			if r.server == server && now.Sub(r.at) < surelyHeld {
@@ -206,7 +206,7 @@
 	found, tokens := l.holders.Find(v, m.Chain, at.Domain, func(s *Server) bool {
 		return s.ID != at.ID && s.Service == at.Service && s.Version == at.Version && !l.loads.Distrusted(s.ID, m.Domain)
 	}, now)
-	if tokens <= l.holders.Held(at.ID, m.Chain, now) {
+	if tokens <= l.holders.HeldTokens(at.ID, m.Chain, now) {
 		return ""
 	}
 	return found
--- a/coordination/place/holders_test.go
+++ b/coordination/place/holders_test.go
@@ -106,7 +106,7 @@
 			if len(h.links) > linksMost {
 				t.Fatalf("%d links are remembered", len(h.links))
 			}
-			if h.Held(server, last, now) != last[1].Tokens {
+			if h.HeldTokens(server, last, now) != last[1].Tokens {
 				t.Fatalf("%s is not known to hold what it read last", server)
 			}
 			chain := Chain(parts(base, rapid.Uint64Range(0, 50).Draw(t, "second")))
@@ -162,7 +162,7 @@
 		told.RecordPacked(v, packed, start)
 		for i := range v.Servers {
 			for _, link := range read[v.Servers[i].ID] {
-				if told.Held(v.Servers[i].ID, []protocol.PromptLink{link}, start) == 0 {
+				if told.HeldTokens(v.Servers[i].ID, []protocol.PromptLink{link}, start) == 0 {
 					t.Fatalf("the gateway does not know that %s holds %x", v.Servers[i].ID, link.Hash)
 				}
 			}
@@ -202,7 +202,7 @@
 	h.Record("a", chain[:1], start)
 	h.Forget("a", h.Record("a", chain, start))
 	h.Forget("b", h.Record("b", chain, start))
-	if h.Held("a", chain, start) != 1000 || h.Held("b", chain, start) != 0 || h.Len() != 1 {
-		t.Errorf("held %d and %d, %d links", h.Held("a", chain, start), h.Held("b", chain, start), h.Len())
+	if h.HeldTokens("a", chain, start) != 1000 || h.HeldTokens("b", chain, start) != 0 || h.Len() != 1 {
+		t.Errorf("held %d and %d, %d links", h.HeldTokens("a", chain, start), h.HeldTokens("b", chain, start), h.Len())
 	}
 }
--- a/transport/forward/copy.go
+++ b/transport/forward/copy.go
@@ -71,7 +71,7 @@
 	}
 	holders := x.g.prompts.holders
 	holder, tokens := holders.Find(view, x.chain, at.Domain, may, now)
-	if tokens < holders.Held(at.ID, x.chain, now)+leastCopied {
+	if tokens < holders.HeldTokens(at.ID, x.chain, now)+leastCopied {
 		return ""
 	}
 	return view.Find(holder).Address
