--- a/coordination/place/ledger.go
+++ b/coordination/place/ledger.go
@@ -28,10 +28,10 @@
 
 // Placed is a place that was given. Its number is named when the request ends.
 type Placed struct {
-	Server string
-	Holder string // Holder is a server that holds the shared parts, if Server does not; empty for none.
-	Number uint64
-	Fresh  []uint32 // Fresh are the links that Server was not known to hold; see [Readings].
+	Server   string
+	Holder   string // Holder is a server that holds the shared parts, if Server does not; empty for none.
+	Number   uint64
+	NewLinks []uint32 // Fresh are the links that Server was not known to hold; see [Readings].
 }
 
 // DoneMsg tells how long a placed request took.
@@ -265,7 +265,7 @@
 	b.stays[l.number], l.placed[l.number] = st, st
 	b.keep(m.Prefix, now)
 	fresh := l.holders.Record(server, m.Chain, now)
-	return Placed{Server: server, Holder: holder, Number: l.number, Fresh: fresh}
+	return Placed{Server: server, Holder: holder, Number: l.number, NewLinks: fresh}
 }
 
 // keep notes a prefix that is read at the server.
--- a/transport/control/copies.go
+++ b/transport/control/copies.go
@@ -188,9 +188,9 @@
 		return
 	}
 	if placed, ok := c.places.Place(c.view, prompt(m), clock.Now()); ok {
-		if len(placed.Fresh) > 0 {
-			c.readings.Add(c.incarnation, placed.Server, placed.Fresh)
-			c.fresh = append(c.fresh, protocol.Reading{Server: placed.Server, Links: placed.Fresh})
+		if len(placed.NewLinks) > 0 {
+			c.readings.Add(c.incarnation, placed.Server, placed.NewLinks)
+			c.fresh = append(c.fresh, protocol.Reading{Server: placed.Server, Links: placed.NewLinks})
 		}
 		*reply = placeReply(&placed, c.term, c.incarnation)
 	}
--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -348,7 +348,7 @@
 	}
 	placed, ok := u.places.Place(u.view, prompt(&m), clock.Now())
 	if ok {
-		u.readings.Add(u.incarnation, placed.Server, placed.Fresh)
+		u.readings.Add(u.incarnation, placed.Server, placed.NewLinks)
 		*reply = placeReply(&placed, term, u.incarnation)
 	}
 	return nil
