--- a/coordination/place/lane.go
+++ b/coordination/place/lane.go
@@ -87,8 +87,8 @@
 	return l.busy * (1 + (l.read-l.long)/readSpeed/stay)
 }
 
-// Began notes a request that takes a slot of a server with some slots.
-func (l *Lanes) Began(lane Lane, slots int, now time.Time) { l.runs(lane, 1, slots, now) }
+// RequestStarted notes a request that takes a slot of a server with some slots.
+func (l *Lanes) RequestStarted(lane Lane, slots int, now time.Time) { l.runs(lane, 1, slots, now) }
 
 // Ended notes that it gave the slot back after a time.
 func (l *Lanes) Ended(lane Lane, held time.Duration, slots int, now time.Time) {
--- a/coordination/place/lane_test.go
+++ b/coordination/place/lane_test.go
@@ -52,7 +52,7 @@
 			for range poisson(rnd, k.rate*tick.Seconds()) {
 				g := rnd.IntN(gateways)
 				lane, _ := lanes[g].Observe(k.tokens, k.shared)
-				lanes[g].Began(lane, slots, now)
+				lanes[g].RequestStarted(lane, slots, now)
 				running = append(running, event{now.Add(k.runs), g, lane, k.runs})
 			}
 		}
--- a/transport/forward/limits.go
+++ b/transport/forward/limits.go
@@ -52,7 +52,7 @@
 	defer x.g.mu.Unlock()
 	p, now := x.g.service(x.service), clock.Now()
 	p.add(1, now)
-	p.lanes.Began(x.lane, slots, now)
+	p.lanes.RequestStarted(x.lane, slots, now)
 }
 
 func (x *exchange) givesBack(held time.Duration, slots int) {
