--- a/coordination/place/lane.go
+++ b/coordination/place/lane.go
@@ -90,8 +90,8 @@
 // RequestStarted notes a request that takes a slot of a server with some slots.
 func (l *Lanes) RequestStarted(lane Lane, slots int, now time.Time) { l.runs(lane, 1, slots, now) }
 
-// Ended notes that it gave the slot back after a time.
-func (l *Lanes) Ended(lane Lane, held time.Duration, slots int, now time.Time) {
+// RequestEnded notes that it gave the slot back after a time.
+func (l *Lanes) RequestEnded(lane Lane, held time.Duration, slots int, now time.Time) {
 	l.runs(lane, -1, slots, now)
 	weight := max(stayWeight, 1/float64(l.ended+1))
 	l.ended++
--- a/coordination/place/lane_test.go
+++ b/coordination/place/lane_test.go
@@ -45,7 +45,7 @@
 				kept = append(kept, e)
 				continue
 			}
-			lanes[e.gateway].Ended(e.lane, e.held, slots, now)
+			lanes[e.gateway].RequestEnded(e.lane, e.held, slots, now)
 		}
 		running = kept
 		for _, k := range load {
--- a/transport/forward/limits.go
+++ b/transport/forward/limits.go
@@ -60,7 +60,7 @@
 	defer x.g.mu.Unlock()
 	p, now := x.g.service(x.service), clock.Now()
 	p.add(-1, now)
-	p.lanes.Ended(x.lane, held, slots, now)
+	p.lanes.RequestEnded(x.lane, held, slots, now)
 }
 
 // arrived notes a request for a service, by which retries are earned, and finds
