--- a/coordination/place/lane.go
+++ b/coordination/place/lane.go
@@ -65,8 +65,8 @@
 	shortFill = 0.6
 )
 
-// Own returns what this gateway has seen by itself.
-func (l *Lanes) Own() protocol.LaneTerms {
+// Local returns what this gateway has seen by itself.
+func (l *Lanes) Local() protocol.LaneTerms {
 	t := protocol.LaneTerms{Mean: l.mean, Seen: l.seen, Parts: protocol.LaneParts{Short: l.shortWork()}}
 	if l.read > 0 {
 		t.Parts.Tokens = l.long / l.read
@@ -180,7 +180,7 @@
 	}
 	l.read += weight * (read - l.read)
 	l.long += weight * (part - l.long)
-	terms := l.Own()
+	terms := l.Local()
 	if l.agreed.Seen > 0 {
 		terms = l.agreed
 	}
--- a/coordination/place/lane_test.go
+++ b/coordination/place/lane_test.go
@@ -59,7 +59,7 @@
 	}
 	var terms []protocol.LaneTerms
 	for i := range lanes {
-		terms = append(terms, lanes[i].Own())
+		terms = append(terms, lanes[i].Local())
 	}
 	return Together(terms).Parts
 }
--- a/transport/forward/limits.go
+++ b/transport/forward/limits.go
@@ -188,7 +188,7 @@
 	}
 	for name, p := range g.pressure {
 		p.average(now)
-		m.Pressure = append(m.Pressure, protocol.Pressure{Service: name, Begun: p.begun, Slow: p.slow, Work: p.work, Lanes: p.lanes.Own()})
+		m.Pressure = append(m.Pressure, protocol.Pressure{Service: name, Begun: p.begun, Slow: p.slow, Work: p.work, Lanes: p.lanes.Local()})
 	}
 	return m
 }
