--- a/coordination/place/lane.go
+++ b/coordination/place/lane.go
@@ -113,8 +113,8 @@
 	l.runningAt = now
 }
 
-// Agree takes the terms of all gateways, so that all make the same lanes.
-func (l *Lanes) Agree(t protocol.LaneTerms) { l.agreed = t }
+// SetAgreed takes the terms of all gateways, so that all make the same lanes.
+func (l *Lanes) SetAgreed(t protocol.LaneTerms) { l.agreed = t }
 
 // Together returns the terms of several gateways: means by the prompts that each has
 // seen, and what their short prompts keep busy in all.
--- a/coordination/place/ledger_test.go
+++ b/coordination/place/ledger_test.go
@@ -213,8 +213,8 @@
 		t.Fatalf("the mean of all is %+v", terms)
 	}
 	terms.Parts.Tokens = 0.5
-	a.Agree(terms)
-	b.Agree(terms)
+	a.SetAgreed(terms)
+	b.SetAgreed(terms)
 	for _, tokens := range []int{400, 3000, 8000} {
 		la, sa := a.Observe(tokens, 0)
 		lb, sb := b.Observe(tokens, 0)
--- a/transport/forward/limits.go
+++ b/transport/forward/limits.go
@@ -242,6 +242,6 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, l := range lanes {
-		g.service(l.Service).lanes.Agree(l.Terms)
+		g.service(l.Service).lanes.SetAgreed(l.Terms)
 	}
 }
