--- a/coordination/place/lane.go
+++ b/coordination/place/lane.go
@@ -201,8 +201,8 @@
 	return l.mean
 }
 
-// Size returns a prompt's length as a multiple of the mean one.
-func (l *Lanes) Size(tokens int) float64 {
+// RelativeSize returns a prompt's length as a multiple of the mean one.
+func (l *Lanes) RelativeSize(tokens int) float64 {
 	if l.mean <= 0 {
 		return 0
 	}
--- a/transport/forward/limits.go
+++ b/transport/forward/limits.go
@@ -73,7 +73,7 @@
 	p := g.service(x.service)
 	g.share(x.service, now).Request(now)
 	x.lane, x.parts = p.lanes.Observe(x.call.PromptTokens, x.call.SharedTokens())
-	x.size = p.lanes.Size(x.call.PromptTokens)
+	x.size = p.lanes.RelativeSize(x.call.PromptTokens)
 }
 
 // slowPart of its target makes an answer a slow one.
