--- a/coordination/place/lane.go
+++ b/coordination/place/lane.go
@@ -116,9 +116,9 @@
 // SetAgreed takes the terms of all gateways, so that all make the same lanes.
 func (l *Lanes) SetAgreed(t protocol.LaneTerms) { l.agreed = t }
 
-// Together returns the terms of several gateways: means by the prompts that each has
+// MergeTerms returns the terms of several gateways: means by the prompts that each has
 // seen, and what their short prompts keep busy in all.
-func Together(terms []protocol.LaneTerms) protocol.LaneTerms {
+func MergeTerms(terms []protocol.LaneTerms) protocol.LaneTerms {
 	var all protocol.LaneTerms
 	for _, t := range terms {
 		n := float64(min(t.Seen, laneTrust))
--- a/coordination/place/lane_test.go
+++ b/coordination/place/lane_test.go
@@ -61,7 +61,7 @@
 	for i := range lanes {
 		terms = append(terms, lanes[i].Local())
 	}
-	return Together(terms).Parts
+	return MergeTerms(terms).Parts
 }
 
 func poisson(rnd *rand.Rand, mean float64) int {
