--- a/coordination/place/relayed_test.go
+++ b/coordination/place/relayed_test.go
@@ -17,7 +17,7 @@
 // comes to hold the loads as they are, and that no answer is longer than all of them.
 func TestVectorTellsChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var v Vector
+		var v LoadVector
 		held := map[uint64][]byte{}
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			if rapid.IntRange(0, 5).Draw(t, "other list") == 0 {
--- a/coordination/place/vector.go
+++ b/coordination/place/vector.go
@@ -9,10 +9,10 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Vector is the loads of all listed servers, a byte each, and when each changed: who
+// LoadVector is the loads of all listed servers, a byte each, and when each changed: who
 // holds an earlier state is told what changed since. At 300 gateways before 3,000
 // servers a whole state in each answer was two thirds of what a leader sent.
-type Vector struct {
+type LoadVector struct {
 	version uint64 // version rises with each change.
 	base    uint64 // base is the first version of this list of servers.
 	values  []byte
@@ -20,14 +20,14 @@
 }
 
 // Reset takes the loads of another list of servers.
-func (v *Vector) Reset(values []byte) {
+func (v *LoadVector) Reset(values []byte) {
 	v.version++
 	v.base = v.version
 	v.values, v.changed = bytes.Clone(values), make([]uint64, len(values))
 }
 
 // Set takes the loads of the same servers as they are now.
-func (v *Vector) Set(values []byte) {
+func (v *LoadVector) Set(values []byte) {
 	if len(values) != len(v.values) {
 		v.Reset(values)
 		return
@@ -44,16 +44,16 @@
 }
 
 // Version returns the version of the loads that are held.
-func (v *Vector) Version() uint64 { return v.version }
+func (v *LoadVector) Version() uint64 { return v.version }
 
 // Values returns the loads that are held. They are not to be changed.
-func (v *Vector) Values() []byte { return v.values }
+func (v *LoadVector) Values() []byte { return v.values }
 
 // Since returns what changed behind a version, or false where all loads are to be told:
 // the version is of another list, or the changes are no shorter. A change is how many
 // servers lie between it and the one before, as a variable-length number, and the
 // server's load.
-func (v *Vector) Since(version uint64) (changes []byte, ok bool) {
+func (v *LoadVector) Since(version uint64) (changes []byte, ok bool) {
 	if version < v.base || version > v.version || v.base == 0 {
 		return nil, false
 	}
--- a/transport/control/copies.go
+++ b/transport/control/copies.go
@@ -29,7 +29,7 @@
 	gateways   int
 	clock      time.Time
 	mark       protocol.LoadMark // mark names the leader's loads that are held.
-	vector     place.Vector      // vector is those loads under this relay's own versions, for its gateways.
+	vector     place.LoadVector  // vector is those loads under this relay's own versions, for its gateways.
 	distrusted map[string][]byte
 
 	readings *place.Readings
--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -72,7 +72,7 @@
 	places   *place.PromptScheduler
 	readings *place.Readings
 	loads    *place.Loads
-	vector   place.Vector // vector is the loads as they were told last.
+	vector   place.LoadVector // vector is the loads as they were told last.
 	relays   map[string]*relayRecord
 	placed   place.Placements // placed are the places that this instance and its relays gave.
 	common   common
@@ -320,7 +320,7 @@
 
 // tellLoads puts the loads of all servers into an answer, or what changed since those that
 // the asker holds, where that is known and shorter. The mark now names those of v.
-func tellLoads(v *place.Vector, now, held protocol.LoadMark, reply *protocol.SyncReply) {
+func tellLoads(v *place.LoadVector, now, held protocol.LoadMark, reply *protocol.SyncReply) {
 	reply.Loaded = now
 	changes, ok := []byte(nil), false
 	if held.Incarnation == now.Incarnation {
