--- a/coordination/place/relayed_test.go
+++ b/coordination/place/relayed_test.go
@@ -43,7 +43,7 @@
 			if len(changes) > len(v.Values()) {
 				t.Fatalf("%d bytes of changes for %d servers", len(changes), len(v.Values()))
 			}
-			got, err := Renewed(loads, protocol.LoadMark{Incarnation: 7, Version: version}, whole, changes, to)
+			got, err := UpdateLoads(loads, protocol.LoadMark{Incarnation: 7, Version: version}, whole, changes, to)
 			if err != nil || string(got) != string(v.Values()) {
 				t.Fatalf("from %d to %d: %v, %v; want %v", version, v.Version(), got, err, v.Values())
 			}
--- a/coordination/place/vector.go
+++ b/coordination/place/vector.go
@@ -91,11 +91,11 @@
 	return loads, nil
 }
 
-// Renewed returns the loads that an asker has after an answer: those that it held under
+// UpdateLoads returns the loads that an asker has after an answer: those that it held under
 // the mark from, with the changes, or the whole ones that the answer holds. An answer
 // without changes under another mark is for another list of servers, whose loads are
 // whole, if there are any.
-func Renewed(held []byte, from protocol.LoadMark, whole, changes []byte, to protocol.LoadMark) ([]byte, error) {
+func UpdateLoads(held []byte, from protocol.LoadMark, whole, changes []byte, to protocol.LoadMark) ([]byte, error) {
 	if len(whole) > 0 || from.Incarnation != to.Incarnation || (len(changes) == 0 && from != to) {
 		return whole, nil
 	}
--- a/transport/control/copies.go
+++ b/transport/control/copies.go
@@ -93,7 +93,7 @@
 
 // renew takes the leader's answer to a batch.
 func (c *copies) renew(leader string, r *protocol.BatchReply) error {
-	loads, err := place.Renewed(c.vector.Values(), c.mark, r.Whole, r.LoadChanges, r.Loads)
+	loads, err := place.UpdateLoads(c.vector.Values(), c.mark, r.Whole, r.LoadChanges, r.Loads)
 	if err != nil {
 		return err
 	}
--- a/transport/control/relay_test.go
+++ b/transport/control/relay_test.go
@@ -155,7 +155,7 @@
 	if r.Loaded.Version == 0 {
 		return nil
 	}
-	loads, err := place.Renewed(g.loads, g.m.Loads, r.Loads, r.LoadChanges, r.Loaded)
+	loads, err := place.UpdateLoads(g.loads, g.m.Loads, r.Loads, r.LoadChanges, r.Loaded)
 	g.loads, g.m.Loads = loads, r.Loaded
 	return err
 }
--- a/transport/uplink/uplink.go
+++ b/transport/uplink/uplink.go
@@ -405,7 +405,7 @@
 	if reply.Listed || (len(reply.Loads) == 0 && reply.Loaded.Version == 0) {
 		return nil
 	}
-	loads, err := place.Renewed(c.loads, c.mark, reply.Loads, reply.LoadChanges, reply.Loaded)
+	loads, err := place.UpdateLoads(c.loads, c.mark, reply.Loads, reply.LoadChanges, reply.Loaded)
 	if err != nil {
 		c.loads, c.mark = nil, protocol.LoadMark{}
 		return err
