--- a/coordination/place/readings.go
+++ b/coordination/place/readings.go
@@ -106,10 +106,10 @@
 	return packed, next
 }
 
-// Unpacked calls row with the server and the link of each of some packed rows. The order
+// EachReading calls row with the server and the link of each of some packed rows. The order
 // is that of the list by which the rows were packed; rows of servers that are not in it
 // are left out.
-func Unpacked(packed []byte, order []string, row func(server string, key uint32)) {
+func EachReading(packed []byte, order []string, row func(server string, key uint32)) {
 	eachPacked(packed, len(order), func(i int, key uint32) { row(order[i], key) })
 }
 
--- a/transport/control/copies.go
+++ b/transport/control/copies.go
@@ -85,7 +85,7 @@
 		return // They are packed by the order of another list.
 	}
 	now := clock.Now()
-	place.Unpacked(r.Readings, c.order, func(server string, key uint32) {
+	place.EachReading(r.Readings, c.order, func(server string, key uint32) {
 		c.readings.Add(0, server, []uint32{key})
 		c.places.RecordPrefill(server, []uint32{key}, now)
 	})
