--- a/coordination/place/holders_test.go
+++ b/coordination/place/holders_test.go
@@ -135,7 +135,7 @@
 				order = append(order, v.Servers[i].ID)
 			}
 			slices.Sort(order)
-			r.List(order)
+			r.SetServers(order)
 		}
 		list()
 		position, number := uint64(0), uint64(0)
@@ -182,7 +182,7 @@
 // that are not there.
 func TestReadingsAreBounded(t *testing.T) {
 	r := NewReadings()
-	r.List([]string{"a"})
+	r.SetServers([]string{"a"})
 	for i := range 3 * readingsKept {
 		r.Add(1, "a", []uint32{uint32(i)})
 	}
--- a/coordination/place/readings.go
+++ b/coordination/place/readings.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// List takes the servers by name, in whose order rows are packed from now on.
-func (r *Readings) List(order []string) {
+// SetServers takes the servers by name, in whose order rows are packed from now on.
+func (r *Readings) SetServers(order []string) {
 	r.index = make(map[string]uint16, len(order))
 	for i, id := range order {
 		if i < unlisted {
--- a/transport/control/copies.go
+++ b/transport/control/copies.go
@@ -138,7 +138,7 @@
 			return err
 		}
 		c.take(r.Lister, r.Version, list.Onto(c.servers))
-		c.readings.List(c.order)
+		c.readings.SetServers(c.order)
 		news = true
 	}
 	if r.Changes != c.changes {
--- a/transport/control/list.go
+++ b/transport/control/list.go
@@ -107,7 +107,7 @@
 	u.keepLimits()
 	u.common = common{}
 	u.vector.Reset(u.loads.Pack(u.order))
-	u.readings.List(u.order)
+	u.readings.SetServers(u.order)
 }
 
 // ExpectList notes whether the list could be read in a term, and that it is to be read again
