--- a/coordination/place/readings.go
+++ b/coordination/place/readings.go
@@ -91,9 +91,9 @@
 	return r.packed[from*readingBytes : len(r.packed) : len(r.packed)], next
 }
 
-// Others returns the rows behind a position that other instances than one (by its
+// SinceExcept returns the rows behind a position that other instances than one (by its
 // incarnation) passed on, packed, and the position behind them.
-func (r *Readings) Others(position, except uint64) (packed []byte, next uint64) {
+func (r *Readings) SinceExcept(position, except uint64) (packed []byte, next uint64) {
 	next = r.first + uint64(len(r.rows))
 	if position > next {
 		position = next // It is of another log.
--- a/transport/control/batch.go
+++ b/transport/control/batch.go
@@ -98,7 +98,7 @@
 	}
 	reply.Placed, record.known = u.placed.Since(record.known, m.Relay)
 	if reply.Listed || (m.Lister == u.lister && m.Servers == u.version) {
-		reply.Readings, record.heard = u.readings.Others(record.heard, m.Life)
+		reply.Readings, record.heard = u.readings.SinceExcept(record.heard, m.Life)
 	}
 }
 
