--- a/coordination/place/place.go
+++ b/coordination/place/place.go
@@ -136,16 +136,16 @@
 
 // ChooseMsg asks for a server.
 type ChooseMsg struct {
-	Service string
-	Prefix  uint64 // Prefix is the hash of the prompt's shared parts; 0 without any.
-	Domain  string // Domain is the gateway's own.
-	Rand    uint64 // Rand is fresh randomness.
-	Avoid   []string
-	Lane    Lane
-	Parts   protocol.LaneParts
-	Brief   bool // Brief says that little is lost if the server stops before the request has ended.
-	Most    int  // Most is how many requests of this gateway a server may have; 0 means no bound.
-	Now     time.Time
+	Service        string
+	Prefix         uint64 // Prefix is the hash of the prompt's shared parts; 0 without any.
+	Domain         string // Domain is the gateway's own.
+	Rand           uint64 // Rand is fresh randomness.
+	Avoid          []string
+	Lane           Lane
+	Parts          protocol.LaneParts
+	Brief          bool // Brief says that little is lost if the server stops before the request has ended.
+	MaxOutstanding int  // Most is how many requests of this gateway a server may have; 0 means no bound.
+	Now            time.Time
 }
 
 const (
@@ -221,7 +221,7 @@
 			continue
 		}
 		load, pending, failing, suspect := s.Stats.load(m.Now)
-		if m.Most > 0 && s.Stats.Outstanding() >= m.Most {
+		if m.MaxOutstanding > 0 && s.Stats.Outstanding() >= m.MaxOutstanding {
 			continue
 		}
 		load += pendingLoad * pending * float64(s.Width())
--- a/coordination/place/place_test.go
+++ b/coordination/place/place_test.go
@@ -38,7 +38,7 @@
 		m.Prefix = rapid.SampledFrom([]uint64{0, 7, 99}).Draw(t, "prefix")
 		m.Lane = rapid.SampledFrom([]Lane{LaneAny, LaneLong, LaneShort}).Draw(t, "lane")
 		m.Parts.Tokens = rapid.Float64Range(0, 1).Draw(t, "share")
-		m.Most = rapid.IntRange(0, 3).Draw(t, "most")
+		m.MaxOutstanding = rapid.IntRange(0, 3).Draw(t, "most")
 		left := 0
 		for i := range v.Servers {
 			s := &v.Servers[i]
@@ -54,7 +54,7 @@
 			if rapid.Bool().Draw(t, "failed") {
 				s.Stats.RequestFailed(true, start)
 			}
-			if !s.Leaving && !avoided && (m.Most == 0 || own < m.Most) {
+			if !s.Leaving && !avoided && (m.MaxOutstanding == 0 || own < m.MaxOutstanding) {
 				left++
 			}
 		}
@@ -71,8 +71,8 @@
 				t.Fatalf("%s was to be avoided", id)
 			}
 		}
-		if s.Leaving || (m.Most > 0 && s.Stats.Outstanding() >= m.Most) {
-			t.Fatalf("chosen %+v with %d outstanding of %d", s, s.Stats.Outstanding(), m.Most)
+		if s.Leaving || (m.MaxOutstanding > 0 && s.Stats.Outstanding() >= m.MaxOutstanding) {
+			t.Fatalf("chosen %+v with %d outstanding of %d", s, s.Stats.Outstanding(), m.MaxOutstanding)
 		}
 	})
 }
--- a/transport/forward/exchange.go
+++ b/transport/forward/exchange.go
@@ -281,16 +281,16 @@
 func (x *exchange) pick() (*place.Server, *protocol.Refusal) {
 	view := x.g.view.Load()
 	m := place.ChooseMsg{
-		Service: x.service,
-		Prefix:  x.prefix,
-		Domain:  x.g.cfg.Domain,
-		Rand:    rand.Uint64(),
-		Avoid:   x.excluded(),
-		Lane:    x.lane,
-		Parts:   x.parts,
-		Brief:   x.route.Repeatable(),
-		Most:    x.most(),
-		Now:     clock.Now(),
+		Service:        x.service,
+		Prefix:         x.prefix,
+		Domain:         x.g.cfg.Domain,
+		Rand:           rand.Uint64(),
+		Avoid:          x.excluded(),
+		Lane:           x.lane,
+		Parts:          x.parts,
+		Brief:          x.route.Repeatable(),
+		MaxOutstanding: x.most(),
+		Now:            clock.Now(),
 	}
 	if s := x.chooseTrial(view, m); s != nil {
 		return s, nil
