--- a/coordination/memory/memory.go
+++ b/coordination/memory/memory.go
@@ -123,8 +123,8 @@
 	return out
 }
 
-// Take takes bytes for a cause, all of them or none.
-func (a *Account) Take(h *Hold, c Cause, n int64, now time.Time) Decision {
+// Reserve takes bytes for a cause, all of them or none.
+func (a *Account) Reserve(h *Hold, c Cause, n int64, now time.Time) Decision {
 	v := Decision{Bytes: n, Workspace: a.HeldBy(h.Workspace), Held: a.held, Bound: a.bound}
 	free := a.bound - a.held - n
 	missing := -free // missing is how many bytes have to be given back first.
--- a/coordination/memory/memory_test.go
+++ b/coordination/memory/memory_test.go
@@ -38,7 +38,7 @@
 			n := int64(rapid.IntRange(0, bound).Draw(t, "bytes"))
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1, 2:
-				v := a.Take(&holds[k.hold], k.cause, n, now)
+				v := a.Reserve(&holds[k.hold], k.cause, n, now)
 				if v.Taken {
 					book[k] += n
 				} else if v.Wait < leastWait || v.Wait > mostWait {
@@ -101,7 +101,7 @@
 	var h Hold
 	h.Workspace = "another"
 	free := a.Bound() - a.Held()
-	v := a.Take(&h, Body, free/2, now)
+	v := a.Reserve(&h, Body, free/2, now)
 	a.End(&h, now)
 	if !v.Taken {
 		t.Fatalf("another workspace does not get %d of %d free bytes: %+v", free/2, free, v)
@@ -124,7 +124,7 @@
 		}
 		for range 1000 {
 			for i := range holds {
-				a.Take(&holds[i], Lag, piece, start)
+				a.Reserve(&holds[i], Lag, piece, start)
 			}
 		}
 		for i := range holds {
@@ -142,12 +142,12 @@
 	conns := make([]Hold, 1000)
 	taken := 0
 	for i := range conns {
-		if a.Take(&conns[i], Connection, bound/100, start).Taken {
+		if a.Reserve(&conns[i], Connection, bound/100, start).Taken {
 			taken++
 		}
 	}
 	var h Hold
-	if v := a.Take(&h, Body, bound/4, start); taken != 50 || !v.Taken {
+	if v := a.Reserve(&h, Body, bound/4, start); taken != 50 || !v.Taken {
 		t.Errorf("%d connections of a hundredth of the bound, then a body: %+v", taken, v)
 	}
 }
@@ -159,11 +159,11 @@
 		a := New(bound)
 		var h, other Hold
 		h.Workspace = "w"
-		a.Take(&h, Body, bound/2, start)
+		a.Reserve(&h, Body, bound/2, start)
 		a.Give(&h, Body, given, start)
-		a.Take(&h, Body, given, start)
+		a.Reserve(&h, Body, given, start)
 		other.Workspace = "w"
-		v := a.Take(&other, Body, bound/8, start.Add(time.Millisecond))
+		v := a.Reserve(&other, Body, bound/8, start.Add(time.Millisecond))
 		if v.Taken || v.Never || !v.OverShare {
 			t.Fatalf("got %+v", v)
 		}
@@ -173,7 +173,7 @@
 		t.Errorf("waits are %v where nothing is given back, %v where little, %v where much", none, slow, fast)
 	}
 	var h Hold
-	if v := New(bound).Take(&h, Body, bound/2+1, start); v.Taken || !v.Never {
+	if v := New(bound).Reserve(&h, Body, bound/2+1, start); v.Taken || !v.Never {
 		t.Errorf("more than half of the bound: %+v", v)
 	}
 }
--- a/transport/caller/memory.go
+++ b/transport/caller/memory.go
@@ -55,7 +55,7 @@
 		return memory.Decision{Taken: true}
 	}
 	m.mu.Lock()
-	v := m.account.Take(h, c, int64(n), time.Now())
+	v := m.account.Reserve(h, c, int64(n), time.Now())
 	newcomer := v.Taken && h.Workspace != "" && !m.metered[h.Workspace] && len(m.metered) < mostMetered
 	if newcomer {
 		m.metered[h.Workspace] = true
