--- a/coordination/memory/memory.go
+++ b/coordination/memory/memory.go
@@ -168,8 +168,8 @@
 	}
 }
 
-// Give gives bytes back; never more than the hold has for the cause.
-func (a *Account) Give(h *Hold, c Cause, n int64, now time.Time) {
+// Release gives bytes back; never more than the hold has for the cause.
+func (a *Account) Release(h *Hold, c Cause, n int64, now time.Time) {
 	n = min(n, h.held[c])
 	if n <= 0 {
 		return
@@ -184,7 +184,7 @@
 // End gives back all that a hold has.
 func (a *Account) End(h *Hold, now time.Time) {
 	for _, c := range Causes {
-		a.Give(h, c, h.held[c], now)
+		a.Release(h, c, h.held[c], now)
 	}
 }
 
--- a/coordination/memory/memory_test.go
+++ b/coordination/memory/memory_test.go
@@ -45,7 +45,7 @@
 					t.Fatalf("a refusal says to come back after %v: %+v", v.Wait, v)
 				}
 			case 3, 4:
-				a.Give(&holds[k.hold], k.cause, n, now)
+				a.Release(&holds[k.hold], k.cause, n, now)
 				book[k] -= min(n, book[k])
 			case 5:
 				a.End(&holds[k.hold], now)
@@ -160,7 +160,7 @@
 		var h, other Hold
 		h.Workspace = "w"
 		a.Reserve(&h, Body, bound/2, start)
-		a.Give(&h, Body, given, start)
+		a.Release(&h, Body, given, start)
 		a.Reserve(&h, Body, given, start)
 		other.Workspace = "w"
 		v := a.Reserve(&other, Body, bound/8, start.Add(time.Millisecond))
--- a/transport/caller/memory.go
+++ b/transport/caller/memory.go
@@ -79,7 +79,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.account.Give(h, c, int64(n), time.Now())
+	m.account.Release(h, c, int64(n), time.Now())
 }
 
 // End gives back all that a hold has.
