--- a/coordination/memory/memory.go
+++ b/coordination/memory/memory.go
@@ -181,8 +181,8 @@
 	a.add(h, c, -n)
 }
 
-// End gives back all that a hold has.
-func (a *Account) End(h *Hold, now time.Time) {
+// ReleaseAll gives back all that a hold has.
+func (a *Account) ReleaseAll(h *Hold, now time.Time) {
 	for _, c := range Causes {
 		a.Release(h, c, h.held[c], now)
 	}
--- a/coordination/memory/memory_test.go
+++ b/coordination/memory/memory_test.go
@@ -48,7 +48,7 @@
 				a.Release(&holds[k.hold], k.cause, n, now)
 				book[k] -= min(n, book[k])
 			case 5:
-				a.End(&holds[k.hold], now)
+				a.ReleaseAll(&holds[k.hold], now)
 				for _, c := range Causes {
 					delete(book, key{k.hold, c})
 				}
@@ -57,7 +57,7 @@
 			checkRoom(t, a, now)
 		}
 		for i := range holds {
-			a.End(&holds[i], now)
+			a.ReleaseAll(&holds[i], now)
 		}
 		checkBook(t, a, holds, nil)
 		if len(a.Workspaces()) > 0 {
@@ -102,7 +102,7 @@
 	h.Workspace = "another"
 	free := a.Bound() - a.Held()
 	v := a.Reserve(&h, Body, free/2, now)
-	a.End(&h, now)
+	a.ReleaseAll(&h, now)
 	if !v.Taken {
 		t.Fatalf("another workspace does not get %d of %d free bytes: %+v", free/2, free, v)
 	}
--- a/transport/caller/memory.go
+++ b/transport/caller/memory.go
@@ -89,7 +89,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.account.End(h, time.Now())
+	m.account.ReleaseAll(h, time.Now())
 }
 
 // most is the largest body that can ever be taken, at most a limit: one beside whose
