--- a/coordination/memory/memory.go
+++ b/coordination/memory/memory.go
@@ -103,8 +103,8 @@
 // Bound returns the most that is held.
 func (a *Account) Bound() int64 { return a.bound }
 
-// Of returns the bytes held for a cause.
-func (a *Account) Of(c Cause) int64 { return a.causes[c] }
+// HeldFor returns the bytes held for a cause.
+func (a *Account) HeldFor(c Cause) int64 { return a.causes[c] }
 
 // HeldBy returns the bytes that a workspace holds.
 func (a *Account) HeldBy(workspace string) int64 {
--- a/coordination/memory/memory_test.go
+++ b/coordination/memory/memory_test.go
@@ -84,8 +84,8 @@
 		t.Fatalf("%d bytes are held, want %d, at most %d", a.Held(), all, bound)
 	}
 	for _, c := range Causes {
-		if a.Of(c) != byCause[c] {
-			t.Fatalf("%d bytes for %v, want %d", a.Of(c), c, byCause[c])
+		if a.HeldFor(c) != byCause[c] {
+			t.Fatalf("%d bytes for %v, want %d", a.HeldFor(c), c, byCause[c])
 		}
 	}
 	for _, w := range []string{"0", "1", "2", "3"} {
--- a/transport/caller/memory.go
+++ b/transport/caller/memory.go
@@ -35,7 +35,7 @@
 	}
 	m.gauge("memory.bound", (*memory.Account).Bound)
 	for _, c := range memory.Causes {
-		m.gauge(fmt.Sprintf("memory.held{cause=%q}", c), func(a *memory.Account) int64 { return a.Of(c) })
+		m.gauge(fmt.Sprintf("memory.held{cause=%q}", c), func(a *memory.Account) int64 { return a.HeldFor(c) })
 	}
 	return m
 }
@@ -118,7 +118,7 @@
 	defer m.mu.Unlock()
 	row := &MemoryRow{Bound: m.account.Bound(), Held: m.account.Held(), Causes: map[string]int64{}, Workspaces: m.account.Workspaces()}
 	for _, c := range memory.Causes {
-		row.Causes[c.String()] = m.account.Of(c)
+		row.Causes[c.String()] = m.account.HeldFor(c)
 	}
 	return row
 }
