--- a/coordination/memory/memory.go
+++ b/coordination/memory/memory.go
@@ -94,8 +94,8 @@
 	return &Account{bound: bound, workspaces: map[string]*workspaceBytes{}}
 }
 
-// Most is the most that one hold can ever take: what leaves as much to the others.
-func (a *Account) Most() int64 { return a.bound / 2 }
+// MaxHold is the most that one hold can ever take: what leaves as much to the others.
+func (a *Account) MaxHold() int64 { return a.bound / 2 }
 
 // Held returns the bytes held in all.
 func (a *Account) Held() int64 { return a.held }
@@ -140,7 +140,7 @@
 		}
 	}
 	if missing > 0 {
-		v.Never = n > a.Most()
+		v.Never = n > a.MaxHold()
 		v.Wait = given.wait(missing, now)
 		return v
 	}
--- a/transport/caller/memory.go
+++ b/transport/caller/memory.go
@@ -98,7 +98,7 @@
 	if m == nil {
 		return limit
 	}
-	return int(min(int64(limit), max(0, m.account.Most()-connectionBytes/2)))
+	return int(min(int64(limit), max(0, m.account.MaxHold()-connectionBytes/2)))
 }
 
 // MemoryRow is the account's state for people.
