--- a/coordination/memory/memory.go
+++ b/coordination/memory/memory.go
@@ -78,8 +78,8 @@
 
 // Decision says whether bytes were taken, and by which figures. Sizes are in bytes.
 type Decision struct {
-	Taken bool
-	Never bool // Never says that so much is never taken, whatever else is held.
+	Granted bool
+	Never   bool // Never says that so much is never taken, whatever else is held.
 	// OverShare says that the workspace's share is used up, and not the whole account.
 	OverShare bool
 	Bytes     int64         // Bytes are those asked for.
@@ -144,7 +144,7 @@
 		v.Wait = given.wait(missing, now)
 		return v
 	}
-	v.Taken = true
+	v.Granted = true
 	a.add(h, c, n)
 	return v
 }
--- a/coordination/memory/memory_test.go
+++ b/coordination/memory/memory_test.go
@@ -39,7 +39,7 @@
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1, 2:
 				v := a.Reserve(&holds[k.hold], k.cause, n, now)
-				if v.Taken {
+				if v.Granted {
 					book[k] += n
 				} else if v.Wait < leastWait || v.Wait > mostWait {
 					t.Fatalf("a refusal says to come back after %v: %+v", v.Wait, v)
@@ -103,7 +103,7 @@
 	free := a.Bound() - a.Held()
 	v := a.Reserve(&h, Body, free/2, now)
 	a.ReleaseAll(&h, now)
-	if !v.Taken {
+	if !v.Granted {
 		t.Fatalf("another workspace does not get %d of %d free bytes: %+v", free/2, free, v)
 	}
 	for w, n := range a.Workspaces() {
@@ -142,12 +142,12 @@
 	conns := make([]Hold, 1000)
 	taken := 0
 	for i := range conns {
-		if a.Reserve(&conns[i], Connection, bound/100, start).Taken {
+		if a.Reserve(&conns[i], Connection, bound/100, start).Granted {
 			taken++
 		}
 	}
 	var h Hold
-	if v := a.Reserve(&h, Body, bound/4, start); taken != 50 || !v.Taken {
+	if v := a.Reserve(&h, Body, bound/4, start); taken != 50 || !v.Granted {
 		t.Errorf("%d connections of a hundredth of the bound, then a body: %+v", taken, v)
 	}
 }
@@ -164,7 +164,7 @@
 		a.Reserve(&h, Body, given, start)
 		other.Workspace = "w"
 		v := a.Reserve(&other, Body, bound/8, start.Add(time.Millisecond))
-		if v.Taken || v.Never || !v.OverShare {
+		if v.Granted || v.Never || !v.OverShare {
 			t.Fatalf("got %+v", v)
 		}
 		return v.Wait
@@ -173,7 +173,7 @@
 		t.Errorf("waits are %v where nothing is given back, %v where little, %v where much", none, slow, fast)
 	}
 	var h Hold
-	if v := New(bound).Reserve(&h, Body, bound/2+1, start); v.Taken || !v.Never {
+	if v := New(bound).Reserve(&h, Body, bound/2+1, start); v.Granted || !v.Never {
 		t.Errorf("more than half of the bound: %+v", v)
 	}
 }
--- a/transport/caller/admit.go
+++ b/transport/caller/admit.go
@@ -30,9 +30,9 @@
 		}
 	}
 	v := s.memory.Take(&c.cost, memory.Connection, connectionBytes)
-	if !v.Taken {
+	if !v.Granted {
 		s.evict()
-		if v = s.memory.Take(&c.cost, memory.Connection, connectionBytes); !v.Taken {
+		if v = s.memory.Take(&c.cost, memory.Connection, connectionBytes); !v.Granted {
 			return s.refuseConn(c, v)
 		}
 	}
--- a/transport/caller/body.go
+++ b/transport/caller/body.go
@@ -41,7 +41,7 @@
 		s.setOwner(c, req)
 	}
 	if length > readBuffer {
-		if v := s.memory.Take(&c.hold, memory.Body, length); !v.Taken {
+		if v := s.memory.Take(&c.hold, memory.Body, length); !v.Granted {
 			return &noRoom{v}
 		}
 	}
@@ -126,7 +126,7 @@
 		return nil, fasthttp.ErrBodyTooLarge
 	}
 	// The byte beyond the most, which finds the end, would never be taken.
-	if v := s.memory.Take(&c.hold, memory.Body, min(size, most)-cap(body)); !v.Taken {
+	if v := s.memory.Take(&c.hold, memory.Body, min(size, most)-cap(body)); !v.Granted {
 		return nil, &noRoom{v}
 	}
 	return append(make([]byte, 0, size), body...), nil
--- a/transport/caller/memory.go
+++ b/transport/caller/memory.go
@@ -52,17 +52,17 @@
 // Take takes bytes for a cause, all or none.
 func (m *Memory) Take(h *memory.Hold, c memory.Cause, n int) memory.Decision {
 	if m == nil {
-		return memory.Decision{Taken: true}
+		return memory.Decision{Granted: true}
 	}
 	m.mu.Lock()
 	v := m.account.Reserve(h, c, int64(n), time.Now())
-	newcomer := v.Taken && h.Workspace != "" && !m.metered[h.Workspace] && len(m.metered) < mostMetered
+	newcomer := v.Granted && h.Workspace != "" && !m.metered[h.Workspace] && len(m.metered) < mostMetered
 	if newcomer {
 		m.metered[h.Workspace] = true
 	}
 	m.mu.Unlock()
 	// Where a send buffer is full the answer goes on, slower; connections have their own count.
-	if !v.Taken && (c == memory.Body || c == memory.Answer) {
+	if !v.Granted && (c == memory.Body || c == memory.Answer) {
 		m.refused.Inc(1)
 	}
 	if newcomer {
--- a/transport/caller/memory_test.go
+++ b/transport/caller/memory_test.go
@@ -121,7 +121,7 @@
 	m := NewMemory(1<<20, metrics.NewRegistry())
 	_, address := listen(t, h, WithMemory(m))
 	var hold memory.Hold
-	if !m.Take(&hold, memory.Body, 1<<19).Taken {
+	if !m.Take(&hold, memory.Body, 1<<19).Granted {
 		t.Fatal("half of the bound was not taken")
 	}
 	conn := dial(t, address)
@@ -187,7 +187,7 @@
 	}
 	var hold memory.Hold
 	hold.Workspace = "a"
-	if !m.Take(&hold, memory.Lag, 3<<19).Taken {
+	if !m.Take(&hold, memory.Lag, 3<<19).Granted {
 		t.Fatal("nothing was taken")
 	}
 	conn := dial(t, address)
--- a/transport/caller/send_buffer.go
+++ b/transport/caller/send_buffer.go
@@ -96,7 +96,7 @@
 		}
 	}
 	full := s.taken >= maxBlocks
-	if !full && s.memory.Take(s.hold, memory.Lag, blockBytes).Taken {
+	if !full && s.memory.Take(s.hold, memory.Lag, blockBytes).Granted {
 		s.taken++
 		n := min(blockBytes, len(p))
 		s.blocks = append(s.blocks, append(make([]byte, 0, blockBytes), p[:n]...))
--- a/transport/forward/room.go
+++ b/transport/forward/room.go
@@ -240,7 +240,7 @@
 // takeRoom takes bytes for the answer from the account of memory.
 func (x *exchange) takeRoom(n int) error {
 	v := x.answer.Hold(n)
-	if v.Taken {
+	if v.Granted {
 		return nil
 	}
 	x.log.Info().Int64("bytes", v.Bytes).Int64("share", v.Workspace).Bool("own", v.OverShare).Int64("held", v.Held).Int64("bound", v.Bound).Msg("no room for an answer")
--- a/transport/forward/room_test.go
+++ b/transport/forward/room_test.go
@@ -86,7 +86,7 @@
 	w.install(protocol.PathRoute{Attempts: 1}, protocol.Tenancy{Name: "one", Keys: []string{"1"}}, protocol.Tenancy{Name: "two", Keys: []string{"2"}})
 	b := w.backend("a", good)
 	hold := memory.Hold{Workspace: "one"}
-	if !m.Take(&hold, memory.Lag, 3<<19).Taken {
+	if !m.Take(&hold, memory.Lag, 3<<19).Granted {
 		t.Fatal("nothing was taken")
 	}
 	body := strings.Repeat("x", 1<<20)
