--- a/coordination/memory/memory.go
+++ b/coordination/memory/memory.go
@@ -78,8 +78,8 @@
 
 // Decision says whether bytes were taken, and by which figures. Sizes are in bytes.
 type Decision struct {
-	Granted bool
-	Never   bool // Never says that so much is never taken, whatever else is held.
+	Granted  bool
+	TooLarge bool // Never says that so much is never taken, whatever else is held.
 	// OverShare says that the workspace's share is used up, and not the whole account.
 	OverShare bool
 	Bytes     int64         // Bytes are those asked for.
@@ -140,7 +140,7 @@
 		}
 	}
 	if missing > 0 {
-		v.Never = n > a.MaxHold()
+		v.TooLarge = n > a.MaxHold()
 		v.Wait = given.wait(missing, now)
 		return v
 	}
--- a/coordination/memory/memory_test.go
+++ b/coordination/memory/memory_test.go
@@ -164,7 +164,7 @@
 		a.Reserve(&h, Body, given, start)
 		other.Workspace = "w"
 		v := a.Reserve(&other, Body, bound/8, start.Add(time.Millisecond))
-		if v.Granted || v.Never || !v.OverShare {
+		if v.Granted || v.TooLarge || !v.OverShare {
 			t.Fatalf("got %+v", v)
 		}
 		return v.Wait
@@ -173,7 +173,7 @@
 		t.Errorf("waits are %v where nothing is given back, %v where little, %v where much", none, slow, fast)
 	}
 	var h Hold
-	if v := New(bound).Reserve(&h, Body, bound/2+1, start); v.Granted || !v.Never {
+	if v := New(bound).Reserve(&h, Body, bound/2+1, start); v.Granted || !v.TooLarge {
 		t.Errorf("more than half of the bound: %+v", v)
 	}
 }
