--- a/coordination/memory/memory.go
+++ b/coordination/memory/memory.go
@@ -81,12 +81,12 @@
 	Granted  bool
 	TooLarge bool // Never says that so much is never taken, whatever else is held.
 	// OverShare says that the workspace's share is used up, and not the whole account.
-	OverShare bool
-	Bytes     int64         // Bytes are those asked for.
-	Workspace int64         // Workspace is what the workspace holds.
-	Held      int64         // Held is what is held in all.
-	Bound     int64         // Bound is the most.
-	Wait      time.Duration // Wait is when to come back; 0 where they were taken.
+	OverShare  bool
+	Bytes      int64         // Bytes are those asked for.
+	Workspace  int64         // Workspace is what the workspace holds.
+	Held       int64         // Held is what is held in all.
+	Bound      int64         // Bound is the most.
+	RetryAfter time.Duration // Wait is when to come back; 0 where they were taken.
 }
 
 // New returns an account of at most some bytes.
@@ -141,7 +141,7 @@
 	}
 	if missing > 0 {
 		v.TooLarge = n > a.MaxHold()
-		v.Wait = given.wait(missing, now)
+		v.RetryAfter = given.wait(missing, now)
 		return v
 	}
 	v.Granted = true
--- a/coordination/memory/memory_test.go
+++ b/coordination/memory/memory_test.go
@@ -41,8 +41,8 @@
 				v := a.Reserve(&holds[k.hold], k.cause, n, now)
 				if v.Granted {
 					book[k] += n
-				} else if v.Wait < leastWait || v.Wait > mostWait {
-					t.Fatalf("a refusal says to come back after %v: %+v", v.Wait, v)
+				} else if v.RetryAfter < leastWait || v.RetryAfter > mostWait {
+					t.Fatalf("a refusal says to come back after %v: %+v", v.RetryAfter, v)
 				}
 			case 3, 4:
 				a.Release(&holds[k.hold], k.cause, n, now)
@@ -167,7 +167,7 @@
 		if v.Granted || v.TooLarge || !v.OverShare {
 			t.Fatalf("got %+v", v)
 		}
-		return v.Wait
+		return v.RetryAfter
 	}
 	if none, slow, fast := wait(0), wait(bound/32), wait(bound/4); none != mostWait || slow >= none || fast >= slow {
 		t.Errorf("waits are %v where nothing is given back, %v where little, %v where much", none, slow, fast)
--- a/transport/caller/memory_test.go
+++ b/transport/caller/memory_test.go
@@ -34,7 +34,7 @@
 	k.refused.Add(1)
 	resp := &fasthttp.Response{}
 	resp.SetStatusCode(fasthttp.StatusServiceUnavailable)
-	resp.Header.Set("Retry-After", fmt.Sprint(v.Wait.Seconds()))
+	resp.Header.Set("Retry-After", fmt.Sprint(v.RetryAfter.Seconds()))
 	return resp
 }
 
--- a/transport/forward/room.go
+++ b/transport/forward/room.go
@@ -31,13 +31,13 @@
 func (g *Gateway) NoRoom(req *fasthttp.Request, v memory.Decision) *fasthttp.Response {
 	call := g.dialect.Call(req)
 	_, workspace := g.Owner(req)
-	r := protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeMemory, "no memory is left for a body of this size").WithRetryAfter(v.Wait)
+	r := protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeMemory, "no memory is left for a body of this size").WithRetryAfter(v.RetryAfter)
 	g.meters.requests.Inc(1)
 	g.meters.refused.Inc(1)
 	g.meters.end(outcome{"", workspace, r.Verdict})
 	g.log.Info().Str("request", call.ID).Str("workspace", workspace).Str("outcome", "refused").Str("code", string(r.Code)).Stringer("verdict", r.Verdict).
 		Int("status", r.Status).Str("reason", r.Message).Int64("bytes", v.Bytes).Int64("share", v.Workspace).Bool("own", v.OverShare).Int64("held", v.Held).Int64("bound", v.Bound).
-		Int64("wait", v.Wait.Milliseconds()).Msg("request")
+		Int64("wait", v.RetryAfter.Milliseconds()).Msg("request")
 	resp := &fasthttp.Response{}
 	g.dialect.Refuse(resp, call.ID, r)
 	return resp
