--- a/coordination/memory/inflight.go
+++ b/coordination/memory/inflight.go
@@ -63,9 +63,9 @@
 	return full
 }
 
-// Began notes bytes that are sent to a server. It returns the server's crashes so far, to
+// RequestStarted notes bytes that are sent to a server. It returns the server's crashes so far, to
 // be handed to Crashed if this request is lost.
-func (f *InFlight) Began(server string, bytes int64) (crashes int) {
+func (f *InFlight) RequestStarted(server string, bytes int64) (crashes int) {
 	s := f.servers[server]
 	if s == nil {
 		s = &serverLoad{}
--- a/coordination/memory/inflight_test.go
+++ b/coordination/memory/inflight_test.go
@@ -22,7 +22,7 @@
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
 				r := request{fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "server")), int64(rapid.IntRange(1, 4<<20).Draw(t, "bytes"))}
-				f.Began(r.server, r.bytes)
+				f.RequestStarted(r.server, r.bytes)
 				under = append(under, r)
 			case 2, 3:
 				if len(under) > 0 {
@@ -67,7 +67,7 @@
 			}
 			continue
 		}
-		f.Began("s", body)
+		f.RequestStarted("s", body)
 		sent++
 		if f.Bytes()["s"] <= bears {
 			continue
@@ -93,11 +93,11 @@
 // much teaches once, and that an empty server has room for anything.
 func TestWhatTeaches(t *testing.T) {
 	f := NewInFlight()
-	f.Began("a", leastLimit-1)
+	f.RequestStarted("a", leastLimit-1)
 	if f.Crashed("a", 0) || f.Limit() != 0 || f.Crashed("unknown", 0) {
 		t.Errorf("a failure with little under way set the limit %d", f.Limit())
 	}
-	f.Began("b", 8<<20)
+	f.RequestStarted("b", 8<<20)
 	if !f.Crashed("b", 0) || f.Crashed("b", 0) || f.Limit() != 4<<20 {
 		t.Errorf("a failure with 8 MB set the limit %d", f.Limit())
 	}
@@ -114,11 +114,11 @@
 // it had requests all the time, and that what was lost in the first fall does not.
 func TestEachFallTeaches(t *testing.T) {
 	f := NewInFlight()
-	first := f.Began("a", 8<<20)
+	first := f.RequestStarted("a", 8<<20)
 	if !f.Crashed("a", first) || f.Limit() != 4<<20 {
 		t.Fatalf("the first fall set the limit %d", f.Limit())
 	}
-	second := f.Began("a", 4<<20)
+	second := f.RequestStarted("a", 4<<20)
 	if f.Crashed("a", first) {
 		t.Error("a second request that was lost in the first fall lowered the limit")
 	}
--- a/transport/forward/room.go
+++ b/transport/forward/room.go
@@ -127,7 +127,7 @@
 		f := t.x.g.bytesAt(t.x.service)
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		t.crashes = f.Began(t.server.ID, n)
+		t.crashes = f.RequestStarted(t.server.ID, n)
 	}
 }
 
