--- a/coordination/memory/inflight.go
+++ b/coordination/memory/inflight.go
@@ -75,8 +75,8 @@
 	return s.crashes
 }
 
-// Ended notes that their request has left the server, answered or not.
-func (f *InFlight) Ended(server string, bytes int64, answered bool) {
+// RequestEnded notes that their request has left the server, answered or not.
+func (f *InFlight) RequestEnded(server string, bytes int64, answered bool) {
 	s := f.servers[server]
 	if s == nil {
 		return
--- a/coordination/memory/inflight_test.go
+++ b/coordination/memory/inflight_test.go
@@ -27,7 +27,7 @@
 			case 2, 3:
 				if len(under) > 0 {
 					i := rapid.IntRange(0, len(under)-1).Draw(t, "request")
-					f.Ended(under[i].server, under[i].bytes, rapid.Bool().Draw(t, "answered"))
+					f.RequestEnded(under[i].server, under[i].bytes, rapid.Bool().Draw(t, "answered"))
 					under = slices.Delete(under, i, i+1)
 				}
 			case 4:
@@ -46,7 +46,7 @@
 			}
 		}
 		for _, r := range under {
-			f.Ended(r.server, r.bytes, true)
+			f.RequestEnded(r.server, r.bytes, true)
 		}
 		if len(f.Bytes()) > 0 {
 			t.Fatalf("at rest: %v", f.Bytes())
@@ -63,7 +63,7 @@
 	for turn := range 4000 {
 		if len(f.Full(body)) > 0 {
 			for range f.Bytes()["s"] / body { // It answers all that it has.
-				f.Ended("s", body, true)
+				f.RequestEnded("s", body, true)
 			}
 			continue
 		}
@@ -78,7 +78,7 @@
 			first++
 		}
 		for range f.Bytes()["s"] / body {
-			f.Ended("s", body, false)
+			f.RequestEnded("s", body, false)
 		}
 	}
 	if f.Limit() == 0 || fell > sent/50 || fell == 0 {
@@ -104,7 +104,7 @@
 	if got := f.Full(4 << 20); len(got) != 2 {
 		t.Errorf("full for 4 MB are %v", got)
 	}
-	f.Ended("b", 8<<20, false)
+	f.RequestEnded("b", 8<<20, false)
 	if got := f.Full(8 << 20); !slices.Equal(got, []string{"a"}) {
 		t.Errorf("full for 8 MB are %v", got)
 	}
@@ -122,7 +122,7 @@
 	if f.Crashed("a", first) {
 		t.Error("a second request that was lost in the first fall lowered the limit")
 	}
-	f.Ended("a", 8<<20, false)
+	f.RequestEnded("a", 8<<20, false)
 	if !f.Crashed("a", second) || f.Limit() != 2<<20 {
 		t.Errorf("the second fall set the limit %d", f.Limit())
 	}
--- a/transport/forward/room.go
+++ b/transport/forward/room.go
@@ -137,7 +137,7 @@
 		f := t.x.g.bytesAt(t.x.service)
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.Ended(t.server.ID, n, t.done)
+		f.RequestEnded(t.server.ID, n, t.done)
 	}
 }
 
