--- a/coordination/memory/inflight.go
+++ b/coordination/memory/inflight.go
@@ -112,8 +112,8 @@
 	return true
 }
 
-// All returns the bytes in flight at all servers together.
-func (f *InFlight) All() int64 {
+// TotalBytes returns the bytes in flight at all servers together.
+func (f *InFlight) TotalBytes() int64 {
 	var sum int64
 	for s := range maps.Values(f.servers) {
 		sum += s.bytes
--- a/coordination/memory/inflight_test.go
+++ b/coordination/memory/inflight_test.go
@@ -38,7 +38,7 @@
 				want[r.server] += r.bytes
 				all += r.bytes
 			}
-			if got := f.Bytes(); fmt.Sprint(got) != fmt.Sprint(want) || f.All() != all {
+			if got := f.Bytes(); fmt.Sprint(got) != fmt.Sprint(want) || f.TotalBytes() != all {
 				t.Fatalf("servers have %v, want %v", got, want)
 			}
 			if f.Limit() != 0 && f.Limit() < leastLimit {
--- a/transport/forward/room.go
+++ b/transport/forward/room.go
@@ -70,7 +70,7 @@
 func (f *inFlight) all() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.All()
+	return f.TotalBytes()
 }
 
 func (f *inFlight) most() int64 {
