--- a/coordination/memory/grown.go
+++ b/coordination/memory/grown.go
@@ -5,9 +5,9 @@
 // and be refused for that. The additional copies cost some ms for 16 MB.
 const doubledBytes = 1 << 20
 
-// Grown returns the next size of a full buffer: at least first, at most most. It returns
+// GrownSize returns the next size of a full buffer: at least first, at most most. It returns
 // size itself where the buffer may not grow.
-func Grown(size, first, most int) int {
+func GrownSize(size, first, most int) int {
 	more := size
 	if size >= doubledBytes {
 		more = size / 4
--- a/transport/caller/body.go
+++ b/transport/caller/body.go
@@ -121,7 +121,7 @@
 
 // grow returns the body with more room, taken from the account.
 func (s *Server) grow(c *Conn, body []byte, most int) ([]byte, error) {
-	size := memory.Grown(cap(body), firstBuffer, most+1)
+	size := memory.GrownSize(cap(body), firstBuffer, most+1)
 	if size <= cap(body) {
 		return nil, fasthttp.ErrBodyTooLarge
 	}
--- a/transport/forward/room.go
+++ b/transport/forward/room.go
@@ -227,7 +227,7 @@
 
 // grow returns the answer with more room.
 func (x *exchange) grow(data []byte) ([]byte, error) {
-	size := memory.Grown(cap(data), answerPiece, maxAnswer+1)
+	size := memory.GrownSize(cap(data), answerPiece, maxAnswer+1)
 	if size <= cap(data) {
 		return nil, errTooLarge
 	}
