--- a/coordination/memory/inflight.go
+++ b/coordination/memory/inflight.go
@@ -63,9 +63,9 @@
 	return full
 }
 
-// Began notes bytes that are sent to a server. It returns the server's crashes so far, to
+// RequestStarted notes bytes that are sent to a server. It returns the server's crashes so far, to
 // be handed to Crashed if this request is lost.
-func (f *InFlight) Began(server string, bytes int64) (crashes int) {
+func (f *InFlight) RequestStarted(server string, bytes int64) (crashes int) {
 	s := f.servers[server]
 	if s == nil {
 		s = &serverLoad{}
@@ -75,8 +75,8 @@
 	return s.crashes
 }
 
-// Ended notes that their request has left the server, answered or not.
-func (f *InFlight) Ended(server string, bytes int64, answered bool) {
+// RequestEnded notes that their request has left the server, answered or not.
+func (f *InFlight) RequestEnded(server string, bytes int64, answered bool) {
 	s := f.servers[server]
 	if s == nil {
 		return
@@ -112,8 +112,8 @@
 	return true
 }
 
-// All returns the bytes in flight at all servers together.
-func (f *InFlight) All() int64 {
+// TotalBytes returns the bytes in flight at all servers together.
+func (f *InFlight) TotalBytes() int64 {
 	var sum int64
 	for s := range maps.Values(f.servers) {
 		sum += s.bytes
--- a/coordination/memory/inflight_test.go
+++ b/coordination/memory/inflight_test.go
@@ -22,12 +22,12 @@
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
 				r := request{fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "server")), int64(rapid.IntRange(1, 4<<20).Draw(t, "bytes"))}
-				f.Began(r.server, r.bytes)
+				f.RequestStarted(r.server, r.bytes)
 				under = append(under, r)
 			case 2, 3:
 				if len(under) > 0 {
 					i := rapid.IntRange(0, len(under)-1).Draw(t, "request")
-					f.Ended(under[i].server, under[i].bytes, rapid.Bool().Draw(t, "answered"))
+					f.RequestEnded(under[i].server, under[i].bytes, rapid.Bool().Draw(t, "answered"))
 					under = slices.Delete(under, i, i+1)
 				}
 			case 4:
@@ -38,7 +38,7 @@
 				want[r.server] += r.bytes
 				all += r.bytes
 			}
-			if got := f.Bytes(); fmt.Sprint(got) != fmt.Sprint(want) || f.All() != all {
+			if got := f.Bytes(); fmt.Sprint(got) != fmt.Sprint(want) || f.TotalBytes() != all {
 				t.Fatalf("servers have %v, want %v", got, want)
 			}
 			if f.Limit() != 0 && f.Limit() < leastLimit {
@@ -46,7 +46,7 @@
 			}
 		}
 		for _, r := range under {
-			f.Ended(r.server, r.bytes, true)
+			f.RequestEnded(r.server, r.bytes, true)
 		}
 		if len(f.Bytes()) > 0 {
 			t.Fatalf("at rest: %v", f.Bytes())
@@ -63,11 +63,11 @@
 	for turn := range 4000 {
 		if len(f.Full(body)) > 0 {
 			for range f.Bytes()["s"] / body { // It answers all that it has.
-				f.Ended("s", body, true)
+				f.RequestEnded("s", body, true)
 			}
 			continue
 		}
-		f.Began("s", body)
+		f.RequestStarted("s", body)
 		sent++
 		if f.Bytes()["s"] <= bears {
 			continue
@@ -78,7 +78,7 @@
 			first++
 		}
 		for range f.Bytes()["s"] / body {
-			f.Ended("s", body, false)
+			f.RequestEnded("s", body, false)
 		}
 	}
 	if f.Limit() == 0 || fell > sent/50 || fell == 0 {
@@ -93,18 +93,18 @@
 // much teaches once, and that an empty server has room for anything.
 func TestWhatTeaches(t *testing.T) {
 	f := NewInFlight()
-	f.Began("a", leastLimit-1)
+	f.RequestStarted("a", leastLimit-1)
 	if f.Crashed("a", 0) || f.Limit() != 0 || f.Crashed("unknown", 0) {
 		t.Errorf("a failure with little under way set the limit %d", f.Limit())
 	}
-	f.Began("b", 8<<20)
+	f.RequestStarted("b", 8<<20)
 	if !f.Crashed("b", 0) || f.Crashed("b", 0) || f.Limit() != 4<<20 {
 		t.Errorf("a failure with 8 MB set the limit %d", f.Limit())
 	}
 	if got := f.Full(4 << 20); len(got) != 2 {
 		t.Errorf("full for 4 MB are %v", got)
 	}
-	f.Ended("b", 8<<20, false)
+	f.RequestEnded("b", 8<<20, false)
 	if got := f.Full(8 << 20); !slices.Equal(got, []string{"a"}) {
 		t.Errorf("full for 8 MB are %v", got)
 	}
@@ -114,15 +114,15 @@
 // it had requests all the time, and that what was lost in the first fall does not.
 func TestEachFallTeaches(t *testing.T) {
 	f := NewInFlight()
-	first := f.Began("a", 8<<20)
+	first := f.RequestStarted("a", 8<<20)
 	if !f.Crashed("a", first) || f.Limit() != 4<<20 {
 		t.Fatalf("the first fall set the limit %d", f.Limit())
 	}
-	second := f.Began("a", 4<<20)
+	second := f.RequestStarted("a", 4<<20)
 	if f.Crashed("a", first) {
 		t.Error("a second request that was lost in the first fall lowered the limit")
 	}
-	f.Ended("a", 8<<20, false)
+	f.RequestEnded("a", 8<<20, false)
 	if !f.Crashed("a", second) || f.Limit() != 2<<20 {
 		t.Errorf("the second fall set the limit %d", f.Limit())
 	}
--- a/coordination/memory/memory.go
+++ b/coordination/memory/memory.go
@@ -78,15 +78,15 @@
 
 // Decision says whether bytes were taken, and by which figures. Sizes are in bytes.
 type Decision struct {
-	Taken bool
-	Never bool // Never says that so much is never taken, whatever else is held.
+	Granted  bool
+	TooLarge bool // Never says that so much is never taken, whatever else is held.
 	// OverShare says that the workspace's share is used up, and not the whole account.
-	OverShare bool
-	Bytes     int64         // Bytes are those asked for.
-	Workspace int64         // Workspace is what the workspace holds.
-	Held      int64         // Held is what is held in all.
-	Bound     int64         // Bound is the most.
-	Wait      time.Duration // Wait is when to come back; 0 where they were taken.
+	OverShare  bool
+	Bytes      int64         // Bytes are those asked for.
+	Workspace  int64         // Workspace is what the workspace holds.
+	Held       int64         // Held is what is held in all.
+	Bound      int64         // Bound is the most.
+	RetryAfter time.Duration // Wait is when to come back; 0 where they were taken.
 }
 
 // New returns an account of at most some bytes.
@@ -94,8 +94,8 @@
 	return &Account{bound: bound, workspaces: map[string]*workspaceBytes{}}
 }
 
-// Most is the most that one hold can ever take: what leaves as much to the others.
-func (a *Account) Most() int64 { return a.bound / 2 }
+// MaxHold is the most that one hold can ever take: what leaves as much to the others.
+func (a *Account) MaxHold() int64 { return a.bound / 2 }
 
 // Held returns the bytes held in all.
 func (a *Account) Held() int64 { return a.held }
@@ -103,8 +103,8 @@
 // Bound returns the most that is held.
 func (a *Account) Bound() int64 { return a.bound }
 
-// Of returns the bytes held for a cause.
-func (a *Account) Of(c Cause) int64 { return a.causes[c] }
+// HeldFor returns the bytes held for a cause.
+func (a *Account) HeldFor(c Cause) int64 { return a.causes[c] }
 
 // HeldBy returns the bytes that a workspace holds.
 func (a *Account) HeldBy(workspace string) int64 {
@@ -123,8 +123,8 @@
 	return out
 }
 
-// Take takes bytes for a cause, all of them or none.
-func (a *Account) Take(h *Hold, c Cause, n int64, now time.Time) Decision {
+// Reserve takes bytes for a cause, all of them or none.
+func (a *Account) Reserve(h *Hold, c Cause, n int64, now time.Time) Decision {
 	v := Decision{Bytes: n, Workspace: a.HeldBy(h.Workspace), Held: a.held, Bound: a.bound}
 	free := a.bound - a.held - n
 	missing := -free // missing is how many bytes have to be given back first.
@@ -140,11 +140,11 @@
 		}
 	}
 	if missing > 0 {
-		v.Never = n > a.Most()
-		v.Wait = given.wait(missing, now)
+		v.TooLarge = n > a.MaxHold()
+		v.RetryAfter = given.wait(missing, now)
 		return v
 	}
-	v.Taken = true
+	v.Granted = true
 	a.add(h, c, n)
 	return v
 }
@@ -168,8 +168,8 @@
 	}
 }
 
-// Give gives bytes back; never more than the hold has for the cause.
-func (a *Account) Give(h *Hold, c Cause, n int64, now time.Time) {
+// Release gives bytes back; never more than the hold has for the cause.
+func (a *Account) Release(h *Hold, c Cause, n int64, now time.Time) {
 	n = min(n, h.held[c])
 	if n <= 0 {
 		return
@@ -181,10 +181,10 @@
 	a.add(h, c, -n)
 }
 
-// End gives back all that a hold has.
-func (a *Account) End(h *Hold, now time.Time) {
+// ReleaseAll gives back all that a hold has.
+func (a *Account) ReleaseAll(h *Hold, now time.Time) {
 	for _, c := range Causes {
-		a.Give(h, c, h.held[c], now)
+		a.Release(h, c, h.held[c], now)
 	}
 }
 
--- a/coordination/memory/memory_test.go
+++ b/coordination/memory/memory_test.go
@@ -38,17 +38,17 @@
 			n := int64(rapid.IntRange(0, bound).Draw(t, "bytes"))
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1, 2:
-				v := a.Take(&holds[k.hold], k.cause, n, now)
-				if v.Taken {
+				v := a.Reserve(&holds[k.hold], k.cause, n, now)
+				if v.Granted {
 					book[k] += n
-				} else if v.Wait < leastWait || v.Wait > mostWait {
-					t.Fatalf("a refusal says to come back after %v: %+v", v.Wait, v)
+				} else if v.RetryAfter < leastWait || v.RetryAfter > mostWait {
+					t.Fatalf("a refusal says to come back after %v: %+v", v.RetryAfter, v)
 				}
 			case 3, 4:
-				a.Give(&holds[k.hold], k.cause, n, now)
+				a.Release(&holds[k.hold], k.cause, n, now)
 				book[k] -= min(n, book[k])
 			case 5:
-				a.End(&holds[k.hold], now)
+				a.ReleaseAll(&holds[k.hold], now)
 				for _, c := range Causes {
 					delete(book, key{k.hold, c})
 				}
@@ -57,7 +57,7 @@
 			checkRoom(t, a, now)
 		}
 		for i := range holds {
-			a.End(&holds[i], now)
+			a.ReleaseAll(&holds[i], now)
 		}
 		checkBook(t, a, holds, nil)
 		if len(a.Workspaces()) > 0 {
@@ -84,8 +84,8 @@
 		t.Fatalf("%d bytes are held, want %d, at most %d", a.Held(), all, bound)
 	}
 	for _, c := range Causes {
-		if a.Of(c) != byCause[c] {
-			t.Fatalf("%d bytes for %v, want %d", a.Of(c), c, byCause[c])
+		if a.HeldFor(c) != byCause[c] {
+			t.Fatalf("%d bytes for %v, want %d", a.HeldFor(c), c, byCause[c])
 		}
 	}
 	for _, w := range []string{"0", "1", "2", "3"} {
@@ -101,9 +101,9 @@
 	var h Hold
 	h.Workspace = "another"
 	free := a.Bound() - a.Held()
-	v := a.Take(&h, Body, free/2, now)
-	a.End(&h, now)
-	if !v.Taken {
+	v := a.Reserve(&h, Body, free/2, now)
+	a.ReleaseAll(&h, now)
+	if !v.Granted {
 		t.Fatalf("another workspace does not get %d of %d free bytes: %+v", free/2, free, v)
 	}
 	for w, n := range a.Workspaces() {
@@ -124,7 +124,7 @@
 		}
 		for range 1000 {
 			for i := range holds {
-				a.Take(&holds[i], Lag, piece, start)
+				a.Reserve(&holds[i], Lag, piece, start)
 			}
 		}
 		for i := range holds {
@@ -142,12 +142,12 @@
 	conns := make([]Hold, 1000)
 	taken := 0
 	for i := range conns {
-		if a.Take(&conns[i], Connection, bound/100, start).Taken {
+		if a.Reserve(&conns[i], Connection, bound/100, start).Granted {
 			taken++
 		}
 	}
 	var h Hold
-	if v := a.Take(&h, Body, bound/4, start); taken != 50 || !v.Taken {
+	if v := a.Reserve(&h, Body, bound/4, start); taken != 50 || !v.Granted {
 		t.Errorf("%d connections of a hundredth of the bound, then a body: %+v", taken, v)
 	}
 }
@@ -159,21 +159,21 @@
 		a := New(bound)
 		var h, other Hold
 		h.Workspace = "w"
-		a.Take(&h, Body, bound/2, start)
-		a.Give(&h, Body, given, start)
-		a.Take(&h, Body, given, start)
+		a.Reserve(&h, Body, bound/2, start)
+		a.Release(&h, Body, given, start)
+		a.Reserve(&h, Body, given, start)
 		other.Workspace = "w"
-		v := a.Take(&other, Body, bound/8, start.Add(time.Millisecond))
-		if v.Taken || v.Never || !v.OverShare {
+		v := a.Reserve(&other, Body, bound/8, start.Add(time.Millisecond))
+		if v.Granted || v.TooLarge || !v.OverShare {
 			t.Fatalf("got %+v", v)
 		}
-		return v.Wait
+		return v.RetryAfter
 	}
 	if none, slow, fast := wait(0), wait(bound/32), wait(bound/4); none != mostWait || slow >= none || fast >= slow {
 		t.Errorf("waits are %v where nothing is given back, %v where little, %v where much", none, slow, fast)
 	}
 	var h Hold
-	if v := New(bound).Take(&h, Body, bound/2+1, start); v.Taken || !v.Never {
+	if v := New(bound).Reserve(&h, Body, bound/2+1, start); v.Granted || !v.TooLarge {
 		t.Errorf("more than half of the bound: %+v", v)
 	}
 }
--- a/coordination/place/holders.go
+++ b/coordination/place/holders.go
@@ -75,9 +75,9 @@
 	return &Holders{links: map[linkKey][]holding{}, topology: t}
 }
 
-// Read notes that a server was given a prompt to read, and returns the keys of the
+// Record notes that a server was given a prompt to read, and returns the keys of the
 // links that it was not known to hold.
-func (h *Holders) Read(server string, chain []protocol.PromptLink, now time.Time) (fresh []uint32) {
+func (h *Holders) Record(server string, chain []protocol.PromptLink, now time.Time) (fresh []uint32) {
 	for _, link := range chain {
 		if key := keyOf(link); h.note(server, key, now) {
 			fresh = append(fresh, uint32(key))
@@ -144,9 +144,9 @@
 // Len returns how many links are remembered.
 func (h *Holders) Len() int { return len(h.links) }
 
-// Unread notes that a server proved not to have run a prompt: what it was not known to
+// Forget notes that a server proved not to have run a prompt: what it was not known to
 // hold before it does not hold.
-func (h *Holders) Unread(server string, fresh []uint32) {
+func (h *Holders) Forget(server string, fresh []uint32) {
 	for _, key := range fresh {
 		rows := h.links[linkKey(key)]
 		h.links[linkKey(key)] = slices.DeleteFunc(rows, func(r holding) bool { return r.server == server })
@@ -156,8 +156,8 @@
 	}
 }
 
-// Held returns how many tokens of a prompt's shared parts a server surely holds.
-func (h *Holders) Held(server string, chain []protocol.PromptLink, now time.Time) int {
+// HeldTokens returns how many tokens of a prompt's shared parts a server surely holds.
+func (h *Holders) HeldTokens(server string, chain []protocol.PromptLink, now time.Time) int {
 	for i := len(chain) - 1; i >= 0; i-- {
 		for _, r := range h.links[keyOf(chain[i])] {
 			if r.server == server && now.Sub(r.at) < surelyHeld {
@@ -199,21 +199,21 @@
 // of a prompt; empty for none. The given holder has read all of them, and is kept where the
 // prompt does not name its links. Where it does, the best holder for the chosen server is
 // looked for, also among those that hold some of the parts.
-func (l *Ledger) source(v *View, at *Server, holder string, m PromptMsg, now time.Time) string {
+func (l *PromptScheduler) source(v *View, at *Server, holder string, m PromptMsg, now time.Time) string {
 	if m.Copies <= 0 || len(m.Chain) == 0 {
 		return holder
 	}
 	found, tokens := l.holders.Find(v, m.Chain, at.Domain, func(s *Server) bool {
 		return s.ID != at.ID && s.Service == at.Service && s.Version == at.Version && !l.loads.Distrusted(s.ID, m.Domain)
 	}, now)
-	if tokens <= l.holders.Held(at.ID, m.Chain, now) {
+	if tokens <= l.holders.HeldTokens(at.ID, m.Chain, now) {
 		return ""
 	}
 	return found
 }
 
-// NoteRead notes links that a server read for a gateway which placed the prompt by itself.
-func (l *Ledger) NoteRead(server string, links []uint32, now time.Time) {
+// RecordPrefill notes links that a server read for a gateway which placed the prompt by itself.
+func (l *PromptScheduler) RecordPrefill(server string, links []uint32, now time.Time) {
 	for _, key := range links {
 		l.holders.note(server, linkKey(key), now)
 	}
--- a/coordination/place/holders_test.go
+++ b/coordination/place/holders_test.go
@@ -68,11 +68,11 @@
 			if server == "old" {
 				at = start.Add(-10 * time.Second)
 			}
-			h.Read(server, chain, at)
+			h.Record(server, chain, at)
 		}
 		now := start.Add(2*readingTime + c.after)
 		if c.reads != "" {
-			h.Read(c.reads, whole, now)
+			h.Record(c.reads, whole, now)
 		}
 		if holder, tokens := h.Find(v, whole, "a1", c.may, now); holder != c.holder || tokens != c.tokens {
 			t.Errorf("%s: found %q with %d tokens, want %q with %d", name, holder, tokens, c.holder, c.tokens)
@@ -95,7 +95,7 @@
 			var last []protocol.PromptLink
 			for i := range rapid.IntRange(1, linksMost/4).Draw(t, "prompts") {
 				last = Chain(parts(base, uint64(i)*7+base))
-				h.Read(server, last, now)
+				h.Record(server, last, now)
 				if given[server] == nil {
 					given[server] = map[uint64]bool{}
 				}
@@ -106,7 +106,7 @@
 			if len(h.links) > linksMost {
 				t.Fatalf("%d links are remembered", len(h.links))
 			}
-			if h.Held(server, last, now) != last[1].Tokens {
+			if h.HeldTokens(server, last, now) != last[1].Tokens {
 				t.Fatalf("%s is not known to hold what it read last", server)
 			}
 			chain := Chain(parts(base, rapid.Uint64Range(0, 50).Draw(t, "second")))
@@ -135,7 +135,7 @@
 				order = append(order, v.Servers[i].ID)
 			}
 			slices.Sort(order)
-			r.List(order)
+			r.SetServers(order)
 		}
 		list()
 		position, number := uint64(0), uint64(0)
@@ -152,17 +152,17 @@
 			if rapid.Bool().Draw(t, "asks") {
 				var packed []byte
 				packed, position = r.Since(position)
-				told.TakePacked(v, packed, start)
+				told.RecordPacked(v, packed, start)
 			}
 			if rapid.IntRange(0, 5).Draw(t, "change") == 0 {
 				list()
 			}
 		}
 		packed, _ := r.Since(position)
-		told.TakePacked(v, packed, start)
+		told.RecordPacked(v, packed, start)
 		for i := range v.Servers {
 			for _, link := range read[v.Servers[i].ID] {
-				if told.Held(v.Servers[i].ID, []protocol.PromptLink{link}, start) == 0 {
+				if told.HeldTokens(v.Servers[i].ID, []protocol.PromptLink{link}, start) == 0 {
 					t.Fatalf("the gateway does not know that %s holds %x", v.Servers[i].ID, link.Hash)
 				}
 			}
@@ -182,7 +182,7 @@
 // that are not there.
 func TestReadingsAreBounded(t *testing.T) {
 	r := NewReadings()
-	r.List([]string{"a"})
+	r.SetServers([]string{"a"})
 	for i := range 3 * readingsKept {
 		r.Add(1, "a", []uint32{uint32(i)})
 	}
@@ -199,10 +199,10 @@
 // hold what it had not held before.
 func TestUnreadIsForgotten(t *testing.T) {
 	h, chain := NewHolders(nil), Chain(parts(1, 2))
-	h.Read("a", chain[:1], start)
-	h.Unread("a", h.Read("a", chain, start))
-	h.Unread("b", h.Read("b", chain, start))
-	if h.Held("a", chain, start) != 1000 || h.Held("b", chain, start) != 0 || h.Len() != 1 {
-		t.Errorf("held %d and %d, %d links", h.Held("a", chain, start), h.Held("b", chain, start), h.Len())
+	h.Record("a", chain[:1], start)
+	h.Forget("a", h.Record("a", chain, start))
+	h.Forget("b", h.Record("b", chain, start))
+	if h.HeldTokens("a", chain, start) != 1000 || h.HeldTokens("b", chain, start) != 0 || h.Len() != 1 {
+		t.Errorf("held %d and %d, %d links", h.HeldTokens("a", chain, start), h.HeldTokens("b", chain, start), h.Len())
 	}
 }
--- a/coordination/place/lane.go
+++ b/coordination/place/lane.go
@@ -65,8 +65,8 @@
 	shortFill = 0.6
 )
 
-// Own returns what this gateway has seen by itself.
-func (l *Lanes) Own() protocol.LaneParams {
+// Local returns what this gateway has seen by itself.
+func (l *Lanes) Local() protocol.LaneParams {
 	t := protocol.LaneParams{Mean: l.mean, Seen: l.seen, Parts: protocol.LaneShares{Short: l.shortWork()}}
 	if l.read > 0 {
 		t.Parts.Tokens = l.long / l.read
@@ -87,11 +87,11 @@
 	return l.busy * (1 + (l.read-l.long)/readSpeed/stay)
 }
 
-// Began notes a request that takes a slot of a server with some slots.
-func (l *Lanes) Began(lane Lane, slots int, now time.Time) { l.runs(lane, 1, slots, now) }
+// RequestStarted notes a request that takes a slot of a server with some slots.
+func (l *Lanes) RequestStarted(lane Lane, slots int, now time.Time) { l.runs(lane, 1, slots, now) }
 
-// Ended notes that it gave the slot back after a time.
-func (l *Lanes) Ended(lane Lane, held time.Duration, slots int, now time.Time) {
+// RequestEnded notes that it gave the slot back after a time.
+func (l *Lanes) RequestEnded(lane Lane, held time.Duration, slots int, now time.Time) {
 	l.runs(lane, -1, slots, now)
 	weight := max(stayWeight, 1/float64(l.ended+1))
 	l.ended++
@@ -113,12 +113,12 @@
 	l.runningAt = now
 }
 
-// Agree takes the terms of all gateways, so that all make the same lanes.
-func (l *Lanes) Agree(t protocol.LaneParams) { l.agreed = t }
+// SetAgreed takes the terms of all gateways, so that all make the same lanes.
+func (l *Lanes) SetAgreed(t protocol.LaneParams) { l.agreed = t }
 
-// Together returns the terms of several gateways: means by the prompts that each has
+// MergeTerms returns the terms of several gateways: means by the prompts that each has
 // seen, and what their short prompts keep busy in all.
-func Together(terms []protocol.LaneParams) protocol.LaneParams {
+func MergeTerms(terms []protocol.LaneParams) protocol.LaneParams {
 	var all protocol.LaneParams
 	for _, t := range terms {
 		n := float64(min(t.Seen, laneTrust))
@@ -180,7 +180,7 @@
 	}
 	l.read += weight * (read - l.read)
 	l.long += weight * (part - l.long)
-	terms := l.Own()
+	terms := l.Local()
 	if l.agreed.Seen > 0 {
 		terms = l.agreed
 	}
@@ -201,8 +201,8 @@
 	return l.mean
 }
 
-// Size returns a prompt's length as a multiple of the mean one.
-func (l *Lanes) Size(tokens int) float64 {
+// RelativeSize returns a prompt's length as a multiple of the mean one.
+func (l *Lanes) RelativeSize(tokens int) float64 {
 	if l.mean <= 0 {
 		return 0
 	}
--- a/coordination/place/lane_test.go
+++ b/coordination/place/lane_test.go
@@ -45,23 +45,23 @@
 				kept = append(kept, e)
 				continue
 			}
-			lanes[e.gateway].Ended(e.lane, e.held, slots, now)
+			lanes[e.gateway].RequestEnded(e.lane, e.held, slots, now)
 		}
 		running = kept
 		for _, k := range load {
 			for range poisson(rnd, k.rate*tick.Seconds()) {
 				g := rnd.IntN(gateways)
 				lane, _ := lanes[g].Observe(k.tokens, k.shared)
-				lanes[g].Began(lane, slots, now)
+				lanes[g].RequestStarted(lane, slots, now)
 				running = append(running, event{now.Add(k.runs), g, lane, k.runs})
 			}
 		}
 	}
 	var terms []protocol.LaneParams
 	for i := range lanes {
-		terms = append(terms, lanes[i].Own())
+		terms = append(terms, lanes[i].Local())
 	}
-	return Together(terms).Parts
+	return MergeTerms(terms).Parts
 }
 
 func poisson(rnd *rand.Rand, mean float64) int {
--- a/coordination/place/loads.go
+++ b/coordination/place/loads.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// Take notes what one gateway knows, in place of its report before, also where that
+// SetReport notes what one gateway knows, in place of its report before, also where that
 // came through a relay.
-func (l *Loads) Take(gateway string, t GatewayReport) {
+func (l *Loads) SetReport(gateway string, t GatewayReport) {
 	l.leave(gateway)
 	l.gateways[gateway] = t
 	for _, r := range t.Running {
@@ -78,8 +78,8 @@
 	return l.avoided[domain][server] || domains[domain] >= leastDistrusts || len(domains) >= leastDistrusts
 }
 
-// Of returns how many requests a server has.
-func (l *Loads) Of(server string) int { return l.totals[server] }
+// Running returns how many requests a server has.
+func (l *Loads) Running(server string) int { return l.totals[server] }
 
 // Pack returns the loads of some servers, in their order, a byte each; more than
 // fit into one are reported as the most that do.
@@ -122,7 +122,7 @@
 	}
 	var rows []protocol.ServerLoad
 	for i := range v.Servers {
-		if n := v.Servers[i].Cell.report(); n > 0 {
+		if n := v.Servers[i].Stats.report(); n > 0 {
 			rows = append(rows, protocol.ServerLoad{Server: v.Servers[i].ID, Running: n})
 		}
 	}
@@ -136,23 +136,23 @@
 	}
 	var ids []string
 	for i := range v.Servers {
-		if v.Servers[i].Cell.distrusts(now) {
+		if v.Servers[i].Stats.distrusts(now) {
 			ids = append(ids, v.Servers[i].ID)
 		}
 	}
 	return ids
 }
 
-// Share takes the loads of all servers in the view's order, as they were when
+// ApplyLoads takes the loads of all servers in the view's order, as they were when
 // Running was last asked, or later, and which of them to pass over. It returns the
 // servers that are passed over from now on, and were not before.
-func (v *View) Share(loads, distrusted []byte, now time.Time) []string {
+func (v *View) ApplyLoads(loads, distrusted []byte, now time.Time) []string {
 	if v == nil || len(loads) != len(v.Servers) {
 		return nil // They are of another list.
 	}
 	var ids []string
 	for i, n := range loads {
-		if v.Servers[i].Cell.shared(int(n), bitSet(distrusted, i), now) {
+		if v.Servers[i].Stats.shared(int(n), bitSet(distrusted, i), now) {
 			ids = append(ids, v.Servers[i].ID)
 		}
 	}
--- a/coordination/place/loads_test.go
+++ b/coordination/place/loads_test.go
@@ -32,7 +32,7 @@
 					rows = append(rows, protocol.ServerLoad{Server: s, Running: n})
 				}
 			}
-			l.Take(gateway, GatewayReport{Running: rows})
+			l.SetReport(gateway, GatewayReport{Running: rows})
 		}
 		packed := l.Pack(servers)
 		for i, s := range servers {
@@ -40,8 +40,8 @@
 			for _, loads := range told {
 				sum += loads[s]
 			}
-			if l.Of(s) != sum || int(packed[i]) != min(sum, 255) {
-				t.Fatalf("%s has %d, packed %d, want %d", s, l.Of(s), packed[i], sum)
+			if l.Running(s) != sum || int(packed[i]) != min(sum, 255) {
+				t.Fatalf("%s has %d, packed %d, want %d", s, l.Running(s), packed[i], sum)
 			}
 		}
 	})
@@ -51,25 +51,25 @@
 // this one's own changes since its report on top.
 func TestSharedLoad(t *testing.T) {
 	v := fleet(2)
-	cell := v.Servers[1].Cell
-	cell.Began()
-	cell.Began()
+	cell := v.Servers[1].Stats
+	cell.RequestStarted()
+	cell.RequestStarted()
 	rows := v.Running()
 	if diff := cmp.Diff([]protocol.ServerLoad{{Server: "server-1", Running: 2}}, rows); diff != "" {
 		t.Fatal(diff)
 	}
-	cell.Began() // Behind the report, so the leader does not know of it.
-	v.Share([]byte{0, 7}, nil, start)
+	cell.RequestStarted() // Behind the report, so the leader does not know of it.
+	v.ApplyLoads([]byte{0, 7}, nil, start)
 	if load, _, _, _ := cell.load(start); load != 8 {
 		t.Errorf("the load is %v, want the 7 that were told and one more", load)
 	}
-	cell.Ended()
-	cell.Ended()
-	cell.Ended()
+	cell.RequestEnded()
+	cell.RequestEnded()
+	cell.RequestEnded()
 	if load, _, _, _ := cell.load(start); load != 5 {
 		t.Errorf("the load is %v, want the 5 of others", load)
 	}
-	v.Share([]byte{9}, nil, start.Add(time.Second)) // Of another list.
+	v.ApplyLoads([]byte{9}, nil, start.Add(time.Second)) // Of another list.
 	if load, _, _, _ := cell.load(start); load != 5 {
 		t.Errorf("loads of another list were taken: %v", load)
 	}
@@ -83,7 +83,7 @@
 	first, _ := Choose(v, m)
 	loads := []byte{4, 4, 4, 4}
 	loads[first] = 16
-	v.Share(loads, nil, start)
+	v.ApplyLoads(loads, nil, start)
 	if again, _ := Choose(v, m); again == first {
 		t.Error("the server that others have filled is chosen")
 	}
@@ -105,8 +105,8 @@
 	} {
 		l := NewLoads()
 		for gateway, domain := range c.by {
-			l.Take(gateway, GatewayReport{Domain: domain, Distrusts: []string{"s"}})
-			l.Take(gateway, GatewayReport{Domain: domain, Distrusts: []string{"s"}}) // Told again, it counts once.
+			l.SetReport(gateway, GatewayReport{Domain: domain, Distrusts: []string{"s"}})
+			l.SetReport(gateway, GatewayReport{Domain: domain, Distrusts: []string{"s"}}) // Told again, it counts once.
 		}
 		if here, far := l.Distrusted("s", "here"), l.Distrusted("s", "far"); here != c.here || far != c.far {
 			t.Errorf("%s: passed over here %v, want %v; far %v, want %v", name, here, c.here, far, c.far)
@@ -125,28 +125,28 @@
 func TestSharedDistrust(t *testing.T) {
 	v := fleet(10)
 	loads := make([]byte, 10)
-	if since := v.Share(loads, []byte{0, 2}, start); len(since) != 1 || since[0] != v.Servers[9].ID {
+	if since := v.ApplyLoads(loads, []byte{0, 2}, start); len(since) != 1 || since[0] != v.Servers[9].ID {
 		t.Errorf("passed over since now: %v, want the tenth", since)
 	}
-	if since := v.Share(loads, []byte{0, 2}, start.Add(time.Millisecond)); len(since) > 0 {
+	if since := v.ApplyLoads(loads, []byte{0, 2}, start.Add(time.Millisecond)); len(since) > 0 {
 		t.Errorf("told again, it counts as new: %v", since)
 	}
 	for i := range v.Servers {
-		if got := v.Servers[i].Cell.Suspect(start); got != (i == 9) {
+		if got := v.Servers[i].Stats.Suspect(start); got != (i == 9) {
 			t.Errorf("server %d is suspect: %v", i, got)
 		}
 	}
 	if own := v.Distrusts(start); len(own) > 0 {
 		t.Errorf("the others' word is told on: %v", own)
 	}
-	if v.Servers[9].Cell.Suspect(start.Add(time.Millisecond + othersLast)) {
+	if v.Servers[9].Stats.Suspect(start.Add(time.Millisecond + othersLast)) {
 		t.Error("it is passed over though nobody renewed it")
 	}
-	v.Share(loads, nil, start)
-	if v.Servers[9].Cell.Suspect(start) {
+	v.ApplyLoads(loads, nil, start)
+	if v.Servers[9].Stats.Suspect(start) {
 		t.Error("it is passed over though nobody distrusts it")
 	}
-	v.Servers[3].Cell.Failed(true, start)
+	v.Servers[3].Stats.RequestFailed(true, start)
 	if own := v.Distrusts(start); len(own) != 1 || own[0] != v.Servers[3].ID {
 		t.Errorf("by its own word it passes over %v", own)
 	}
@@ -156,10 +156,10 @@
 // that gateways distrust while there is another.
 func TestLedgerAvoidsTheDistrusted(t *testing.T) {
 	loads, v := NewLoads(), fleet(4)
-	l := NewLedger(loads)
+	l := NewPromptScheduler(loads)
 	first := placeAt(t, l, v, prompt(20_000), start)
 	for _, g := range []string{"g", "h"} {
-		loads.Take(g, GatewayReport{Domain: "domain-1", Distrusts: []string{first.Server}})
+		loads.SetReport(g, GatewayReport{Domain: "domain-1", Distrusts: []string{first.Server}})
 	}
 	m := prompt(20_000)
 	m.Domain = "domain-1"
--- a/coordination/place/near_test.go
+++ b/coordination/place/near_test.go
@@ -59,7 +59,7 @@
 					n = c.own
 				}
 				for range n {
-					v.Servers[i].Cell.Began()
+					v.Servers[i].Stats.RequestStarted()
 				}
 			}
 			i, ok := Choose(v, ChooseMsg{Service: "model", Domain: "b-1", Prefix: prefix, Rand: 5, Now: start})
@@ -79,10 +79,10 @@
 func TestRegionCutOff(t *testing.T) {
 	regions, now := threeRegions(), start
 	for name, cut := range map[string]func(*Server){
-		"suspect": func(s *Server) { s.Cell.Failed(true, now) },
+		"suspect": func(s *Server) { s.Stats.RequestFailed(true, now) },
 		"leaving": func(s *Server) { s.Leaving = true },
 		"others distrust them": func(s *Server) {
-			s.Cell.shared(0, true, now)
+			s.Stats.shared(0, true, now)
 		},
 	} {
 		v := spreadOver(regions, 3, sixDomains...)
@@ -115,7 +115,7 @@
 		}
 		for i := range v.Servers {
 			v.Servers[i].Leaving = false
-			v.Servers[i].Cell.Worked()
+			v.Servers[i].Stats.RequestSucceeded()
 		}
 		for _, prefix := range []uint64{0, 42} {
 			if got := at(LaneAny, prefix, now.Add(distrustMost)); got != "b" {
@@ -136,7 +136,7 @@
 		if regions.Region(s.Domain) != "b" {
 			continue
 		}
-		s.Cell.Failed(true, start)
+		s.Stats.RequestFailed(true, start)
 		gone++
 		for _, prefix := range []uint64{0, 42} {
 			j, _ := Choose(v, ChooseMsg{Service: "model", Domain: "b-2", Prefix: prefix, Rand: 3, Now: start})
@@ -152,7 +152,7 @@
 // and come back.
 func TestLedgerPlacesNear(t *testing.T) {
 	regions, loads := threeRegions(), NewLoads()
-	l, v := NewLedger(loads, WithTopology(regions)), spreadOver(regions, 3, sixDomains...)
+	l, v := NewPromptScheduler(loads, WithTopology(regions)), spreadOver(regions, 3, sixDomains...)
 	m := prompt(8000)
 	m.Domain, m.Parts.Tokens, m.Shared = "b-1", 0.5, 0
 	region := func(now time.Time) string {
@@ -179,7 +179,7 @@
 		}
 	}
 	for _, gateway := range []string{"one", "two"} {
-		loads.Take(gateway, GatewayReport{Domain: "b-1", Distrusts: all})
+		loads.SetReport(gateway, GatewayReport{Domain: "b-1", Distrusts: all})
 	}
 	if got := region(start.Add(5 * time.Second)); got == "b" {
 		t.Error("placed at a server that the gateways distrust")
@@ -195,7 +195,7 @@
 // region, even if one far away read them later.
 func TestHolderIsNear(t *testing.T) {
 	regions := threeRegions()
-	l, v := NewLedger(NewLoads(), WithTopology(regions)), spreadOver(regions, 1, sixDomains...)
+	l, v := NewPromptScheduler(NewLoads(), WithTopology(regions)), spreadOver(regions, 1, sixDomains...)
 	m := prompt(8000)
 	m.Copies, m.Prefix, m.Domain = 100, 77, "b-1"
 	l.book("a-1-0").keep(77, start.Add(2*time.Second))
@@ -310,7 +310,7 @@
 					kept = append(kept, e)
 					continue
 				}
-				v.Servers[e.server].Cell.Ended()
+				v.Servers[e.server].Stats.RequestEnded()
 			}
 			running = kept
 			for range poisson(rnd, 4.6) {
@@ -319,8 +319,8 @@
 					domain = sixDomains[rnd.IntN(2)]
 				}
 				i, _ := Choose(v, ChooseMsg{Service: "model", Domain: domain, Prefix: mix(uint64(rnd.IntN(40))), Rand: rnd.Uint64(), Now: now})
-				v.Servers[i].Cell.Began()
-				fullest = max(fullest, v.Servers[i].Cell.Outstanding())
+				v.Servers[i].Stats.RequestStarted()
+				fullest = max(fullest, v.Servers[i].Stats.Outstanding())
 				running = append(running, event{now.Add(500 * time.Millisecond), i})
 				sent++
 				if regions.Distance(domain, v.Servers[i].Domain) == topology.OtherRegion {
@@ -345,7 +345,7 @@
 		b.Run(fmt.Sprint(6*n), func(b *testing.B) {
 			v, rnd := spreadOver(threeRegions(), n, sixDomains...), rand.New(rand.NewPCG(1, 2))
 			for i := range v.Servers {
-				v.Servers[i].Cell.ReportedLoad(rnd.IntN(24), start)
+				v.Servers[i].Stats.SetReportedLoad(rnd.IntN(24), start)
 			}
 			for i := 0; b.Loop(); i++ {
 				Choose(v, ChooseMsg{Service: "model", Domain: "b-1", Prefix: mix(uint64(i)), Lane: LaneLong + Lane(i%2), Parts: protocol.LaneShares{Tokens: 0.6}, Now: start})
@@ -369,12 +369,12 @@
 					own = 16
 				}
 				for range own {
-					v.Servers[r.index].Cell.Began()
+					v.Servers[r.index].Stats.RequestStarted()
 				}
 			}
 			i, ok := Choose(v, m)
-			if s := &v.Servers[i]; !ok || s.location.Region != "b" || s.Cell.Outstanding() != 0 {
-				t.Errorf("lane %d, prefix %d: %s has %d requests, want an idle server of region b", lane, prefix, s.ID, s.Cell.Outstanding())
+			if s := &v.Servers[i]; !ok || s.location.Region != "b" || s.Stats.Outstanding() != 0 {
+				t.Errorf("lane %d, prefix %d: %s has %d requests, want an idle server of region b", lane, prefix, s.ID, s.Stats.Outstanding())
 			}
 		}
 	}
@@ -415,11 +415,11 @@
 	for i := range v.Servers {
 		s := &v.Servers[i]
 		if s.location.Region == "b" {
-			s.Cell.Failed(true, start)
+			s.Stats.RequestFailed(true, start)
 			continue
 		}
 		for range s.Width() {
-			s.Cell.Began()
+			s.Stats.RequestStarted()
 		}
 	}
 	for _, prefix := range []uint64{0, 42} {
@@ -441,7 +441,7 @@
 				s := &v.Servers[i]
 				for range s.Width() {
 					if full && s.location.Region != "b" {
-						s.Cell.Began()
+						s.Stats.RequestStarted()
 					}
 				}
 			}
@@ -455,7 +455,7 @@
 				if across := s.location.Region != "b"; across != (try == leaveAfter && !full) {
 					t.Errorf("others full %v, prefix %d, attempt %d: taken from %s", full, prefix, try+1, s.Domain)
 				}
-				s.Cell.Failed(true, start)
+				s.Stats.RequestFailed(true, start)
 				m.Avoid = append(m.Avoid, s.ID)
 			}
 		}
--- a/coordination/place/place.go
+++ b/coordination/place/place.go
@@ -1,7 +1,7 @@
 // Package place chooses the backend server for one attempt of a request that
 // came by host and path.
 //
-// A [View] is an immutable snapshot of the servers; each has a [Cell] with this
+// A [View] is an immutable snapshot of the servers; each has a [ServerStats] with this
 // gateway's own counts and the load that the server reported last. [Choose] is a
 // function of both and of a message: it holds no clock and sends nothing.
 //
@@ -25,8 +25,8 @@
 // Server is one backend server in a view.
 type Server struct {
 	protocol.Instance
-	Hash     uint64 // Hash is of the identity, for rendezvous ranks.
-	Cell     *Cell  // Cell is shared by all views that hold the server.
+	Hash     uint64       // Hash is of the identity, for rendezvous ranks.
+	Stats    *ServerStats // Cell is shared by all views that hold the server.
 	location topology.Location
 	region   int    // region is the number of its region in the view; 0 where all are near.
 	order    uint64 // order is that in which the long lane takes servers, the highest first.
@@ -69,9 +69,9 @@
 		s := Server{Instance: in, Hash: xxhash.Sum64String(in.ID), location: v.topology.Location(in.Domain)}
 		s.order = mix(laneSeed ^ s.Hash)
 		if old := before.Find(in.ID); old != nil && old.Address == in.Address {
-			s.Cell = old.Cell
+			s.Stats = old.Stats
 		} else {
-			s.Cell = &Cell{}
+			s.Stats = &ServerStats{}
 		}
 		v.byID[in.ID] = len(v.Servers)
 		v.index(&in, v.rollouts[in.Service])
@@ -136,16 +136,16 @@
 
 // ChooseMsg asks for a server.
 type ChooseMsg struct {
-	Service string
-	Prefix  uint64 // Prefix is the hash of the prompt's shared parts; 0 without any.
-	Domain  string // Domain is the gateway's own.
-	Rand    uint64 // Rand is fresh randomness.
-	Avoid   []string
-	Lane    Lane
-	Parts   protocol.LaneShares
-	Brief   bool // Brief says that little is lost if the server stops before the request has ended.
-	Most    int  // Most is how many requests of this gateway a server may have; 0 means no bound.
-	Now     time.Time
+	Service        string
+	Prefix         uint64 // Prefix is the hash of the prompt's shared parts; 0 without any.
+	Domain         string // Domain is the gateway's own.
+	Rand           uint64 // Rand is fresh randomness.
+	Avoid          []string
+	Lane           Lane
+	Parts          protocol.LaneShares
+	Brief          bool // Brief says that little is lost if the server stops before the request has ended.
+	MaxOutstanding int  // Most is how many requests of this gateway a server may have; 0 means no bound.
+	Now            time.Time
 }
 
 const (
@@ -210,7 +210,7 @@
 
 // leavingCandidates returns those that are leaving and run for long enough.
 func leavingCandidates(v *View, m ChooseMsg) []row {
-	return eligible(v, v.Service(m.Service), m, func(s *Server) bool { return s.Leaving && s.Cell.runsUntil().Sub(m.Now) > leaveMargin })
+	return eligible(v, v.Service(m.Service), m, func(s *Server) bool { return s.Leaving && s.Stats.runsUntil().Sub(m.Now) > leaveMargin })
 }
 
 func eligible(v *View, list []int, m ChooseMsg, may func(*Server) bool) []row {
@@ -220,8 +220,8 @@
 		if !may(s) || slices.Contains(m.Avoid, s.ID) {
 			continue
 		}
-		load, pending, failing, suspect := s.Cell.load(m.Now)
-		if m.Most > 0 && s.Cell.Outstanding() >= m.Most {
+		load, pending, failing, suspect := s.Stats.load(m.Now)
+		if m.MaxOutstanding > 0 && s.Stats.Outstanding() >= m.MaxOutstanding {
 			continue
 		}
 		load += pendingLoad * pending * float64(s.Width())
--- a/coordination/place/placements.go
+++ b/coordination/place/placements.go
@@ -17,7 +17,7 @@
 const mostFresh = 256
 
 // noteFresh keeps a place until it was sent to the other instances.
-func (l *Ledger) noteFresh(p Placed, m PromptMsg) {
+func (l *PromptScheduler) noteFresh(p Placed, m PromptMsg) {
 	st := l.placed[p.Number]
 	l.fresh = append(l.fresh, protocol.Placement{Server: p.Server, Prefix: m.Prefix, Tokens: st.tokens})
 	if len(l.fresh) > mostFresh {
@@ -25,16 +25,16 @@
 	}
 }
 
-// Fresh returns the places that were given since it was last asked.
-func (l *Ledger) Fresh() []protocol.Placement {
+// TakeUnsent returns the places that were given since it was last asked.
+func (l *PromptScheduler) TakeUnsent() []protocol.Placement {
 	fresh := l.fresh
 	l.fresh = nil
 	return fresh
 }
 
-// Note takes places that another instance gave. It does not learn when their requests end:
+// AddRemote takes places that another instance gave. It does not learn when their requests end:
 // once its prompt is read, such a request counts by the server's load alone.
-func (l *Ledger) Note(rows []protocol.Placement, now time.Time) {
+func (l *PromptScheduler) AddRemote(rows []protocol.Placement, now time.Time) {
 	for _, r := range rows {
 		b := l.book(r.Server)
 		from := now
--- a/coordination/place/readings.go
+++ b/coordination/place/readings.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// List takes the servers by name, in whose order rows are packed from now on.
-func (r *Readings) List(order []string) {
+// SetServers takes the servers by name, in whose order rows are packed from now on.
+func (r *Readings) SetServers(order []string) {
 	r.index = make(map[string]uint16, len(order))
 	for i, id := range order {
 		if i < unlisted {
@@ -91,9 +91,9 @@
 	return r.packed[from*readingBytes : len(r.packed) : len(r.packed)], next
 }
 
-// Others returns the rows behind a position that other instances than one (by its
+// SinceExcept returns the rows behind a position that other instances than one (by its
 // incarnation) passed on, packed, and the position behind them.
-func (r *Readings) Others(position, except uint64) (packed []byte, next uint64) {
+func (r *Readings) SinceExcept(position, except uint64) (packed []byte, next uint64) {
 	next = r.first + uint64(len(r.rows))
 	if position > next {
 		position = next // It is of another log.
@@ -106,10 +106,10 @@
 	return packed, next
 }
 
-// Unpacked calls row with the server and the link of each of some packed rows. The order
+// EachReading calls row with the server and the link of each of some packed rows. The order
 // is that of the list by which the rows were packed; rows of servers that are not in it
 // are left out.
-func Unpacked(packed []byte, order []string, row func(server string, key uint32)) {
+func EachReading(packed []byte, order []string, row func(server string, key uint32)) {
 	eachPacked(packed, len(order), func(i int, key uint32) { row(order[i], key) })
 }
 
@@ -124,9 +124,9 @@
 	}
 }
 
-// TakePacked notes the rows that the leader or a relay tells a gateway, packed by the order of
+// RecordPacked notes the rows that the leader or a relay tells a gateway, packed by the order of
 // a view's servers. Without a view they are dropped.
-func (h *Holders) TakePacked(v *View, packed []byte, now time.Time) {
+func (h *Holders) RecordPacked(v *View, packed []byte, now time.Time) {
 	if v != nil {
 		eachPacked(packed, len(v.Servers), func(i int, key uint32) { h.note(v.Servers[i].ID, linkKey(key), now) })
 	}
--- a/coordination/place/relayed_test.go
+++ b/coordination/place/relayed_test.go
@@ -17,7 +17,7 @@
 // comes to hold the loads as they are, and that no answer is longer than all of them.
 func TestVectorTellsChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var v Vector
+		var v LoadVector
 		held := map[uint64][]byte{}
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			if rapid.IntRange(0, 5).Draw(t, "other list") == 0 {
@@ -43,7 +43,7 @@
 			if len(changes) > len(v.Values()) {
 				t.Fatalf("%d bytes of changes for %d servers", len(changes), len(v.Values()))
 			}
-			got, err := Renewed(loads, protocol.LoadVersion{Incarnation: 7, Version: version}, whole, changes, to)
+			got, err := UpdateLoads(loads, protocol.LoadVersion{Incarnation: 7, Version: version}, whole, changes, to)
 			if err != nil || string(got) != string(v.Values()) {
 				t.Fatalf("from %d to %d: %v, %v; want %v", version, v.Version(), got, err, v.Values())
 			}
@@ -70,11 +70,11 @@
 
 func (f *fleetOfRelays) ask(gateway string) {
 	if home := f.home[gateway]; home != "" {
-		f.relays[home].Take(gateway, f.last[gateway])
+		f.relays[home].SetReport(gateway, f.last[gateway])
 		f.batch(home, []string{gateway}, true, true)
 		return
 	}
-	f.leader.Take(gateway, f.last[gateway])
+	f.leader.SetReport(gateway, f.last[gateway])
 }
 
 func (f *fleetOfRelays) batch(relay string, asked []string, arrives, answered bool) {
@@ -82,10 +82,10 @@
 	sums, whole := s.Changes()
 	var moved []string
 	if arrives {
-		moved = f.leader.TakeRelay(RelayMsg{Relay: relay, Whole: whole, Sums: sums, Asked: asked})
+		moved = f.leader.ApplyRelay(RelayMsg{Relay: relay, Whole: whole, Sums: sums, Asked: asked})
 	}
 	if !arrives || !answered {
-		s.Lost()
+		s.Invalidate()
 		return
 	}
 	for _, name := range moved {
@@ -152,7 +152,7 @@
 		}
 		direct := NewLoads()
 		for g, r := range f.last {
-			direct.Take(g, r)
+			direct.SetReport(g, r)
 		}
 		if diff := cmp.Diff(direct.distrusts, f.leader.distrusts); diff != "" {
 			t.Fatal(diff)
@@ -185,7 +185,7 @@
 			f.home[g] = ""
 		}
 		f.ask(g)
-		if n := f.leader.Of("s1"); n != 3*gateways {
+		if n := f.leader.Running("s1"); n != 3*gateways {
 			t.Errorf("with %d gateways moved the server seems to have %d requests, it has %d", i+1, n, 3*gateways)
 		}
 	}
@@ -198,11 +198,11 @@
 func TestReplacedLoads(t *testing.T) {
 	l := NewLoads()
 	l.Replace(servers, []byte{2, 0, 9}, map[string][]byte{"d1": {1 << 1}})
-	if l.Of("s1") != 2 || l.Of("s2") != 0 || l.Of("s3") != 9 || !l.Distrusted("s2", "d1") || l.Distrusted("s2", "d2") || l.Distrusted("s1", "d1") {
+	if l.Running("s1") != 2 || l.Running("s2") != 0 || l.Running("s3") != 9 || !l.Distrusted("s2", "d1") || l.Distrusted("s2", "d2") || l.Distrusted("s1", "d1") {
 		t.Errorf("knows %v, %v", l.totals, l.avoided)
 	}
 	l.Replace(servers, []byte{0, 1, 0}, nil)
-	if l.Of("s1") != 0 || l.Of("s2") != 1 || l.Distrusted("s2", "d1") {
+	if l.Running("s1") != 0 || l.Running("s2") != 1 || l.Distrusted("s2", "d1") {
 		t.Errorf("then %v, %v", l.totals, l.avoided)
 	}
 }
--- a/coordination/place/sum.go
+++ b/coordination/place/sum.go
@@ -29,8 +29,8 @@
 // NewSum returns the sum of no gateways.
 func NewSum() *Sum { return &Sum{loads: NewLoads()} }
 
-// Take notes what one gateway knows, in place of its report before.
-func (s *Sum) Take(gateway string, t GatewayReport) { s.loads.Take(gateway, t) }
+// SetReport notes what one gateway knows, in place of its report before.
+func (s *Sum) SetReport(gateway string, t GatewayReport) { s.loads.SetReport(gateway, t) }
 
 // Drop forgets a gateway.
 func (s *Sum) Drop(gateway string) { s.loads.Drop(gateway) }
@@ -81,9 +81,9 @@
 	}
 }
 
-// Lost notes that the leader may lack the sums that were sent last, or that another
+// Invalidate notes that the leader may lack the sums that were sent last, or that another
 // leader is asked: Changes returns the whole sums next.
-func (s *Sum) Lost() { s.sent = nil }
+func (s *Sum) Invalidate() { s.sent = nil }
 
 // sums returns a copy of what the gateways know together.
 func (l *Loads) sums() *sums {
--- a/transport/caller/memory.go
+++ b/transport/caller/memory.go
@@ -35,7 +35,7 @@
 	}
 	m.gauge("memory.bound", (*memory.Account).Bound)
 	for _, c := range memory.Causes {
-		m.gauge(fmt.Sprintf("memory.held{cause=%q}", c), func(a *memory.Account) int64 { return a.Of(c) })
+		m.gauge(fmt.Sprintf("memory.held{cause=%q}", c), func(a *memory.Account) int64 { return a.HeldFor(c) })
 	}
 	return m
 }
@@ -52,17 +52,17 @@
 // Take takes bytes for a cause, all or none.
 func (m *Memory) Take(h *memory.Hold, c memory.Cause, n int) memory.Decision {
 	if m == nil {
-		return memory.Decision{Taken: true}
+		return memory.Decision{Granted: true}
 	}
 	m.mu.Lock()
-	v := m.account.Take(h, c, int64(n), time.Now())
-	newcomer := v.Taken && h.Workspace != "" && !m.metered[h.Workspace] && len(m.metered) < mostMetered
+	v := m.account.Reserve(h, c, int64(n), time.Now())
+	newcomer := v.Granted && h.Workspace != "" && !m.metered[h.Workspace] && len(m.metered) < mostMetered
 	if newcomer {
 		m.metered[h.Workspace] = true
 	}
 	m.mu.Unlock()
 	// Where a send buffer is full the answer goes on, slower; connections have their own count.
-	if !v.Taken && (c == memory.Body || c == memory.Answer) {
+	if !v.Granted && (c == memory.Body || c == memory.Answer) {
 		m.refused.Inc(1)
 	}
 	if newcomer {
@@ -79,7 +79,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.account.Give(h, c, int64(n), time.Now())
+	m.account.Release(h, c, int64(n), time.Now())
 }
 
 // End gives back all that a hold has.
@@ -89,7 +89,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.account.End(h, time.Now())
+	m.account.ReleaseAll(h, time.Now())
 }
 
 // most is the largest body that can ever be taken, at most a limit: one beside whose
@@ -98,7 +98,7 @@
 	if m == nil {
 		return limit
 	}
-	return int(min(int64(limit), max(0, m.account.Most()-connectionBytes/2)))
+	return int(min(int64(limit), max(0, m.account.MaxHold()-connectionBytes/2)))
 }
 
 // MemoryRow is the account's state for people.
@@ -118,7 +118,7 @@
 	defer m.mu.Unlock()
 	row := &MemoryRow{Bound: m.account.Bound(), Held: m.account.Held(), Causes: map[string]int64{}, Workspaces: m.account.Workspaces()}
 	for _, c := range memory.Causes {
-		row.Causes[c.String()] = m.account.Of(c)
+		row.Causes[c.String()] = m.account.HeldFor(c)
 	}
 	return row
 }
--- a/transport/control/batch.go
+++ b/transport/control/batch.go
@@ -72,7 +72,7 @@
 	for i := range m.Parts {
 		asked[i] = m.Parts[i].Gateway
 	}
-	reply.Moved = u.loads.TakeRelay(place.RelayMsg{Relay: m.Relay, Whole: whole, Sums: m.Sums, Asked: asked})
+	reply.Moved = u.loads.ApplyRelay(place.RelayMsg{Relay: m.Relay, Whole: whole, Sums: m.Sums, Asked: asked})
 }
 
 // dropRelays forgets the relays that ask no more. It needs u.mu.
@@ -88,9 +88,9 @@
 // sharePlaces takes the places that a relay gave, and tells it those of others. It
 // needs u.mu.
 func (u *Uplink) sharePlaces(m *protocol.BatchMsg, reply *protocol.BatchReply, now time.Time) {
-	u.placed.Add("", u.places.Fresh())
+	u.placed.Add("", u.places.TakeUnsent())
 	u.placed.Add(m.Relay, m.Placed)
-	u.places.Note(m.Placed, now)
+	u.places.AddRemote(m.Placed, now)
 	u.takeReadings(m.Life, m.Readings, now)
 	record := u.relays[m.Relay]
 	if record == nil {
@@ -98,7 +98,7 @@
 	}
 	reply.Placed, record.known = u.placed.Since(record.known, m.Relay)
 	if reply.Listed || (m.Lister == u.lister && m.Servers == u.version) {
-		reply.Readings, record.heard = u.readings.Others(record.heard, m.Life)
+		reply.Readings, record.heard = u.readings.SinceExcept(record.heard, m.Life)
 	}
 }
 
--- a/transport/control/copies.go
+++ b/transport/control/copies.go
@@ -29,7 +29,7 @@
 	gateways   int
 	clock      time.Time
 	mark       protocol.LoadVersion // mark names the leader's loads that are held.
-	vector     place.Vector         // vector is those loads under this relay's own versions, for its gateways.
+	vector     place.LoadVector     // vector is those loads under this relay's own versions, for its gateways.
 	distrusted map[string][]byte
 
 	readings *place.Readings
@@ -38,7 +38,7 @@
 	incarnation uint64 // incarnation is drawn with each new copies: versions of loads and placed requests go by it.
 	view        *place.View
 	loads       *place.Loads
-	places      *place.Ledger
+	places      *place.PromptScheduler
 
 	topology *topology.Topology
 }
@@ -48,7 +48,7 @@
 	return &copies{
 		incarnation: rand.Uint64(),
 		loads:       loads,
-		places:      place.NewLedger(loads, place.WithTopology(t)),
+		places:      place.NewPromptScheduler(loads, place.WithTopology(t)),
 		readings:    place.NewReadings(),
 		topology:    t,
 	}
@@ -58,7 +58,7 @@
 func (c *copies) ask(m *protocol.BatchMsg) {
 	m.Lister, m.Servers, m.Rollouts, m.Loads = c.lister, c.version, c.changes, c.mark
 	m.Quarantined, m.Watched = c.quarantine.Changes, protocol.WatchHash(c.watched)
-	m.Placed = c.places.Fresh()
+	m.Placed = c.places.TakeUnsent()
 	m.Readings, c.fresh = c.fresh, nil
 }
 
@@ -68,7 +68,7 @@
 	now := clock.Now()
 	for _, r := range rows {
 		c.readings.Add(c.incarnation, r.Server, r.Links)
-		c.places.NoteRead(r.Server, r.Links, now)
+		c.places.RecordPrefill(r.Server, r.Links, now)
 	}
 	c.fresh = append(c.fresh, rows...)
 }
@@ -85,15 +85,15 @@
 		return // They are packed by the order of another list.
 	}
 	now := clock.Now()
-	place.Unpacked(r.Readings, c.order, func(server string, key uint32) {
+	place.EachReading(r.Readings, c.order, func(server string, key uint32) {
 		c.readings.Add(0, server, []uint32{key})
-		c.places.NoteRead(server, []uint32{key}, now)
+		c.places.RecordPrefill(server, []uint32{key}, now)
 	})
 }
 
 // renew takes the leader's answer to a batch.
 func (c *copies) renew(leader string, r *protocol.BatchReply) error {
-	loads, err := place.Renewed(c.vector.Values(), c.mark, r.Whole, r.LoadChanges, r.Loads)
+	loads, err := place.UpdateLoads(c.vector.Values(), c.mark, r.Whole, r.LoadChanges, r.Loads)
 	if err != nil {
 		return err
 	}
@@ -124,7 +124,7 @@
 	} else {
 		c.mark = protocol.LoadVersion{} // All are asked for next.
 	}
-	c.places.Note(r.Placed, clock.Now())
+	c.places.AddRemote(r.Placed, clock.Now())
 	return nil
 }
 
@@ -138,7 +138,7 @@
 			return err
 		}
 		c.take(r.Lister, r.Version, list.ApplyTo(c.servers))
-		c.readings.List(c.order)
+		c.readings.SetServers(c.order)
 		news = true
 	}
 	if r.Changes != c.changes {
@@ -188,9 +188,9 @@
 		return
 	}
 	if placed, ok := c.places.Place(c.view, prompt(m), clock.Now()); ok {
-		if len(placed.Fresh) > 0 {
-			c.readings.Add(c.incarnation, placed.Server, placed.Fresh)
-			c.fresh = append(c.fresh, protocol.Prefill{Server: placed.Server, Links: placed.Fresh})
+		if len(placed.NewLinks) > 0 {
+			c.readings.Add(c.incarnation, placed.Server, placed.NewLinks)
+			c.fresh = append(c.fresh, protocol.Prefill{Server: placed.Server, Links: placed.NewLinks})
 		}
 		*reply = placeReply(&placed, c.term, c.incarnation)
 	}
--- a/transport/control/list.go
+++ b/transport/control/list.go
@@ -90,7 +90,7 @@
 		return
 	}
 	u.enter(term)
-	list, again := u.starts.Newest(list, clock.Now())
+	list, again := u.starts.Filter(list, clock.Now())
 	for _, r := range again {
 		u.log.Warn().Str("server", r.After.String()).Str("before", r.Before.String()).Msg("server started again")
 	}
@@ -107,7 +107,7 @@
 	u.keepLimits()
 	u.common = common{}
 	u.vector.Reset(u.loads.Pack(u.order))
-	u.readings.List(u.order)
+	u.readings.SetServers(u.order)
 }
 
 // ExpectList notes whether the list could be read in a term, and that it is to be read again
--- a/transport/control/relay.go
+++ b/transport/control/relay.go
@@ -285,7 +285,7 @@
 	now := clock.Now()
 	if leader != r.asked {
 		r.asked, r.answerTime = leader, link.AnswerTime{}
-		r.sum.Lost()
+		r.sum.Invalidate()
 	}
 	r.batch++
 	m := protocol.BatchMsg{Relay: r.name, Life: r.life, Batch: r.batch, Number: number}
@@ -311,7 +311,7 @@
 // note takes what a gateway's question tells this relay. It needs r.mu.
 func (r *Relay) note(m *protocol.SyncMsg, now time.Time) {
 	r.gateways[m.Gateway] = now
-	r.sum.Take(m.Gateway, place.GatewayReport{Domain: m.Domain, Running: m.Running, Distrusts: m.Distrusts})
+	r.sum.SetReport(m.Gateway, place.GatewayReport{Domain: m.Domain, Running: m.Running, Distrusts: m.Distrusts})
 	r.copies.done(m.Done)
 	r.copies.read(m.Readings)
 }
@@ -380,7 +380,7 @@
 	r.overdue = false
 	r.answerTime.Observe(took)
 	if reply.Resend {
-		r.sum.Lost()
+		r.sum.Invalidate()
 	}
 	for _, name := range reply.Moved {
 		r.drop(name)
@@ -409,7 +409,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.overdue = false
-	r.sum.Lost()
+	r.sum.Invalidate()
 }
 
 // setOverdue notes that the answer to a batch is overdue.
--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -69,10 +69,10 @@
 	ledger   *usage.Ledger
 	marks    *usage.Watermarks // marks are up to when the gateways have told their counts.
 	view     *place.View
-	places   *place.Ledger
+	places   *place.PromptScheduler
 	readings *place.Readings
 	loads    *place.Loads
-	vector   place.Vector // vector is the loads as they were told last.
+	vector   place.LoadVector // vector is the loads as they were told last.
 	relays   map[string]*relayRecord
 	placed   place.Placements // placed are the places that this instance and its relays gave.
 	common   common
@@ -80,7 +80,7 @@
 	trials   map[uint64]*trial // trials are the roll-outs that run, by number.
 	keeper   *quarantine.Keeper
 	book     *backpressure.Book      // book are the servers that limit their requests.
-	starts   place.Starts            // starts are the newest ones of the servers, over all terms.
+	starts   place.Incarnations      // starts are the newest ones of the servers, over all terms.
 	unnamed  map[versionOf]time.Time // unnamed are versions that nothing names, by when they were listed first.
 }
 
@@ -197,7 +197,7 @@
 	u.loads, u.order, u.common = place.NewLoads(), nil, common{}
 	u.vector.Reset(nil)
 	u.relays, u.placed = map[string]*relayRecord{}, place.Placements{}
-	u.view, u.places = nil, place.NewLedger(u.loads, place.WithTopology(u.topology))
+	u.view, u.places = nil, place.NewPromptScheduler(u.loads, place.WithTopology(u.topology))
 	u.readings = place.NewReadings()
 	u.keeper = quarantine.NewKeeper()
 	u.book = backpressure.NewBook()
@@ -243,7 +243,7 @@
 		return nil
 	}
 	u.identify(&m)
-	u.loads.Take(m.Gateway, place.GatewayReport{Domain: m.Domain, Running: m.Running, Distrusts: m.Distrusts})
+	u.loads.SetReport(m.Gateway, place.GatewayReport{Domain: m.Domain, Running: m.Running, Distrusts: m.Distrusts})
 	u.takeReadings(u.incarnation, m.Readings, now)
 	u.placesDone(m.Done, term)
 	reply.Term = term
@@ -277,7 +277,7 @@
 func (u *Uplink) placesUnderWay() int64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return int64(u.places.UnderWay())
+	return int64(u.places.InProgress())
 }
 
 // placesDone notes the ends of requests that this instance placed in a term. It needs u.mu.
@@ -294,7 +294,7 @@
 func (u *Uplink) takeReadings(from uint64, rows []protocol.Prefill, now time.Time) {
 	for _, r := range rows {
 		u.readings.Add(from, r.Server, r.Links)
-		u.places.NoteRead(r.Server, r.Links, now)
+		u.places.RecordPrefill(r.Server, r.Links, now)
 	}
 }
 
@@ -320,7 +320,7 @@
 
 // tellLoads puts the loads of all servers into an answer, or what changed since those that
 // the asker holds, where that is known and shorter. The mark now names those of v.
-func tellLoads(v *place.Vector, now, held protocol.LoadVersion, reply *protocol.SyncReply) {
+func tellLoads(v *place.LoadVector, now, held protocol.LoadVersion, reply *protocol.SyncReply) {
 	reply.Loaded = now
 	changes, ok := []byte(nil), false
 	if held.Incarnation == now.Incarnation {
@@ -348,7 +348,7 @@
 	}
 	placed, ok := u.places.Place(u.view, prompt(&m), clock.Now())
 	if ok {
-		u.readings.Add(u.incarnation, placed.Server, placed.Fresh)
+		u.readings.Add(u.incarnation, placed.Server, placed.NewLinks)
 		*reply = placeReply(&placed, term, u.incarnation)
 	}
 	return nil
--- a/transport/forward/copy.go
+++ b/transport/forward/copy.go
@@ -34,7 +34,7 @@
 	if from != "" {
 		g.meters.copies.Inc(1)
 	}
-	x.newLinks = g.prompts.holders.Read(at.ID, x.chain, now)
+	x.newLinks = g.prompts.holders.Record(at.ID, x.chain, now)
 	return from
 }
 
@@ -49,7 +49,7 @@
 	defer g.mu.Unlock()
 	switch {
 	case !read:
-		g.prompts.holders.Unread(at.ID, x.newLinks)
+		g.prompts.holders.Forget(at.ID, x.newLinks)
 	case x.placed.Server == "":
 		g.prompts.unreported = append(g.prompts.unreported, protocol.Prefill{Server: at.ID, Links: x.newLinks})
 	}
@@ -61,7 +61,7 @@
 func (x *exchange) copyFrom(at *place.Server, now time.Time) string {
 	view := x.g.view.Load()
 	may := func(s *place.Server) bool {
-		return s.ID != at.ID && s.Service == at.Service && s.Version == at.Version && !s.Cell.Suspect(now)
+		return s.ID != at.ID && s.Service == at.Service && s.Version == at.Version && !s.Stats.Suspect(now)
 	}
 	if x.placed.Server != "" {
 		if holder := view.Find(x.placed.Holder); holder != nil && may(holder) {
@@ -71,7 +71,7 @@
 	}
 	holders := x.g.prompts.holders
 	holder, tokens := holders.Find(view, x.chain, at.Domain, may, now)
-	if tokens < holders.Held(at.ID, x.chain, now)+leastCopied {
+	if tokens < holders.HeldTokens(at.ID, x.chain, now)+leastCopied {
 		return ""
 	}
 	return view.Find(holder).Address
@@ -93,5 +93,5 @@
 		return
 	}
 	g.prompts.term, g.prompts.position = reply.Term, reply.ReadingsAt
-	g.prompts.holders.TakePacked(g.view.Load(), reply.Readings, now)
+	g.prompts.holders.RecordPacked(g.view.Load(), reply.Readings, now)
 }
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -99,7 +99,7 @@
 	prompts   promptMemory
 	done      []protocol.PlaceDone // done are placed requests whose end is to be reported.
 	listed    []protocol.Instance  // listed are the servers of the last list.
-	starts    place.Starts         // starts are the newest ones of the servers.
+	starts    place.Incarnations   // starts are the newest ones of the servers.
 	rolled    uint64               // rolled is the change of the roll-outs that the gateway keeps to; 0 before the first.
 	rollouts  []protocol.Rollout
 	trials    map[string]*trial // trials are the roll-outs that run, by service.
@@ -199,7 +199,7 @@
 	g.mu.Lock()
 	var again []place.Restart
 	if len(list) == 0 || slices.ContainsFunc(list, func(in protocol.Instance) bool { return protocol.ParseIncarnation(in.ID).Start > 0 }) {
-		list, again = g.starts.Newest(list, clock.Now())
+		list, again = g.starts.Filter(list, clock.Now())
 	}
 	g.listed = list
 	g.mu.Unlock()
@@ -230,7 +230,7 @@
 			leaving++
 		}
 		if s.Leaving && s.LeftMS > 0 {
-			s.Cell.Leaves(time.Duration(s.LeftMS)*time.Millisecond, now)
+			s.Stats.SetLeaving(time.Duration(s.LeftMS)*time.Millisecond, now)
 		}
 	}
 	g.log.Info().Int("servers", len(view.Servers)).Int("leaving", leaving).Msg("list of servers")
--- a/transport/forward/limits.go
+++ b/transport/forward/limits.go
@@ -52,7 +52,7 @@
 	defer x.g.mu.Unlock()
 	p, now := x.g.service(x.service), clock.Now()
 	p.add(1, now)
-	p.lanes.Began(x.lane, slots, now)
+	p.lanes.RequestStarted(x.lane, slots, now)
 }
 
 func (x *exchange) givesBack(held time.Duration, slots int) {
@@ -60,7 +60,7 @@
 	defer x.g.mu.Unlock()
 	p, now := x.g.service(x.service), clock.Now()
 	p.add(-1, now)
-	p.lanes.Ended(x.lane, held, slots, now)
+	p.lanes.RequestEnded(x.lane, held, slots, now)
 }
 
 // arrived notes a request for a service, by which retries are earned, and finds
@@ -73,7 +73,7 @@
 	p := g.service(x.service)
 	g.share(x.service, now).Request(now)
 	x.lane, x.parts = p.lanes.Observe(x.call.PromptTokens, x.call.SharedTokens())
-	x.size = p.lanes.Size(x.call.PromptTokens)
+	x.size = p.lanes.RelativeSize(x.call.PromptTokens)
 }
 
 // slowPart of its target makes an answer a slow one.
@@ -188,7 +188,7 @@
 	}
 	for name, p := range g.pressure {
 		p.average(now)
-		m.Pressure = append(m.Pressure, protocol.Pressure{Service: name, Begun: p.begun, Slow: p.slow, Work: p.work, Lanes: p.lanes.Own()})
+		m.Pressure = append(m.Pressure, protocol.Pressure{Service: name, Begun: p.begun, Slow: p.slow, Work: p.work, Lanes: p.lanes.Local()})
 	}
 	return m
 }
@@ -232,7 +232,7 @@
 // Share takes how many requests the listed servers have from all gateways, and
 // which of them others distrust.
 func (g *Gateway) Share(loads, distrusted []byte) {
-	if ids := g.view.Load().Share(loads, distrusted, clock.Now()); len(ids) > 0 {
+	if ids := g.view.Load().ApplyLoads(loads, distrusted, clock.Now()); len(ids) > 0 {
 		g.log.Info().Strs("servers", ids).Msg("servers distrusted by other gateways")
 	}
 }
@@ -242,6 +242,6 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, l := range lanes {
-		g.service(l.Service).lanes.Agree(l.Terms)
+		g.service(l.Service).lanes.SetAgreed(l.Terms)
 	}
 }
--- a/transport/forward/room.go
+++ b/transport/forward/room.go
@@ -31,13 +31,13 @@
 func (g *Gateway) NoRoom(req *fasthttp.Request, v memory.Decision) *fasthttp.Response {
 	call := g.dialect.Call(req)
 	_, workspace := g.Owner(req)
-	r := protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeMemory, "no memory is left for a body of this size").WithRetryAfter(v.Wait)
+	r := protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeMemory, "no memory is left for a body of this size").WithRetryAfter(v.RetryAfter)
 	g.meters.requests.Inc(1)
 	g.meters.refused.Inc(1)
 	g.meters.end(outcome{"", workspace, r.Verdict})
 	g.log.Info().Str("request", call.ID).Str("workspace", workspace).Str("outcome", "refused").Str("code", string(r.Code)).Stringer("verdict", r.Verdict).
 		Int("status", r.Status).Str("reason", r.Message).Int64("bytes", v.Bytes).Int64("share", v.Workspace).Bool("own", v.OverShare).Int64("held", v.Held).Int64("bound", v.Bound).
-		Int64("wait", v.Wait.Milliseconds()).Msg("request")
+		Int64("wait", v.RetryAfter.Milliseconds()).Msg("request")
 	resp := &fasthttp.Response{}
 	g.dialect.Refuse(resp, call.ID, r)
 	return resp
@@ -70,7 +70,7 @@
 func (f *inFlight) all() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.All()
+	return f.TotalBytes()
 }
 
 func (f *inFlight) most() int64 {
@@ -127,7 +127,7 @@
 		f := t.x.g.bytesAt(t.x.service)
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		t.crashes = f.Began(t.server.ID, n)
+		t.crashes = f.RequestStarted(t.server.ID, n)
 	}
 }
 
@@ -137,7 +137,7 @@
 		f := t.x.g.bytesAt(t.x.service)
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.Ended(t.server.ID, n, t.done)
+		f.RequestEnded(t.server.ID, n, t.done)
 	}
 }
 
@@ -227,7 +227,7 @@
 
 // grow returns the answer with more room.
 func (x *exchange) grow(data []byte) ([]byte, error) {
-	size := memory.Grown(cap(data), answerPiece, maxAnswer+1)
+	size := memory.GrownSize(cap(data), answerPiece, maxAnswer+1)
 	if size <= cap(data) {
 		return nil, errTooLarge
 	}
@@ -240,7 +240,7 @@
 // takeRoom takes bytes for the answer from the account of memory.
 func (x *exchange) takeRoom(n int) error {
 	v := x.answer.Hold(n)
-	if v.Taken {
+	if v.Granted {
 		return nil
 	}
 	x.log.Info().Int64("bytes", v.Bytes).Int64("share", v.Workspace).Bool("own", v.OverShare).Int64("held", v.Held).Int64("bound", v.Bound).Msg("no room for an answer")
