--- a/coordination/backpressure/backpressure.go
+++ b/coordination/backpressure/backpressure.go
@@ -2,7 +2,7 @@
 //
 // A server in need names a limit: the requests a second that it takes from all gateways
 // together. [Limits], one a gateway, holds the limits that are known and says whether a
-// request may be sent. Each request to such a server needs a permit. [Book], on the
+// request may be sent. Each request to such a server needs a permit. [PermitAllocator], on the
 // control instance that leads, gives permits out: no more of them in any window than the
 // limit allows, less what gateways had sent before they knew of it. Permits expire soon, so
 // that those which are held unused anywhere never add up to much.
--- a/coordination/backpressure/backpressure_test.go
+++ b/coordination/backpressure/backpressure_test.go
@@ -83,15 +83,15 @@
 	now     time.Time
 	server  server
 	members []*member
-	asked   int       // asked counts the questions to control instances while none leads.
-	passed  []*Passed // passed are those of the control instances, which stand whether or not one leads.
-	book    *Book     // book is nil while no leader stands.
+	asked   int              // asked counts the questions to control instances while none leads.
+	passed  []*Passed        // passed are those of the control instances, which stand whether or not one leads.
+	book    *PermitAllocator // book is nil while no leader stands.
 	term    uint64
 	loss    float64 // loss is the part of the questions to the leader that get no answer.
 }
 
 func newFleet(seed uint64, gateways int) *fleet {
-	f := &fleet{rnd: rand.New(rand.NewPCG(seed, 1)), now: start, book: NewBook(), term: 1}
+	f := &fleet{rnd: rand.New(rand.NewPCG(seed, 1)), now: start, book: NewPermitAllocator(), term: 1}
 	for i := range controls {
 		f.passed = append(f.passed, NewPassed(uint64(i+1)))
 	}
@@ -181,7 +181,7 @@
 		return
 	}
 	msg.Gateway, msg.Life = strconv.FormatUint(m.life, 16), m.life
-	reply := f.book.Answer(&msg, f.term, f.now)
+	reply := f.book.HandleReport(&msg, f.term, f.now)
 	if f.rnd.Float64() < f.loss {
 		return
 	}
@@ -212,7 +212,7 @@
 // elect has another leader stand, which knows nothing.
 func (f *fleet) elect() {
 	f.term++
-	f.book = NewBook()
+	f.book = NewPermitAllocator()
 }
 
 // TestNoMoreThanAServerTakes has a server name a limit that is below what it gets, beside
@@ -327,12 +327,12 @@
 // TestOlderWordsAreOverruled checks that a gateway which tells the leader of an answer that
 // is older than what another one heard takes the newer one.
 func TestOlderWordsAreOverruled(t *testing.T) {
-	b, l := NewBook(), NewLimits()
+	b, l := NewPermitAllocator(), NewLimits()
 	named := protocol.RateLimit{Named: true, PerSecond: 3}
-	b.Answer(&protocol.LimitsMsg{Gateway: "other", Heard: []protocol.HeardLimit{{Server: "s", Limit: named}}}, 1, start)
+	b.HandleReport(&protocol.LimitsMsg{Gateway: "other", Heard: []protocol.HeardLimit{{Server: "s", Limit: named}}}, 1, start)
 	exchange := func(now time.Time) {
 		m, _ := l.Report(now)
-		reply := b.Answer(&m, 1, now)
+		reply := b.HandleReport(&m, 1, now)
 		l.Answered(&m, &reply, now, now)
 	}
 	exchange(start)
@@ -345,12 +345,12 @@
 
 // TestNewServerHasNoLimit checks that what is known of a server goes with it.
 func TestNewServerHasNoLimit(t *testing.T) {
-	b, l := NewBook(), NewLimits()
+	b, l := NewPermitAllocator(), NewLimits()
 	l.Heard("s", protocol.RateLimit{Named: true, PerSecond: 1}, start)
 	m, _ := l.Report(start)
-	b.Answer(&m, 1, start)
+	b.HandleReport(&m, 1, start)
 	l.Keep(func(string) bool { return false })
-	b.Keep(func(string) bool { return false }, start)
+	b.Prune(func(string) bool { return false }, start)
 	if len(l.Limited()) > 0 || len(b.Limits()) > 0 {
 		t.Errorf("still limited: %v, %v", l.Limited(), b.Limits())
 	}
@@ -374,12 +374,12 @@
 
 // TestPermitExpires checks that a permit is not used behind its time, and is given back.
 func TestPermitExpires(t *testing.T) {
-	b, l := NewBook(), NewLimits()
+	b, l := NewPermitAllocator(), NewLimits()
 	l.Heard("s", protocol.RateLimit{Named: true, PerSecond: 1}, start)
 	now := start
 	exchange := func() {
 		m, _ := l.Report(now)
-		reply := b.Answer(&m, 1, now)
+		reply := b.HandleReport(&m, 1, now)
 		l.Answered(&m, &reply, now, now)
 	}
 	exchange()
@@ -403,14 +403,14 @@
 // that one sent, and counts what was sent without a permit.
 func TestPermitsNeedCounts(t *testing.T) {
 	named := []protocol.HeardLimit{{Server: "s", Limit: protocol.RateLimit{Named: true, PerSecond: 2}}}
-	ask := func(b *Book, m protocol.LimitsMsg, now time.Time) int {
+	ask := func(b *PermitAllocator, m protocol.LimitsMsg, now time.Time) int {
 		m.Gateway, m.Heard = "g", named
 		if m.Wants == nil {
 			m.Wants = []protocol.PermitWant{{Server: "s", Count: 1}}
 		}
-		return b.Answer(&m, 1, now).Grants[0].Count
+		return b.HandleReport(&m, 1, now).Grants[0].Count
 	}
-	b := NewBook()
+	b := NewPermitAllocator()
 	ask(b, protocol.LimitsMsg{}, start)
 	now := start.Add(time.Second)
 	if n := ask(b, protocol.LimitsMsg{}, now); n != 0 {
@@ -476,7 +476,7 @@
 // each question wants permits for five of them.
 func BenchmarkAnswer(b *testing.B) {
 	const servers, gateways, wants = 600, 360, 5
-	book, now := NewBook(), start
+	book, now := NewPermitAllocator(), start
 	var heard []protocol.HeardLimit
 	var counted []protocol.SentRequests
 	for s := range servers {
@@ -485,7 +485,7 @@
 		counted = append(counted, protocol.SentRequests{Server: id})
 	}
 	for g := range gateways {
-		book.Answer(&protocol.LimitsMsg{Gateway: strconv.Itoa(g), Heard: heard, Sent: counted}, 1, now)
+		book.HandleReport(&protocol.LimitsMsg{Gateway: strconv.Itoa(g), Heard: heard, Sent: counted}, 1, now)
 	}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
@@ -494,7 +494,7 @@
 		for w := range wants {
 			m.Wants = append(m.Wants, protocol.PermitWant{Server: heard[(n*wants+w)%servers].Server, Count: 1})
 		}
-		book.Answer(&m, 1, now)
+		book.HandleReport(&m, 1, now)
 	}
 }
 
--- a/coordination/backpressure/book.go
+++ b/coordination/backpressure/book.go
@@ -8,9 +8,9 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Book is what the leader knows of the servers that limit their requests. It gives out the
+// PermitAllocator is what the leader knows of the servers that limit their requests. It gives out the
 // permits.
-type Book struct {
+type PermitAllocator struct {
 	change  uint64 // change rises with each limit that changes.
 	entries map[string]*entry
 }
@@ -51,11 +51,11 @@
 	goneKept = time.Minute
 )
 
-// NewBook returns a book without entries.
-func NewBook() *Book { return &Book{entries: map[string]*entry{}} }
+// NewPermitAllocator returns a book without entries.
+func NewPermitAllocator() *PermitAllocator { return &PermitAllocator{entries: map[string]*entry{}} }
 
-// Answer takes a gateway's report and returns what it lacks, and its permits.
-func (b *Book) Answer(m *protocol.LimitsMsg, term uint64, now time.Time) protocol.LimitsReply {
+// HandleReport takes a gateway's report and returns what it lacks, and its permits.
+func (b *PermitAllocator) HandleReport(m *protocol.LimitsMsg, term uint64, now time.Time) protocol.LimitsReply {
 	var overruled []protocol.ServerLimit
 	for i := range m.Heard {
 		h := &m.Heard[i]
@@ -79,7 +79,7 @@
 }
 
 // hear takes what a server said to a gateway, unless it said something else since.
-func (b *Book) hear(h *protocol.HeardLimit, now time.Time) {
+func (b *PermitAllocator) hear(h *protocol.HeardLimit, now time.Time) {
 	said := now.Add(-h.Ago)
 	e := b.entries[h.Server]
 	if e == nil {
@@ -103,7 +103,7 @@
 }
 
 // countSent counts what a gateway had sent before it kept to the limit, once.
-func (b *Book) countSent(by lifeOf, row *protocol.SentRequests, now time.Time) {
+func (b *PermitAllocator) countSent(by lifeOf, row *protocol.SentRequests, now time.Time) {
 	e := b.entries[row.Server]
 	if e == nil || e.counts[by] {
 		return
@@ -117,7 +117,7 @@
 }
 
 // news returns the limits that changed behind a change.
-func (b *Book) news(held uint64) []protocol.ServerLimit {
+func (b *PermitAllocator) news(held uint64) []protocol.ServerLimit {
 	if held == b.change {
 		return nil
 	}
@@ -131,10 +131,10 @@
 }
 
 // Change returns the change of the latest limit; 0 before the first.
-func (b *Book) Change() uint64 { return b.change }
+func (b *PermitAllocator) Change() uint64 { return b.change }
 
 // Limit returns a server's limit.
-func (b *Book) Limit(server string) protocol.RateLimit {
+func (b *PermitAllocator) Limit(server string) protocol.RateLimit {
 	if e := b.entries[server]; e != nil {
 		return e.limit
 	}
@@ -142,7 +142,7 @@
 }
 
 // Limits returns the limits that hold, by server.
-func (b *Book) Limits() map[string]float64 {
+func (b *PermitAllocator) Limits() map[string]float64 {
 	all := map[string]float64{}
 	for server, e := range b.entries {
 		if e.limit.Named {
@@ -152,15 +152,15 @@
 	return all
 }
 
-// Keep drops the servers that are listed no more, and limits that are gone for long.
-func (b *Book) Keep(listed func(server string) bool, now time.Time) {
+// Prune drops the servers that are listed no more, and limits that are gone for long.
+func (b *PermitAllocator) Prune(listed func(server string) bool, now time.Time) {
 	maps.DeleteFunc(b.entries, func(server string, e *entry) bool {
 		return !listed(server) || (!e.limit.Named && now.Sub(e.said) > goneKept)
 	})
 }
 
 // grant gives permits to a gateway. One whose earlier requests are not counted gets none.
-func (b *Book) grant(by lifeOf, w *protocol.PermitWant, now time.Time) protocol.PermitGrant {
+func (b *PermitAllocator) grant(by lifeOf, w *protocol.PermitWant, now time.Time) protocol.PermitGrant {
 	g := protocol.PermitGrant{Server: w.Server, Lasts: PermitLasts}
 	e := b.entries[w.Server]
 	if e == nil || !e.limit.Named {
--- a/coordination/backpressure/passed_test.go
+++ b/coordination/backpressure/passed_test.go
@@ -12,10 +12,10 @@
 // TestReportedLimitsArePassedOn checks that a gateway reports a limit to control instances
 // that a leader had already: the leader may have failed before others asked it.
 func TestReportedLimitsArePassedOn(t *testing.T) {
-	b, l := NewBook(), NewLimits()
+	b, l := NewPermitAllocator(), NewLimits()
 	l.Heard("s", limitOfTwo, start)
 	m, _ := l.Report(start)
-	reply := b.Answer(&m, 1, start)
+	reply := b.HandleReport(&m, 1, start)
 	l.Answered(&m, &reply, start, start)
 	if words := l.Words(start); len(words) != 1 || words[0].Limit != limitOfTwo {
 		t.Errorf("reports %+v", words)
--- a/transport/control/limits.go
+++ b/transport/control/limits.go
@@ -31,7 +31,7 @@
 	defer u.mu.Unlock()
 	u.enter(term)
 	now := clock.Now()
-	*reply = u.book.Answer(&m, term, now)
+	*reply = u.book.HandleReport(&m, term, now)
 	reply.ListLate = now.After(u.due)
 	// The lease may have run out meanwhile: then the permits are another one's to give.
 	still, ok := u.group.Vouches()
@@ -61,7 +61,7 @@
 
 // keepLimits drops the limits of servers that are listed no more. It needs u.mu.
 func (u *Uplink) keepLimits() {
-	u.book.Keep(func(server string) bool { return u.view.Find(server) != nil }, clock.Now())
+	u.book.Prune(func(server string) bool { return u.view.Find(server) != nil }, clock.Now())
 }
 
 // passLimits has the leader answer one of the relay's gateways.
--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -79,9 +79,9 @@
 	rolled   uint64            // rolled is the change of the roll-outs that the view follows.
 	trials   map[uint64]*trial // trials are the roll-outs that run, by number.
 	keeper   *quarantine.Keeper
-	book     *backpressure.Book      // book are the servers that limit their requests.
-	starts   place.Starts            // starts are the newest ones of the servers, over all terms.
-	unnamed  map[versionOf]time.Time // unnamed are versions that nothing names, by when they were listed first.
+	book     *backpressure.PermitAllocator // book are the servers that limit their requests.
+	starts   place.Starts                  // starts are the newest ones of the servers, over all terms.
+	unnamed  map[versionOf]time.Time       // unnamed are versions that nothing names, by when they were listed first.
 }
 
 // common is the part of the answers that is the same for all gateways.
@@ -200,7 +200,7 @@
 	u.view, u.places = nil, place.NewLedger(u.loads, place.WithTopology(u.topology))
 	u.readings = place.NewReadings()
 	u.keeper = quarantine.NewKeeper()
-	u.book = backpressure.NewBook()
+	u.book = backpressure.NewPermitAllocator()
 	u.rolled, u.trials, u.unnamed = 0, nil, map[versionOf]time.Time{}
 	if u.catalog != nil {
 		u.quotas.Configure(u.catalog.Workspaces, clock.Now())
--- a/transport/forward/limiting_test.go
+++ b/transport/forward/limiting_test.go
@@ -16,7 +16,7 @@
 
 // withBook has a leader's book answer the gateway whenever it asks for permits.
 func (w *world) withBook() {
-	book, ask := backpressure.NewBook(), make(chan struct{}, 1)
+	book, ask := backpressure.NewPermitAllocator(), make(chan struct{}, 1)
 	w.g.limitsNow = func() {
 		select {
 		case ask <- struct{}{}:
@@ -28,7 +28,7 @@
 		for range ask {
 			m, _ := w.g.ReportLimits()
 			asked := clock.Now()
-			reply := book.Answer(&m, 1, asked)
+			reply := book.HandleReport(&m, 1, asked)
 			w.g.AnsweredLimits(&m, &reply, asked)
 		}
 	}()
