--- a/coordination/backpressure/backpressure.go
+++ b/coordination/backpressure/backpressure.go
@@ -12,7 +12,7 @@
 //
 // A gateway that gets no answer from a leader goes on with a part of the limit, evenly
 // spaced, that depends on how many gateways there are. Meanwhile any control instance
-// passes on what servers say of their limits ([Passed]):
+// passes on what servers say of their limits ([LimitCache]):
 //
 //	gateway ──words──► control instance ──► other gateways
 //
--- a/coordination/backpressure/backpressure_test.go
+++ b/coordination/backpressure/backpressure_test.go
@@ -84,7 +84,7 @@
 	server  server
 	members []*member
 	asked   int              // asked counts the questions to control instances while none leads.
-	passed  []*Passed        // passed are those of the control instances, which stand whether or not one leads.
+	passed  []*LimitCache    // passed are those of the control instances, which stand whether or not one leads.
 	book    *PermitAllocator // book is nil while no leader stands.
 	term    uint64
 	loss    float64 // loss is the part of the questions to the leader that get no answer.
@@ -93,7 +93,7 @@
 func newFleet(seed uint64, gateways int) *fleet {
 	f := &fleet{rnd: rand.New(rand.NewPCG(seed, 1)), now: start, book: NewPermitAllocator(), term: 1}
 	for i := range controls {
-		f.passed = append(f.passed, NewPassed(uint64(i+1)))
+		f.passed = append(f.passed, NewLimitCache(uint64(i+1)))
 	}
 	for range gateways {
 		f.join()
@@ -196,9 +196,9 @@
 	if m.cut || f.rnd.Float64() < f.loss {
 		return
 	}
-	reply := f.passed[m.turn].Answer(&protocol.PassedMsg{Held: m.marks[m.turn], Heard: m.limits.Words(f.now)}, f.now)
+	reply := f.passed[m.turn].Exchange(&protocol.PassedMsg{Held: m.marks[m.turn], Heard: m.limits.DirectLimits(f.now)}, f.now)
 	if f.rnd.Float64() >= f.loss {
-		m.limits.TakePassed(reply.Heard, f.now)
+		m.limits.MergeForwarded(reply.Heard, f.now)
 		m.marks[m.turn] = reply.Holds
 	}
 }
--- a/coordination/backpressure/passed.go
+++ b/coordination/backpressure/passed.go
@@ -11,9 +11,9 @@
 // can still reach a control instance have heard of it long before.
 const passedKept = time.Minute
 
-// Passed are the limits that gateways tell a control instance while no leader answers them.
+// LimitCache are the limits that gateways tell a control instance while no leader answers them.
 // It passes them on to the others, and gives out no permits.
-type Passed struct {
+type LimitCache struct {
 	incarnation uint64 // incarnation differs with each start of the control instance.
 	change      uint64 // change rises with each limit that changes.
 	limits      map[string]passedLimit
@@ -26,14 +26,14 @@
 	change uint64 // change is that by which the limit came.
 }
 
-// NewPassed returns those of a control instance that has heard of none.
-func NewPassed(incarnation uint64) *Passed {
-	return &Passed{incarnation: incarnation, limits: map[string]passedLimit{}}
+// NewLimitCache returns those of a control instance that has heard of none.
+func NewLimitCache(incarnation uint64) *LimitCache {
+	return &LimitCache{incarnation: incarnation, limits: map[string]passedLimit{}}
 }
 
-// Answer takes what servers said to a gateway and returns what the gateway lacks of what
+// Exchange takes what servers said to a gateway and returns what the gateway lacks of what
 // they said to others.
-func (p *Passed) Answer(m *protocol.PassedMsg, now time.Time) protocol.PassedReply {
+func (p *LimitCache) Exchange(m *protocol.PassedMsg, now time.Time) protocol.PassedReply {
 	maps.DeleteFunc(p.limits, func(_ string, l passedLimit) bool { return now.Sub(l.said) > passedKept })
 	held := m.Held.Change
 	if m.Held.Incarnation != p.incarnation {
@@ -48,7 +48,7 @@
 }
 
 // since returns the limits that changed behind a change.
-func (p *Passed) since(change uint64, now time.Time) (list []protocol.HeardLimit) {
+func (p *LimitCache) since(change uint64, now time.Time) (list []protocol.HeardLimit) {
 	if change == p.change {
 		return nil
 	}
@@ -61,7 +61,7 @@
 }
 
 // hear takes what a server said to a gateway, unless it said something else since.
-func (p *Passed) hear(h *protocol.HeardLimit, now time.Time) {
+func (p *LimitCache) hear(h *protocol.HeardLimit, now time.Time) {
 	l, known := p.limits[h.Server]
 	said := now.Add(-h.Ago)
 	if known && said.Before(l.said) {
@@ -75,10 +75,10 @@
 	p.limits[h.Server] = l
 }
 
-// Words returns the limits that servers named, or took back, in answers to this gateway.
+// DirectLimits returns the limits that servers named, or took back, in answers to this gateway.
 // The gateway reports all of them while no leader answers, also those that a leader had:
 // it may have told only some gateways before it failed.
-func (l *Limits) Words(now time.Time) (list []protocol.HeardLimit) {
+func (l *Limits) DirectLimits(now time.Time) (list []protocol.HeardLimit) {
 	for server, s := range l.servers {
 		if s.heard {
 			list = append(list, protocol.HeardLimit{Server: server, Limit: s.limit, Ago: now.Sub(s.said)})
@@ -87,10 +87,10 @@
 	return list
 }
 
-// TakePassed takes what servers said to other gateways, and reports whether a limit changed
+// MergeForwarded takes what servers said to other gateways, and reports whether a limit changed
 // by it. A later answer of the server to this gateway overrides it. The next leader gets it
 // with the gateway's report.
-func (l *Limits) TakePassed(rows []protocol.HeardLimit, now time.Time) (changed bool) {
+func (l *Limits) MergeForwarded(rows []protocol.HeardLimit, now time.Time) (changed bool) {
 	for i := range rows {
 		changed = l.takePassed(&rows[i], now) || changed
 	}
--- a/coordination/backpressure/passed_test.go
+++ b/coordination/backpressure/passed_test.go
@@ -17,12 +17,12 @@
 	m, _ := l.Report(start)
 	reply := b.HandleReport(&m, 1, start)
 	l.Answered(&m, &reply, start, start)
-	if words := l.Words(start); len(words) != 1 || words[0].Limit != limitOfTwo {
+	if words := l.DirectLimits(start); len(words) != 1 || words[0].Limit != limitOfTwo {
 		t.Errorf("reports %+v", words)
 	}
 	other := NewLimits()
 	other.hear(&protocol.ServerLimit{Server: "s", Limit: limitOfTwo}, start)
-	if words := other.Words(start); len(words) > 0 {
+	if words := other.DirectLimits(start); len(words) > 0 {
 		t.Errorf("a gateway that heard of it from the leader reports %+v", words)
 	}
 }
@@ -34,7 +34,7 @@
 		l := NewLimits()
 		l.Heard("s", limitOfTwo, start)
 		now := start.Add(2 * time.Second)
-		l.TakePassed([]protocol.HeardLimit{{Server: "s", Limit: protocol.RateLimit{Named: true, PerSecond: 9}, Ago: ago}}, now)
+		l.MergeForwarded([]protocol.HeardLimit{{Server: "s", Limit: protocol.RateLimit{Named: true, PerSecond: 9}, Ago: ago}}, now)
 		if got := l.Limit("s"); got != want {
 			t.Errorf("an answer of %v ago, 2 s behind the gateway's own: goes by %+v, want %+v", ago, got, want)
 		}
@@ -44,12 +44,12 @@
 // TestPassedStartsAnew checks that a control instance which was started again tells all that it
 // knows to a gateway which holds a mark of the start before, and forgets limits in time.
 func TestPassedStartsAnew(t *testing.T) {
-	p := NewPassed(2)
-	p.Answer(&protocol.PassedMsg{Heard: []protocol.HeardLimit{{Server: "s", Limit: limitOfTwo}}}, start)
-	if reply := p.Answer(&protocol.PassedMsg{Held: protocol.PassedMark{Incarnation: 1, Change: 1}}, start); len(reply.Heard) != 1 {
+	p := NewLimitCache(2)
+	p.Exchange(&protocol.PassedMsg{Heard: []protocol.HeardLimit{{Server: "s", Limit: limitOfTwo}}}, start)
+	if reply := p.Exchange(&protocol.PassedMsg{Held: protocol.PassedMark{Incarnation: 1, Change: 1}}, start); len(reply.Heard) != 1 {
 		t.Errorf("told %+v", reply.Heard)
 	}
-	if reply := p.Answer(&protocol.PassedMsg{}, start.Add(passedKept+time.Second)); len(reply.Heard) > 0 {
+	if reply := p.Exchange(&protocol.PassedMsg{}, start.Add(passedKept+time.Second)); len(reply.Heard) > 0 {
 		t.Errorf("told %+v long after", reply.Heard)
 	}
 }
--- a/transport/control/limits.go
+++ b/transport/control/limits.go
@@ -44,7 +44,7 @@
 func (u *Uplink) Passed(m protocol.PassedMsg, reply *protocol.PassedReply) error {
 	u.passing.Lock()
 	defer u.passing.Unlock()
-	*reply = u.passed.Answer(&m, clock.Now())
+	*reply = u.passed.Exchange(&m, clock.Now())
 	return nil
 }
 
--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -52,8 +52,8 @@
 	relay    atomic.Pointer[Relay]         // relay answers gateways while this instance does not lead; nil for none.
 	domainOf func(peers []string) []string // domainOf tells the domains of control instances.
 
-	passing sync.Mutex           // passing guards passed, and is taken alone.
-	passed  *backpressure.Passed // passed holds the limits of servers that gateways report while there is no leader.
+	passing sync.Mutex               // passing guards passed, and is taken alone.
+	passed  *backpressure.LimitCache // passed holds the limits of servers that gateways report while there is no leader.
 
 	mu      sync.Mutex // mu guards all below.
 	number  uint64
@@ -179,7 +179,7 @@
 	for _, opt := range opts {
 		opt(u)
 	}
-	u.passed = backpressure.NewPassed(u.incarnation)
+	u.passed = backpressure.NewLimitCache(u.incarnation)
 	u.logged.Store(&logged{})
 	u.quarantined.Store(&protocol.QuarantineLog{})
 	u.reset(0)
--- a/transport/forward/limiting.go
+++ b/transport/forward/limiting.go
@@ -137,7 +137,7 @@
 	w := &g.words
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.limits.Words(clock.Now())
+	return w.limits.DirectLimits(clock.Now())
 }
 
 // TakePassed takes what servers said to other gateways.
@@ -145,7 +145,7 @@
 	w := &g.words
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.limits.TakePassed(rows, clock.Now())
+	w.limits.MergeForwarded(rows, clock.Now())
 }
 
 // AnsweredLimits takes the leader's answer to a report that was made at a time; it is nil
