--- a/coordination/backpressure/departures.go
+++ b/coordination/backpressure/departures.go
@@ -15,8 +15,8 @@
 	listed map[string]time.Time // listed is when each was listed last, or said so.
 }
 
-// Said notes that a server leaves, and reports whether it was not known to.
-func (d *Departures) Said(server string, now time.Time) (news bool) {
+// MarkLeaving notes that a server leaves, and reports whether it was not known to.
+func (d *Departures) MarkLeaving(server string, now time.Time) (news bool) {
 	if d.listed == nil {
 		d.listed = map[string]time.Time{}
 	}
@@ -25,14 +25,14 @@
 	return !known
 }
 
-// Leaves reports whether a server said that it leaves.
-func (d *Departures) Leaves(server string) bool {
+// IsLeaving reports whether a server said that it leaves.
+func (d *Departures) IsLeaving(server string) bool {
 	_, ok := d.listed[server]
 	return ok
 }
 
-// Keep forgets the servers that have not been listed for long.
-func (d *Departures) Keep(listed func(server string) bool, now time.Time) {
+// Prune forgets the servers that have not been listed for long.
+func (d *Departures) Prune(listed func(server string) bool, now time.Time) {
 	for server := range d.listed {
 		if listed(server) {
 			d.listed[server] = now
--- a/coordination/backpressure/rests.go
+++ b/coordination/backpressure/rests.go
@@ -8,14 +8,14 @@
 // longestRest bounds a rest: a server that asks for more was asked by nobody for an hour.
 const longestRest = time.Hour
 
-// Rests are the servers that asked one gateway for rest. The zero value is of none.
-type Rests struct {
+// Backoffs are the servers that asked one gateway for rest. The zero value is of none.
+type Backoffs struct {
 	until map[string]time.Time
 }
 
-// Asked notes that a server wants nothing from this gateway for a time. Each rest holds to
+// Add notes that a server wants nothing from this gateway for a time. Each rest holds to
 // its end, also where a shorter one is asked for behind it.
-func (r *Rests) Asked(server string, rest time.Duration, now time.Time) {
+func (r *Backoffs) Add(server string, rest time.Duration, now time.Time) {
 	if r.until == nil {
 		r.until = map[string]time.Time{}
 	}
@@ -24,8 +24,8 @@
 	}
 }
 
-// Left returns how much longer a server wants nothing; 0 or less where it takes requests.
-func (r *Rests) Left(server string, now time.Time) time.Duration {
+// Remaining returns how much longer a server wants nothing; 0 or less where it takes requests.
+func (r *Backoffs) Remaining(server string, now time.Time) time.Duration {
 	end, ok := r.until[server]
 	if !ok {
 		return 0
@@ -34,7 +34,7 @@
 }
 
 // Each calls a func with each server that wants nothing now, and for how much longer.
-func (r *Rests) Each(now time.Time, call func(server string, left time.Duration)) {
+func (r *Backoffs) Each(now time.Time, call func(server string, left time.Duration)) {
 	for server, end := range r.until {
 		if left := end.Sub(now); left > 0 {
 			call(server, left)
@@ -42,7 +42,7 @@
 	}
 }
 
-// Keep drops the rests that are over, and those of servers that are listed no more.
-func (r *Rests) Keep(listed func(server string) bool, now time.Time) {
+// Prune drops the rests that are over, and those of servers that are listed no more.
+func (r *Backoffs) Prune(listed func(server string) bool, now time.Time) {
 	maps.DeleteFunc(r.until, func(server string, end time.Time) bool { return !now.Before(end) || !listed(server) })
 }
--- a/coordination/backpressure/rests_test.go
+++ b/coordination/backpressure/rests_test.go
@@ -18,17 +18,17 @@
 		"a longer one behind it":  {[]time.Duration{time.Second, 5 * time.Second}, 5 * time.Second},
 		"absurd":                  {[]time.Duration{1 << 62}, longestRest},
 	} {
-		var r Rests
+		var r Backoffs
 		now := start
 		for i, rest := range c.asked {
 			now = start.Add(time.Duration(i) * time.Second)
-			r.Asked("s", rest, now)
+			r.Add("s", rest, now)
 		}
-		if got := r.Left("s", now); got != c.want {
+		if got := r.Remaining("s", now); got != c.want {
 			t.Errorf("%s: %v left, want %v", name, got, c.want)
 		}
-		r.Keep(func(string) bool { return false }, now)
-		if got := r.Left("s", now); got > 0 {
+		r.Prune(func(string) bool { return false }, now)
+		if got := r.Remaining("s", now); got > 0 {
 			t.Errorf("%s: %v left of a server that is gone", name, got)
 		}
 	}
@@ -38,18 +38,18 @@
 // listed, and a while behind that.
 func TestDepartures(t *testing.T) {
 	var d Departures
-	if !d.Said("s", start) || d.Said("s", start) {
+	if !d.MarkLeaving("s", start) || d.MarkLeaving("s", start) {
 		t.Error("that it leaves is news once")
 	}
 	listed, gone := func(string) bool { return true }, func(string) bool { return false }
 	now := start.Add(time.Hour)
-	d.Keep(listed, now)
-	d.Keep(gone, now.Add(leftKept))
-	if !d.Leaves("s") || d.Leaves("other") {
+	d.Prune(listed, now)
+	d.Prune(gone, now.Add(leftKept))
+	if !d.IsLeaving("s") || d.IsLeaving("other") {
 		t.Error("it is forgotten, or another one is taken for it")
 	}
-	d.Keep(gone, now.Add(leftKept+time.Second))
-	if d.Leaves("s") {
+	d.Prune(gone, now.Add(leftKept+time.Second))
+	if d.IsLeaving("s") {
 		t.Error("it is never forgotten")
 	}
 }
--- a/transport/forward/limiting.go
+++ b/transport/forward/limiting.go
@@ -62,10 +62,10 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := clock.Now()
-	if w.departures.Leaves(server) {
+	if w.departures.IsLeaving(server) {
 		return backpressure.Wait, forGood, nil
 	}
-	if left := w.rests.Left(server, now); left > 0 {
+	if left := w.rests.Remaining(server, now); left > 0 {
 		return backpressure.Wait, left, nil
 	}
 	verdict, wait := w.limits.Take(server, now)
@@ -88,7 +88,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := clock.Now()
-	if w.rests.Left(server, now) > 0 {
+	if w.rests.Remaining(server, now) > 0 {
 		return false
 	}
 	verdict, _ := w.limits.Take(server, now) // A question does not wait: it comes again in the next round.
--- a/transport/forward/says.go
+++ b/transport/forward/says.go
@@ -18,7 +18,7 @@
 	mu         sync.Mutex // mu guards all below; no other lock is taken under it.
 	limits     *backpressure.Limits
 	answered   chan struct{} // answered is closed and replaced when the leader answered on limits, or did not in time.
-	rests      backpressure.Rests
+	rests      backpressure.Backoffs
 	departures backpressure.Departures
 	unread     map[string]bool // unread are the servers of which something could not be read, which was logged.
 }
@@ -94,7 +94,7 @@
 func (x *exchange) heardRest(server string, rest time.Duration) {
 	w := &x.g.words
 	w.mu.Lock()
-	w.rests.Asked(server, rest, clock.Now())
+	w.rests.Add(server, rest, clock.Now())
 	w.mu.Unlock()
 	x.g.meters.rests.Inc(1)
 	x.log.Info().Str("server", server).Dur("rest", rest).Msg("server asks for rest")
@@ -105,7 +105,7 @@
 func (x *exchange) heardLeaving(server string) {
 	w := &x.g.words
 	w.mu.Lock()
-	news := w.departures.Said(server, clock.Now())
+	news := w.departures.MarkLeaving(server, clock.Now())
 	w.mu.Unlock()
 	if news {
 		x.log.Info().Str("server", server).Msg("server says that it leaves")
@@ -119,7 +119,7 @@
 	defer w.mu.Unlock()
 	copied := false
 	for i := range list {
-		if list[i].Leaving || !w.departures.Leaves(list[i].ID) {
+		if list[i].Leaving || !w.departures.IsLeaving(list[i].ID) {
 			continue
 		}
 		if !copied {
@@ -136,8 +136,8 @@
 	defer w.mu.Unlock()
 	listed := func(server string) bool { return view.Find(server) != nil }
 	w.limits.Keep(listed)
-	w.rests.Keep(listed, now)
-	w.departures.Keep(listed, now)
+	w.rests.Prune(listed, now)
+	w.departures.Prune(listed, now)
 	maps.DeleteFunc(w.unread, func(server string, _ bool) bool { return !listed(server) })
 }
 
@@ -146,7 +146,7 @@
 func (w *words) resting(server string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.rests.Left(server, clock.Now()) > 0
+	return w.rests.Remaining(server, clock.Now()) > 0
 }
 
 // unwilling returns the servers that take no runs of others: those that rest, and those
--- a/transport/forward/says_move_test.go
+++ b/transport/forward/says_move_test.go
@@ -11,7 +11,7 @@
 func (w *world) rest(server string, d time.Duration) {
 	w.g.words.mu.Lock()
 	defer w.g.words.mu.Unlock()
-	w.g.words.rests.Asked(server, d, clock.Now())
+	w.g.words.rests.Add(server, d, clock.Now())
 }
 
 // TestRunsAreMovedToWillingServers checks that a run is not moved to a server that rests: it
--- a/transport/rest.go
+++ b/transport/rest.go
@@ -20,7 +20,7 @@
 type restBox struct {
 	log   zerolog.Logger
 	mu    sync.Mutex // mu guards rests; no other lock is taken under it.
-	rests backpressure.Rests
+	rests backpressure.Backoffs
 }
 
 // heard notes the time that a server tells as it turns a request away.
@@ -37,7 +37,7 @@
 	b.log.Info().Str("server", server).Dur("rest", rest).Msg("server asks for rest")
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.rests.Asked(server, rest, clock.Now())
+	b.rests.Add(server, rest, clock.Now())
 }
 
 // avoid returns a message that does not have servers chosen which rest.
@@ -66,5 +66,5 @@
 func (b *restBox) forget(v *state.View) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.rests.Keep(func(server string) bool { return v.Find(server) != nil }, clock.Now())
+	b.rests.Prune(func(server string) bool { return v.Find(server) != nil }, clock.Now())
 }
