--- a/coordination/backpressure/backpressure_test.go
+++ b/coordination/backpressure/backpressure_test.go
@@ -102,7 +102,7 @@
 }
 
 func (f *fleet) join() {
-	m := &member{limits: NewLimits(WithChance(f.rnd.Float64)), life: f.rnd.Uint64(), next: f.now.Add(f.after()), marks: make([]protocol.PassedMark, controls)}
+	m := &member{limits: NewLimits(WithRandom(f.rnd.Float64)), life: f.rnd.Uint64(), next: f.now.Add(f.after()), marks: make([]protocol.PassedMark, controls)}
 	f.members = append(f.members, m)
 	for _, m := range f.members {
 		m.limits.SetGateways(len(f.members))
@@ -126,7 +126,7 @@
 		}
 		for _, m := range f.members {
 			f.hear(m)
-			if !f.now.Before(m.next) || m.limits.Behind(f.told()) {
+			if !f.now.Before(m.next) || m.limits.IsStale(f.told()) {
 				f.report(m)
 			}
 		}
@@ -143,15 +143,15 @@
 }
 
 func (f *fleet) request(m *member) int {
-	verdict, _ := m.limits.Take("s", f.now)
-	if verdict == Ask {
+	verdict, _ := m.limits.Acquire("s", f.now)
+	if verdict == NeedPermit {
 		f.report(m)
-		verdict, _ = m.limits.Take("s", f.now)
+		verdict, _ = m.limits.Acquire("s", f.now)
 	}
 	if verdict != Send {
 		return 0
 	}
-	m.limits.Sent("s", f.now)
+	m.limits.RecordSent("s", f.now)
 	f.server.taken = append(f.server.taken, arrival{f.now, m})
 	m.answers = append(m.answers, f.now.Add(100*time.Millisecond))
 	return 1
@@ -164,7 +164,7 @@
 		if m.told.IsZero() && f.server.limit.Named {
 			m.told = f.now
 		}
-		if m.limits.Heard("s", f.server.limit, f.now) {
+		if m.limits.UpdateLimit("s", f.server.limit, f.now) {
 			m.next = f.now
 		}
 	}
@@ -177,7 +177,7 @@
 		f.pass(m)
 		return
 	}
-	if !any && !m.limits.Behind(f.told()) || m.cut || f.rnd.Float64() < f.loss {
+	if !any && !m.limits.IsStale(f.told()) || m.cut || f.rnd.Float64() < f.loss {
 		return
 	}
 	msg.Gateway, msg.Life = strconv.FormatUint(m.life, 16), m.life
@@ -185,7 +185,7 @@
 	if f.rnd.Float64() < f.loss {
 		return
 	}
-	m.limits.Answered(&msg, &reply, f.now, f.now)
+	m.limits.HandleReply(&msg, &reply, f.now, f.now)
 }
 
 // pass has a gateway ask the next control instance what servers said to others.
@@ -333,10 +333,10 @@
 	exchange := func(now time.Time) {
 		m, _ := l.Report(now)
 		reply := b.HandleReport(&m, 1, now)
-		l.Answered(&m, &reply, now, now)
+		l.HandleReply(&m, &reply, now, now)
 	}
 	exchange(start)
-	l.Heard("s", protocol.RateLimit{}, start.Add(-time.Second)) // An answer that was on its way for long.
+	l.UpdateLimit("s", protocol.RateLimit{}, start.Add(-time.Second)) // An answer that was on its way for long.
 	exchange(start.Add(time.Millisecond))
 	if got := l.Limit("s"); got != named {
 		t.Errorf("the gateway goes by %+v", got)
@@ -346,10 +346,10 @@
 // TestNewServerHasNoLimit checks that what is known of a server goes with it.
 func TestNewServerHasNoLimit(t *testing.T) {
 	b, l := NewPermitAllocator(), NewLimits()
-	l.Heard("s", protocol.RateLimit{Named: true, PerSecond: 1}, start)
+	l.UpdateLimit("s", protocol.RateLimit{Named: true, PerSecond: 1}, start)
 	m, _ := l.Report(start)
 	b.HandleReport(&m, 1, start)
-	l.Keep(func(string) bool { return false })
+	l.Prune(func(string) bool { return false })
 	b.Prune(func(string) bool { return false }, start)
 	if len(l.Limited()) > 0 || len(b.Limits()) > 0 {
 		t.Errorf("still limited: %v, %v", l.Limited(), b.Limits())
@@ -375,26 +375,26 @@
 // TestPermitExpires checks that a permit is not used behind its time, and is given back.
 func TestPermitExpires(t *testing.T) {
 	b, l := NewPermitAllocator(), NewLimits()
-	l.Heard("s", protocol.RateLimit{Named: true, PerSecond: 1}, start)
+	l.UpdateLimit("s", protocol.RateLimit{Named: true, PerSecond: 1}, start)
 	now := start
 	exchange := func() {
 		m, _ := l.Report(now)
 		reply := b.HandleReport(&m, 1, now)
-		l.Answered(&m, &reply, now, now)
+		l.HandleReply(&m, &reply, now, now)
 	}
 	exchange()
 	now = now.Add(time.Second) // A permit is there.
-	if v, _ := l.Take("s", now); v != Ask {
+	if v, _ := l.Acquire("s", now); v != NeedPermit {
 		t.Fatalf("without a permit: %v", v)
 	}
 	exchange()
 	late := now.Add(PermitLasts)
-	if v, _ := l.Take("s", late); v == Send {
+	if v, _ := l.Acquire("s", late); v == Send {
 		t.Error("a permit was used behind its time")
 	}
 	now = late
 	exchange()
-	if v, _ := l.Take("s", now); v != Send {
+	if v, _ := l.Acquire("s", now); v != Send {
 		t.Errorf("the permit that was given back is not given again: %v", v)
 	}
 }
@@ -432,10 +432,10 @@
 // TestWaitEndsWithTheLeader checks that a time until the next permit, as a leader told it,
 // holds for as long as one answers: without one the gateway takes its own part.
 func TestWaitEndsWithTheLeader(t *testing.T) {
-	l := NewLimits(WithChance(func() float64 { return 1 }))
-	l.Heard("s", protocol.RateLimit{Named: true, PerSecond: 1}, start)
+	l := NewLimits(WithRandom(func() float64 { return 1 }))
+	l.UpdateLimit("s", protocol.RateLimit{Named: true, PerSecond: 1}, start)
 	m, _ := l.Report(start)
-	l.Answered(&m, &protocol.LimitsReply{Term: 1, Grants: []protocol.PermitGrant{{Server: "s", Wait: time.Minute}}}, start, start)
+	l.HandleReply(&m, &protocol.LimitsReply{Term: 1, Grants: []protocol.PermitGrant{{Server: "s", Wait: time.Minute}}}, start, start)
 	waiting := func(now time.Time) (n int) {
 		l.EachWaiting(now, func(string, time.Duration) { n++ })
 		return n
@@ -445,7 +445,7 @@
 		t.Error("the server is not waited for")
 	}
 	late := start.Add(2 * aloneAfter)
-	if v, _ := l.Take("s", late); waiting(late) != 0 || v != Send {
+	if v, _ := l.Acquire("s", late); waiting(late) != 0 || v != Send {
 		t.Errorf("without a leader %d servers are waited for, and a request is said %v", waiting(late), v)
 	}
 }
--- a/coordination/backpressure/limits.go
+++ b/coordination/backpressure/limits.go
@@ -8,14 +8,14 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Verdict says whether a request may be sent to a server.
-type Verdict uint8
+// Decision says whether a request may be sent to a server.
+type Decision uint8
 
 // The verdicts.
 const (
-	Send Verdict = iota // Send means that it may be sent.
-	Ask                 // Ask means that the leader must be asked for a permit first.
-	Wait                // Wait means that it may not be sent for a while.
+	Send       Decision = iota // Send means that it may be sent.
+	NeedPermit                 // Ask means that the leader must be asked for a permit first.
+	Wait                       // Wait means that it may not be sent for a while.
 )
 
 // Limits are the limits of servers as one gateway knows them, and its permits.
@@ -54,8 +54,8 @@
 // LimitsOption changes new limits.
 type LimitsOption func(*Limits)
 
-// WithChance sets what is drawn by chance, from 0 to 1; without it gateways draw the same.
-func WithChance(chance func() float64) LimitsOption { return func(l *Limits) { l.chance = chance } }
+// WithRandom sets what is drawn by chance, from 0 to 1; without it gateways draw the same.
+func WithRandom(chance func() float64) LimitsOption { return func(l *Limits) { l.chance = chance } }
 
 // NewLimits returns those of a gateway that knows none.
 func NewLimits(opts ...LimitsOption) *Limits {
@@ -69,9 +69,9 @@
 // SetGateways notes how many gateways there are.
 func (l *Limits) SetGateways(n int) { l.gateways = max(1, n) }
 
-// Heard notes what a server said of its limit in an answer, and reports whether that is
+// UpdateLimit notes what a server said of its limit in an answer, and reports whether that is
 // another limit than before.
-func (l *Limits) Heard(server string, limit protocol.RateLimit, now time.Time) (changed bool) {
+func (l *Limits) UpdateLimit(server string, limit protocol.RateLimit, now time.Time) (changed bool) {
 	s := l.servers[server]
 	if s == nil && !limit.Named {
 		return false
@@ -101,8 +101,8 @@
 	return true
 }
 
-// Sent counts a request that is sent to a server, whether or not it names a limit.
-func (l *Limits) Sent(server string, now time.Time) {
+// RecordSent counts a request that is sent to a server, whether or not it names a limit.
+func (l *Limits) RecordSent(server string, now time.Time) {
 	s := l.sent[server]
 	if s == nil {
 		s = &sent{}
@@ -111,8 +111,8 @@
 	s.add(now)
 }
 
-// Take takes a permit for a request to a server. With Wait, wait is when there may be one.
-func (l *Limits) Take(server string, now time.Time) (v Verdict, wait time.Duration) {
+// Acquire takes a permit for a request to a server. With Wait, wait is when there may be one.
+func (l *Limits) Acquire(server string, now time.Time) (v Decision, wait time.Duration) {
 	s := l.servers[server]
 	if s == nil || !s.limit.Named || s.spend(now) {
 		return Send, 0
@@ -129,12 +129,12 @@
 		return Wait, s.room.Sub(now)
 	}
 	s.lacking++
-	return Ask, 0
+	return NeedPermit, 0
 }
 
-// Force takes a permit for a request that is sent in any case: it has its place at the
+// ForceAcquire takes a permit for a request that is sent in any case: it has its place at the
 // server already. Where there is none, it is reported as sent without one.
-func (l *Limits) Force(server string, now time.Time) {
+func (l *Limits) ForceAcquire(server string, now time.Time) {
 	s := l.servers[server]
 	if s != nil && s.limit.Named && !s.spend(now) {
 		s.alone++
@@ -200,15 +200,15 @@
 	return list
 }
 
-// Keep drops the servers that are listed no more.
-func (l *Limits) Keep(listed func(server string) bool) {
+// Prune drops the servers that are listed no more.
+func (l *Limits) Prune(listed func(server string) bool) {
 	gone := func(server string) bool { return !listed(server) }
 	maps.DeleteFunc(l.servers, func(server string, _ *limited) bool { return gone(server) })
 	maps.DeleteFunc(l.sent, func(server string, _ *sent) bool { return gone(server) })
 }
 
-// Behind reports whether a leader has limits that are not known here.
-func (l *Limits) Behind(term, change uint64) bool {
+// IsStale reports whether a leader has limits that are not known here.
+func (l *Limits) IsStale(term, change uint64) bool {
 	return change != 0 && (term != l.term || change != l.held)
 }
 
@@ -261,9 +261,9 @@
 	return w
 }
 
-// Answered takes the leader's answer to a report that was made at a time. It reports
+// HandleReply takes the leader's answer to a report that was made at a time. It reports
 // whether anything came of it for requests that wait.
-func (l *Limits) Answered(m *protocol.LimitsMsg, reply *protocol.LimitsReply, asked, now time.Time) (news bool) {
+func (l *Limits) HandleReply(m *protocol.LimitsMsg, reply *protocol.LimitsReply, asked, now time.Time) (news bool) {
 	l.unanswered = time.Time{}
 	if reply.Term != l.term {
 		l.newTerm(reply.Term)
--- a/coordination/backpressure/passed_test.go
+++ b/coordination/backpressure/passed_test.go
@@ -13,10 +13,10 @@
 // that a leader had already: the leader may have failed before others asked it.
 func TestReportedLimitsArePassedOn(t *testing.T) {
 	b, l := NewPermitAllocator(), NewLimits()
-	l.Heard("s", limitOfTwo, start)
+	l.UpdateLimit("s", limitOfTwo, start)
 	m, _ := l.Report(start)
 	reply := b.HandleReport(&m, 1, start)
-	l.Answered(&m, &reply, start, start)
+	l.HandleReply(&m, &reply, start, start)
 	if words := l.DirectLimits(start); len(words) != 1 || words[0].Limit != limitOfTwo {
 		t.Errorf("reports %+v", words)
 	}
@@ -32,7 +32,7 @@
 func TestLaterWordHolds(t *testing.T) {
 	for ago, want := range map[time.Duration]protocol.RateLimit{time.Second: {Named: true, PerSecond: 9}, 3 * time.Second: limitOfTwo} {
 		l := NewLimits()
-		l.Heard("s", limitOfTwo, start)
+		l.UpdateLimit("s", limitOfTwo, start)
 		now := start.Add(2 * time.Second)
 		l.MergeForwarded([]protocol.HeardLimit{{Server: "s", Limit: protocol.RateLimit{Named: true, PerSecond: 9}, Ago: ago}}, now)
 		if got := l.Limit("s"); got != want {
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -158,7 +158,7 @@
 		opt(g)
 	}
 	g.moves.init()
-	g.words.limits, g.words.answered = backpressure.NewLimits(backpressure.WithChance(rand.Float64)), make(chan struct{})
+	g.words.limits, g.words.answered = backpressure.NewLimits(backpressure.WithRandom(rand.Float64)), make(chan struct{})
 	g.prompts.holders = place.NewHolders(cfg.Topology)
 	if g.meters == nil {
 		g.meters = newMeters(metrics.NewRegistry())
--- a/transport/forward/limiting.go
+++ b/transport/forward/limiting.go
@@ -29,7 +29,7 @@
 // time where the server limits its requests. Without one, wait is when there may be one.
 func (x *exchange) takePermit(server string, until time.Time) (ok bool, wait time.Duration) {
 	verdict, wait, answered := x.g.words.take(server)
-	for verdict == backpressure.Ask {
+	for verdict == backpressure.NeedPermit {
 		if !x.askPermit(answered, until) {
 			return false, permitTime
 		}
@@ -58,7 +58,7 @@
 
 // take takes a permit for a request to a server. With Ask, the leader's next answer closes
 // the channel.
-func (w *words) take(server string) (backpressure.Verdict, time.Duration, <-chan struct{}) {
+func (w *words) take(server string) (backpressure.Decision, time.Duration, <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := clock.Now()
@@ -68,7 +68,7 @@
 	if left := w.rests.Remaining(server, now); left > 0 {
 		return backpressure.Wait, left, nil
 	}
-	verdict, wait := w.limits.Take(server, now)
+	verdict, wait := w.limits.Acquire(server, now)
 	return verdict, wait, w.answered
 }
 
@@ -78,7 +78,7 @@
 	w := &g.words
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.limits.Sent(server, clock.Now())
+	w.limits.RecordSent(server, clock.Now())
 }
 
 // spare takes a permit for a question to a server, and reports whether there was one. A
@@ -91,7 +91,7 @@
 	if w.rests.Remaining(server, now) > 0 {
 		return false
 	}
-	verdict, _ := w.limits.Take(server, now) // A question does not wait: it comes again in the next round.
+	verdict, _ := w.limits.Acquire(server, now) // A question does not wait: it comes again in the next round.
 	return verdict == backpressure.Send
 }
 
@@ -101,7 +101,7 @@
 	w := &g.words
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.limits.Force(server, clock.Now())
+	w.limits.ForceAcquire(server, clock.Now())
 }
 
 // LimitedServers returns the servers that limit their requests, sorted.
@@ -117,7 +117,7 @@
 	w := &g.words
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.limits.Behind(term, change)
+	return w.limits.IsStale(term, change)
 }
 
 // ReportLimits returns what the leader lacks of the servers' limits, and what permits are
@@ -155,7 +155,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if reply != nil {
-		w.limits.Answered(m, reply, asked, clock.Now())
+		w.limits.HandleReply(m, reply, asked, clock.Now())
 	}
 	close(w.answered)
 	w.answered = make(chan struct{})
--- a/transport/forward/limiting_test.go
+++ b/transport/forward/limiting_test.go
@@ -131,7 +131,7 @@
 	w.g.limitsNow = func() { asked.Add(1) }
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
 		w.backend(id, good)
-		w.g.words.limits.Heard(id, protocol.RateLimit{Named: true, PerSecond: 1}, clock.Now())
+		w.g.words.limits.UpdateLimit(id, protocol.RateLimit{Named: true, PerSecond: 1}, clock.Now())
 	}
 	if got := w.ask(); got.status != 503 || got.verdict != "not-run" {
 		t.Errorf("got %+v", got)
--- a/transport/forward/says.go
+++ b/transport/forward/says.go
@@ -79,7 +79,7 @@
 	w := &x.g.words
 	w.mu.Lock()
 	before := w.limits.Limit(server)
-	changed := w.limits.Heard(server, limit, clock.Now())
+	changed := w.limits.UpdateLimit(server, limit, clock.Now())
 	w.mu.Unlock()
 	if !changed {
 		return
@@ -135,7 +135,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	listed := func(server string) bool { return view.Find(server) != nil }
-	w.limits.Keep(listed)
+	w.limits.Prune(listed)
 	w.rests.Prune(listed, now)
 	w.departures.Prune(listed, now)
 	maps.DeleteFunc(w.unread, func(server string, _ bool) bool { return !listed(server) })
