--- a/coordination/backpressure/alone.go
+++ b/coordination/backpressure/alone.go
@@ -7,56 +7,59 @@
 )
 
 const (
-	// aloneAfter without an answer a gateway goes on alone: by then most elections are over.
-	aloneAfter = 700 * time.Millisecond
-	// aloneShare is the part of a limit that all gateways take together while they are alone.
-	// Their requests then come by chance, in some windows half as many again as in others,
-	// and how many gateways there are is known from before.
-	aloneShare = 0.5
-	// aloneMemory is for how long what was sent alone is remembered.
-	aloneMemory = 10 * time.Second
+	// leaderTimeout is how long a gateway waits for an answer from a leader before it sends
+	// without permits: most elections are over by then.
+	leaderTimeout = 700 * time.Millisecond
+	// leaderlessShare is the part of a limit that all gateways together use without a leader.
+	// It is below 1 because their requests are then not coordinated, so that some windows get
+	// half as many again as others, and because the number of gateways may be out of date.
+	leaderlessShare = 0.5
+	// bucketRetention is how long the level of a bucket is kept after its last use.
+	bucketRetention = 10 * time.Second
 )
 
-// ownPart is what a gateway sends to one server while it is alone: one request in a time
-// that grows with the number of gateways.
-type ownPart struct {
-	rate  float64   // rate is in requests a second.
-	level float64   // level is the part of the next request that may be sent, 0 to 1.
-	at    time.Time // at is when level was brought up to date.
-	since time.Time // since is the beginning of the time without answers that this is of.
+// leaderlessBucket is a token bucket of one request. It limits what a gateway sends to one
+// server while no leader answers; the more gateways there are, the slower it fills.
+type leaderlessBucket struct {
+	rate         float64   // rate is in requests per second.
+	level        float64   // level is the part of the next request that is available, 0 to 1.
+	updatedAt    time.Time // updatedAt is when level was last updated.
+	episodeStart time.Time // episodeStart is the unansweredSince for which the bucket was last prepared.
 }
 
-// isAlone reports whether no leader answers.
-func (l *Limits) isAlone(now time.Time) bool {
-	return !l.unanswered.IsZero() && now.Sub(l.unanswered) > aloneAfter
+// isLeaderless reports whether reports to the leader have been unanswered for longer than
+// leaderTimeout.
+func (l *Limits) isLeaderless(now time.Time) bool {
+	return !l.unansweredSince.IsZero() && now.Sub(l.unansweredSince) > leaderTimeout
 }
 
-// begin sets the part once after each answer of a leader. It begins anywhere between
-// nothing and a whole request: hundreds of gateways that each began with a whole one would
-// send a server several times its limit at once.
-func (p *ownPart) begin(l *Limits, limit protocol.RateLimit, now time.Time) {
-	p.rate = max(limit.PerSecond, slowest) * aloneShare / float64(l.gateways)
-	if p.since.Equal(l.unanswered) {
+// prepare updates the rate and, in each leaderless period, initializes the bucket once. A
+// bucket not used for bucketRetention starts at a random level: if hundreds of gateways each
+// started with a full one, they would together send the server several times its limit at
+// once.
+func (b *leaderlessBucket) prepare(l *Limits, limit protocol.RateLimit, now time.Time) {
+	b.rate = max(limit.PerSecond, minRate) * leaderlessShare / float64(l.gateways)
+	if b.episodeStart.Equal(l.unansweredSince) {
 		return
 	}
-	if p.at.IsZero() || now.Sub(p.at) > aloneMemory {
-		p.level = l.chance()
+	if b.updatedAt.IsZero() || now.Sub(b.updatedAt) > bucketRetention {
+		b.level = l.random()
 	}
-	p.since, p.at = l.unanswered, now
+	b.episodeStart, b.updatedAt = l.unansweredSince, now
 }
 
-// take takes a whole request, if there is one.
-func (p *ownPart) take(now time.Time) bool {
-	p.level = min(1, p.level+p.rate*now.Sub(p.at).Seconds())
-	p.at = now
-	if p.level < 1 {
+// take uses a whole request if the bucket holds one, and reports whether it did.
+func (b *leaderlessBucket) take(now time.Time) bool {
+	b.level = min(1, b.level+b.rate*now.Sub(b.updatedAt).Seconds())
+	b.updatedAt = now
+	if b.level < 1 {
 		return false
 	}
-	p.level = 0
+	b.level = 0
 	return true
 }
 
-// wait is when there is a whole request.
-func (p *ownPart) wait() time.Duration {
-	return time.Duration((1 - p.level) / p.rate * float64(time.Second))
+// untilNext returns how long it takes until the bucket holds a whole request.
+func (b *leaderlessBucket) untilNext() time.Duration {
+	return time.Duration((1 - b.level) / b.rate * float64(time.Second))
 }
--- a/coordination/backpressure/backpressure.go
+++ b/coordination/backpressure/backpressure.go
@@ -1,34 +1,37 @@
-// Package backpressure keeps what backend servers say of how much they take.
+// Package backpressure enforces the request limits that backend servers ask for.
 //
-// A server in need names a limit: the requests a second that it takes from all gateways
-// together. [Limits], one a gateway, holds the limits that are known and says whether a
-// request may be sent. Each request to such a server needs a permit. [PermitAllocator], on the
-// control instance that leads, gives permits out: no more of them in any window than the
-// limit allows, less what gateways had sent before they knew of it. Permits expire soon, so
-// that those which are held unused anywhere never add up to much.
+// An overloaded server names a limit: the requests per second that it accepts from all
+// gateways together. Each gateway has one [Limits], which holds the known limits and decides
+// whether a request may be sent. Each request to a limited server needs a permit. Permits
+// are issued by the [PermitAllocator] on the control instance that is the leader: in any
+// window no more than the limit allows, less the requests that gateways sent before they
+// knew the limit. Permits expire quickly, so that unused ones do not accumulate.
 //
-//	server ──limit──► gateway ──heard, sent, wants──► leader
-//	server ◄─requests─ gateway ◄─limits, permits───── leader
+//	server ──limit───► gateway ──limits, sent requests, permit requests──► leader
+//	server ◄─requests─ gateway ◄─limits, permits────────────────────────── leader
 //
-// A gateway that gets no answer from a leader goes on with a part of the limit, evenly
-// spaced, that depends on how many gateways there are. Meanwhile any control instance
-// passes on what servers say of their limits ([LimitCache]):
+// A gateway that gets no answer from a leader sends a part of the limit that depends on the
+// number of gateways, at even intervals. During that time, any control instance stores the
+// limits that gateways received from servers, and serves them to other gateways
+// ([LimitCache]):
 //
-//	gateway ──words──► control instance ──► other gateways
+//	gateway ──limits──► control instance ──► other gateways
 //
-// All of it is pure: time and chance come in with each call.
+// The package is pure: the time is passed in with each call, and the source of randomness
+// is an option.
 package backpressure
 
 import "time"
 
 const (
-	// Window is the time over which a server's limit is kept to: what was sent ahead of the
-	// limit counts in it as well.
+	// Window is the time over which a server's limit is enforced. Requests that were sent
+	// before the limit was known count in it as well.
 	Window = 4 * time.Second
-	// PermitLasts is how long a permit may be used, from when it was asked for: a request
-	// waits for it, and the leader may be 80 ms away.
-	PermitLasts = 400 * time.Millisecond
-	// slowest, in requests a second, is the least that a server is sent: one that names a
-	// lower limit, or 0, could not take it back otherwise, as it speaks in answers alone.
-	slowest = 0.25
+	// PermitLifetime is how long a permit is valid, counted from the request for it. The
+	// request to the server waits for it, and the leader may be 80 ms away.
+	PermitLifetime = 400 * time.Millisecond
+	// minRate, in requests per second, is the least that a server is sent, even if it names a
+	// lower limit or 0: servers tell their limits in responses only, so one that got no
+	// requests could never raise its limit again.
+	minRate = 0.25
 )
--- a/coordination/backpressure/backpressure_test.go
+++ b/coordination/backpressure/backpressure_test.go
@@ -14,46 +14,46 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// What a server that named a limit bears from contact on: in any window one and a half
-// times what the limit allows, and a burst.
+// The load that a server with a limit tolerates once enforcedAfter has passed: in any
+// window one and a half times what the limit allows, and a burst.
 const (
-	bearsFactor = 1.5
-	bearsBurst  = 5
-	contact     = 3 * time.Second
-	// knows is how long after the first answer with a limit a gateway is held to it.
-	knows = 500 * time.Millisecond
+	toleratedFactor = 1.5
+	toleratedBurst  = 5
+	enforcedAfter   = 3 * time.Second
+	// gatewayGrace is how long after its first response with a limit a gateway must comply.
+	gatewayGrace = 500 * time.Millisecond
 )
 
-// controls are the control instances of a simulation.
-const controls = 3
+// controlInstances is the number of control instances in a simulation.
+const controlInstances = 3
 
-// tick is the time between two steps of a simulation.
-const tick = 10 * time.Millisecond
+// step is the time step of a simulation.
+const step = 10 * time.Millisecond
 
-// server is one that names a limit, or none.
-type server struct {
-	limit protocol.RateLimit
-	named time.Time // named is when it named its limit first.
-	taken []arrival
+// fakeServer is a server that may name a limit.
+type fakeServer struct {
+	limit     protocol.RateLimit
+	limitedAt time.Time // limitedAt is when it first named a limit.
+	arrivals  []arrival
 }
 
-// arrival is a request that came to the server.
+// arrival is a request that arrived at the server.
 type arrival struct {
-	at time.Time
-	by *member
+	at   time.Time
+	from *gateway
 }
 
-// most returns the most requests in a window that ends contact behind the first limit or
-// later, of gateways that had been told of the limit knows before.
-func (s *server) most() int {
+// maxInWindow returns the most requests in a window that ends enforcedAfter or more behind
+// the first limit. It counts the requests of gateways that got the limit gatewayGrace before.
+func (s *fakeServer) maxInWindow() int {
 	most := 0
-	for i, a := range s.taken {
-		if a.at.Sub(s.named) < contact {
+	for i, a := range s.arrivals {
+		if a.at.Sub(s.limitedAt) < enforcedAfter {
 			continue
 		}
 		n := 0
-		for k := i; k >= 0 && a.at.Sub(s.taken[k].at) <= Window; k-- {
-			if by := s.taken[k].by; !by.told.IsZero() && a.at.Sub(by.told) >= knows {
+		for k := i; k >= 0 && a.at.Sub(s.arrivals[k].at) <= Window; k-- {
+			if by := s.arrivals[k].from; !by.toldAt.IsZero() && a.at.Sub(by.toldAt) >= gatewayGrace {
 				n++
 			}
 		}
@@ -62,71 +62,75 @@
 	return most
 }
 
-// bears is how many it bears in a window.
-func (s *server) bears() int { return int(bearsFactor*s.limit.PerSecond*Window.Seconds()) + bearsBurst }
-
-// member is one gateway of a simulation.
-type member struct {
-	limits  *Limits
-	life    uint64
-	next    time.Time // next is when it reports next.
-	cut     bool      // cut says that the leader does not answer it.
-	told    time.Time // told is when the first answer with a limit came; zero before.
-	answers []time.Time
-	turn    int // turn is whose turn among the control instances it is to be asked while none leads.
-	marks   []protocol.PassedMark
+// tolerated is the number of requests that the server tolerates in a window.
+func (s *fakeServer) tolerated() int {
+	return int(toleratedFactor*s.limit.PerSecond*Window.Seconds()) + toleratedBurst
 }
 
-// fleet is gateways, control instances and a leader before one server.
+// gateway is one gateway of a simulation.
+type gateway struct {
+	limits      *Limits
+	life        uint64
+	next        time.Time // next is when it sends its next report.
+	isolated    bool      // isolated means that its messages reach no control instance.
+	toldAt      time.Time // toldAt is when it got the first response with a limit; zero before.
+	responses   []time.Time
+	nextControl int // nextControl is the index of the control instance that it asks next without a leader.
+	marks       []protocol.PassedMark
+}
+
+// fleet simulates gateways, control instances and a leader in front of one server.
 type fleet struct {
-	rnd     *rand.Rand
-	now     time.Time
-	server  server
-	members []*member
-	asked   int              // asked counts the questions to control instances while none leads.
-	passed  []*LimitCache    // passed are those of the control instances, which stand whether or not one leads.
-	book    *PermitAllocator // book is nil while no leader stands.
-	term    uint64
-	loss    float64 // loss is the part of the questions to the leader that get no answer.
+	rnd            *rand.Rand
+	now            time.Time
+	server         fakeServer
+	gateways       []*gateway
+	controlQueries int              // controlQueries counts the queries to control instances without a leader.
+	caches         []*LimitCache    // caches are those of the control instances, which stay up without a leader.
+	allocator      *PermitAllocator // allocator is nil without a leader.
+	term           uint64
+	lossRate       float64 // lossRate is the part of the messages, each way, that are lost.
 }
 
 func newFleet(seed uint64, gateways int) *fleet {
-	f := &fleet{rnd: rand.New(rand.NewPCG(seed, 1)), now: start, book: NewPermitAllocator(), term: 1}
-	for i := range controls {
-		f.passed = append(f.passed, NewLimitCache(uint64(i+1)))
+	f := &fleet{rnd: rand.New(rand.NewPCG(seed, 1)), now: start, allocator: NewPermitAllocator(), term: 1}
+	for i := range controlInstances {
+		f.caches = append(f.caches, NewLimitCache(uint64(i+1)))
 	}
 	for range gateways {
-		f.join()
+		f.addGateway()
 	}
 	return f
 }
 
-func (f *fleet) join() {
-	m := &member{limits: NewLimits(WithRandom(f.rnd.Float64)), life: f.rnd.Uint64(), next: f.now.Add(f.after()), marks: make([]protocol.PassedMark, controls)}
-	f.members = append(f.members, m)
-	for _, m := range f.members {
-		m.limits.SetGateways(len(f.members))
+func (f *fleet) addGateway() {
+	m := &gateway{limits: NewLimits(WithRandom(f.rnd.Float64)), life: f.rnd.Uint64(), next: f.now.Add(f.randomDelay()), marks: make([]protocol.PassedMark, controlInstances)}
+	f.gateways = append(f.gateways, m)
+	for _, m := range f.gateways {
+		m.limits.SetGateways(len(f.gateways))
 	}
 }
 
-// every is the pause between two reports of a gateway.
-func (f *fleet) every() time.Duration {
-	return max(150*time.Millisecond, time.Duration(len(f.members))*1500*time.Microsecond)
+// reportInterval is the time between two reports of a gateway.
+func (f *fleet) reportInterval() time.Duration {
+	return max(150*time.Millisecond, time.Duration(len(f.gateways))*1500*time.Microsecond)
 }
 
-func (f *fleet) after() time.Duration { return time.Duration(f.rnd.Int64N(int64(f.every()))) }
+func (f *fleet) randomDelay() time.Duration {
+	return time.Duration(f.rnd.Int64N(int64(f.reportInterval())))
+}
 
-// run has requests come at a rate over all gateways, each of which would go to the server.
+// run sends requests to the server at a given rate through random gateways.
 func (f *fleet) run(d time.Duration, rate float64) (sent int) {
-	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(tick) {
-		for expected := rate * tick.Seconds(); expected > 0; expected-- {
+	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(step) {
+		for expected := rate * step.Seconds(); expected > 0; expected-- {
 			if f.rnd.Float64() < expected {
-				sent += f.request(f.members[f.rnd.IntN(len(f.members))])
+				sent += f.request(f.gateways[f.rnd.IntN(len(f.gateways))])
 			}
 		}
-		for _, m := range f.members {
-			f.hear(m)
-			if !f.now.Before(m.next) || m.limits.IsStale(f.told()) {
+		for _, m := range f.gateways {
+			f.deliver(m)
+			if !f.now.Before(m.next) || m.limits.IsStale(f.leaderMark()) {
 				f.report(m)
 			}
 		}
@@ -134,35 +138,35 @@
 	return sent
 }
 
-// told is the leader's mark as all gateways hear of it.
-func (f *fleet) told() (term, change uint64) {
-	if f.book == nil {
+// leaderMark returns the leader's term and change counter, which all gateways learn.
+func (f *fleet) leaderMark() (term, change uint64) {
+	if f.allocator == nil {
 		return 0, 0
 	}
-	return f.term, f.book.Change()
+	return f.term, f.allocator.Change()
 }
 
-func (f *fleet) request(m *member) int {
-	verdict, _ := m.limits.Acquire("s", f.now)
-	if verdict == NeedPermit {
+func (f *fleet) request(m *gateway) int {
+	decision, _ := m.limits.Acquire("s", f.now)
+	if decision == NeedPermit {
 		f.report(m)
-		verdict, _ = m.limits.Acquire("s", f.now)
+		decision, _ = m.limits.Acquire("s", f.now)
 	}
-	if verdict != Send {
+	if decision != Send {
 		return 0
 	}
 	m.limits.RecordSent("s", f.now)
-	f.server.taken = append(f.server.taken, arrival{f.now, m})
-	m.answers = append(m.answers, f.now.Add(100*time.Millisecond))
+	f.server.arrivals = append(f.server.arrivals, arrival{f.now, m})
+	m.responses = append(m.responses, f.now.Add(100*time.Millisecond))
 	return 1
 }
 
-// hear has a gateway take the answers that have come.
-func (f *fleet) hear(m *member) {
-	for len(m.answers) > 0 && !f.now.Before(m.answers[0]) {
-		m.answers = m.answers[1:]
-		if m.told.IsZero() && f.server.limit.Named {
-			m.told = f.now
+// deliver passes the server responses that have arrived to a gateway.
+func (f *fleet) deliver(m *gateway) {
+	for len(m.responses) > 0 && !f.now.Before(m.responses[0]) {
+		m.responses = m.responses[1:]
+		if m.toldAt.IsZero() && f.server.limit.Named {
+			m.toldAt = f.now
 		}
 		if m.limits.UpdateLimit("s", f.server.limit, f.now) {
 			m.next = f.now
@@ -170,136 +174,136 @@
 	}
 }
 
-func (f *fleet) report(m *member) {
-	m.next = f.now.Add(f.every())
-	msg, any := m.limits.Report(f.now)
-	if f.book == nil {
-		f.pass(m)
+func (f *fleet) report(m *gateway) {
+	m.next = f.now.Add(f.reportInterval())
+	msg, hasData := m.limits.Report(f.now)
+	if f.allocator == nil {
+		f.exchange(m)
 		return
 	}
-	if !any && !m.limits.IsStale(f.told()) || m.cut || f.rnd.Float64() < f.loss {
+	if !hasData && !m.limits.IsStale(f.leaderMark()) || m.isolated || f.rnd.Float64() < f.lossRate {
 		return
 	}
 	msg.Gateway, msg.Life = strconv.FormatUint(m.life, 16), m.life
-	reply := f.book.HandleReport(&msg, f.term, f.now)
-	if f.rnd.Float64() < f.loss {
+	reply := f.allocator.HandleReport(&msg, f.term, f.now)
+	if f.rnd.Float64() < f.lossRate {
 		return
 	}
 	m.limits.HandleReply(&msg, &reply, f.now, f.now)
 }
 
-// pass has a gateway ask the next control instance what servers said to others.
-func (f *fleet) pass(m *member) {
-	m.next = f.now.Add(f.every() / controls)
-	m.turn = (m.turn + 1) % controls
-	f.asked++
-	if m.cut || f.rnd.Float64() < f.loss {
+// exchange has a gateway exchange limits with the next control instance.
+func (f *fleet) exchange(m *gateway) {
+	m.next = f.now.Add(f.reportInterval() / controlInstances)
+	m.nextControl = (m.nextControl + 1) % controlInstances
+	f.controlQueries++
+	if m.isolated || f.rnd.Float64() < f.lossRate {
 		return
 	}
-	reply := f.passed[m.turn].Exchange(&protocol.PassedMsg{Held: m.marks[m.turn], Heard: m.limits.DirectLimits(f.now)}, f.now)
-	if f.rnd.Float64() >= f.loss {
+	reply := f.caches[m.nextControl].Exchange(&protocol.PassedMsg{Held: m.marks[m.nextControl], Heard: m.limits.DirectLimits(f.now)}, f.now)
+	if f.rnd.Float64() >= f.lossRate {
 		m.limits.MergeForwarded(reply.Heard, f.now)
-		m.marks[m.turn] = reply.Holds
+		m.marks[m.nextControl] = reply.Holds
 	}
 }
 
-// names has the server name a limit.
-func (f *fleet) names(perSecond float64) {
+// setLimit has the server name a limit.
+func (f *fleet) setLimit(perSecond float64) {
 	f.server.limit = protocol.RateLimit{Named: true, PerSecond: perSecond}
-	f.server.named = f.now
+	f.server.limitedAt = f.now
 }
 
-// elect has another leader stand, which knows nothing.
-func (f *fleet) elect() {
+// newLeader installs another leader, which knows nothing.
+func (f *fleet) newLeader() {
 	f.term++
-	f.book = NewPermitAllocator()
+	f.allocator = NewPermitAllocator()
 }
 
-// TestNoMoreThanAServerTakes has a server name a limit that is below what it gets, beside
-// changes of leaders, gateways that are cut off or join, and lost messages. In no window it
-// gets more than it bears.
-func TestNoMoreThanAServerTakes(t *testing.T) {
+// TestServerLimitIsNotExceeded sets a limit below the offered load, while leaders change,
+// gateways join or are isolated, and messages are lost. The server must not get more than it
+// tolerates in any window.
+func TestServerLimitIsNotExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		gateways := rapid.SampledFrom([]int{1, 2, 9, 40}).Draw(t, "gateways")
 		limit := rapid.Float64Range(0.1, 40).Draw(t, "limit")
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), gateways)
-		f.loss = rapid.Float64Range(0, 0.3).Draw(t, "loss")
+		f.lossRate = rapid.Float64Range(0, 0.3).Draw(t, "loss")
 		offered := limit * rapid.Float64Range(0.5, 2.2).Draw(t, "offered")
 		f.run(Window, offered)
-		f.names(limit)
+		f.setLimit(limit)
 		f.run(time.Second, offered)
 		for range rapid.IntRange(2, 8).Draw(t, "steps") {
-			switch rapid.SampledFrom([]string{"calm", "no leader", "elect", "join", "cut", "mend"}).Draw(t, "step") {
+			switch rapid.SampledFrom([]string{"none", "no leader", "new leader", "join", "isolate", "reconnect"}).Draw(t, "step") {
 			case "no leader":
-				f.book = nil
-			case "elect":
-				f.elect()
+				f.allocator = nil
+			case "new leader":
+				f.newLeader()
 			case "join":
-				f.join()
-			case "cut":
-				f.members[f.rnd.IntN(len(f.members))].cut = true
-			case "mend":
-				for _, m := range f.members {
-					m.cut = false
+				f.addGateway()
+			case "isolate":
+				f.gateways[f.rnd.IntN(len(f.gateways))].isolated = true
+			case "reconnect":
+				for _, m := range f.gateways {
+					m.isolated = false
 				}
 			}
 			offered = limit * rapid.Float64Range(0.5, 8).Draw(t, "later")
 			f.run(time.Duration(rapid.IntRange(100, 3000).Draw(t, "for"))*time.Millisecond, offered)
 		}
-		if most := f.server.most(); most > f.server.bears() {
-			t.Fatalf("%d requests in a window; the server bears %d", most, f.server.bears())
+		if most := f.server.maxInWindow(); most > f.server.tolerated() {
+			t.Fatalf("%d requests in a window; the server tolerates %d", most, f.server.tolerated())
 		}
 	})
 }
 
-// TestLimitOfHundreds has hundreds of gateways keep to limits of few requests, with a
-// leader, without one, and with a new one.
+// TestLimitOfHundreds has hundreds of gateways share limits of few requests: with a leader,
+// without one, and with a new one.
 func TestLimitOfHundreds(t *testing.T) {
 	for _, gateways := range []int{100, 300} {
 		for _, limit := range []float64{0, 2.4, 30} {
 			f := newFleet(uint64(gateways), gateways)
 			f.run(Window, 1.5*limit)
-			f.names(limit)
+			f.setLimit(limit)
 			f.run(6*time.Second, 20*limit+20)
-			f.book = nil
+			f.allocator = nil
 			f.run(3*time.Second, 20*limit+20)
-			f.elect()
+			f.newLeader()
 			f.run(6*time.Second, 20*limit+20)
-			if most := f.server.most(); most > f.server.bears() {
-				t.Errorf("%d gateways, limit %.1f: %d requests in a window; the server bears %d", gateways, limit, most, f.server.bears())
+			if most := f.server.maxInWindow(); most > f.server.tolerated() {
+				t.Errorf("%d gateways, limit %.1f: %d requests in a window; the server tolerates %d", gateways, limit, most, f.server.tolerated())
 			}
 		}
 	}
 }
 
-// TestLimitIsUsed checks that a server that is asked for more than its limit gets most of
-// it, behind the first window, however many gateways there are; and of few gateways without a
-// leader at least half of the part that they take alone.
+// TestLimitIsUsed checks that an overloaded server gets most of its limit after the first
+// window, for any number of gateways; and that few gateways without a leader send at least
+// half of their leaderless share.
 func TestLimitIsUsed(t *testing.T) {
 	for _, gateways := range []int{1, 9, 300} {
 		for _, limit := range []float64{2.4, 30} {
 			f := newFleet(uint64(gateways), gateways)
 			f.run(Window, 2*limit)
-			f.names(limit)
+			f.setLimit(limit)
 			f.run(Window, 10*limit)
-			const calm = 10 * time.Second
-			if sent, want := f.run(calm, 10*limit), limit*calm.Seconds(); float64(sent) < 0.7*want {
-				t.Errorf("%d gateways, limit %.1f: %d requests of %.0f that the server takes", gateways, limit, sent, want)
+			const measured = 10 * time.Second
+			if sent, want := f.run(measured, 10*limit), limit*measured.Seconds(); float64(sent) < 0.7*want {
+				t.Errorf("%d gateways, limit %.1f: %d requests, limit allows %.0f", gateways, limit, sent, want)
 			}
 			if gateways > 9 {
-				continue // A part of a request a second each: what comes within seconds is chance.
+				continue // Each sends a fraction of a request per second: the count within seconds is random.
 			}
-			f.book = nil
+			f.allocator = nil
 			f.run(2*time.Second, 10*limit)
-			if sent, want := f.run(calm, 10*limit), aloneShare*limit*calm.Seconds(); float64(sent) < want/2 {
-				t.Errorf("%d gateways, limit %.1f, no leader: %d requests of %.0f", gateways, limit, sent, want)
+			if sent, want := f.run(measured, 10*limit), leaderlessShare*limit*measured.Seconds(); float64(sent) < want/2 {
+				t.Errorf("%d gateways, limit %.1f, no leader: %d requests, leaderless share is %.0f", gateways, limit, sent, want)
 			}
 		}
 	}
 }
 
-// TestLimitChanges checks that gateways follow a limit down, up, and away, also one that
-// another gateway heard of.
+// TestLimitChanges checks that gateways follow a limit that falls, rises or is withdrawn,
+// including one that only another gateway received.
 func TestLimitChanges(t *testing.T) {
 	f := newFleet(1, 9)
 	f.run(Window, 40)
@@ -319,14 +323,14 @@
 			t.Errorf("%+v: %d requests in 10 s, want %d to %d", c.limit, sent, c.least, c.most)
 		}
 	}
-	if n := len(f.members[0].limits.servers); n != 0 {
-		t.Errorf("%d limits are kept though none is named", n)
+	if n := len(f.gateways[0].limits.servers); n != 0 {
+		t.Errorf("%d limits left after the limit was withdrawn", n)
 	}
 }
 
-// TestOlderWordsAreOverruled checks that a gateway which tells the leader of an answer that
-// is older than what another one heard takes the newer one.
-func TestOlderWordsAreOverruled(t *testing.T) {
+// TestOlderLimitIsOverruled checks that a gateway that reports a limit to the leader adopts
+// a newer one that another gateway reported.
+func TestOlderLimitIsOverruled(t *testing.T) {
 	b, l := NewPermitAllocator(), NewLimits()
 	named := protocol.RateLimit{Named: true, PerSecond: 3}
 	b.HandleReport(&protocol.LimitsMsg{Gateway: "other", Heard: []protocol.HeardLimit{{Server: "s", Limit: named}}}, 1, start)
@@ -336,14 +340,14 @@
 		l.HandleReply(&m, &reply, now, now)
 	}
 	exchange(start)
-	l.UpdateLimit("s", protocol.RateLimit{}, start.Add(-time.Second)) // An answer that was on its way for long.
+	l.UpdateLimit("s", protocol.RateLimit{}, start.Add(-time.Second)) // A response that was delayed on its way.
 	exchange(start.Add(time.Millisecond))
 	if got := l.Limit("s"); got != named {
-		t.Errorf("the gateway goes by %+v", got)
+		t.Errorf("limit is %+v after the leader's reply", got)
 	}
 }
 
-// TestNewServerHasNoLimit checks that what is known of a server goes with it.
+// TestNewServerHasNoLimit checks that the limit of a server that left is forgotten.
 func TestNewServerHasNoLimit(t *testing.T) {
 	b, l := NewPermitAllocator(), NewLimits()
 	l.UpdateLimit("s", protocol.RateLimit{Named: true, PerSecond: 1}, start)
@@ -356,23 +360,23 @@
 	}
 }
 
-// TestLimitBehindABurst has a server name its limit just behind a burst, and checks that
-// what came in the burst counts.
+// TestLimitBehindABurst has a server name its limit right after a burst, and checks that
+// the requests of the burst count.
 func TestLimitBehindABurst(t *testing.T) {
 	for _, gateways := range []int{1, 9, 40} {
 		const limit = 20
 		f := newFleet(1, gateways)
 		f.run(Window, limit/2)
 		f.run(time.Second, 4*limit)
-		f.names(limit)
+		f.setLimit(limit)
 		f.run(2*Window, 4*limit)
-		if most := f.server.most(); most > f.server.bears() {
-			t.Errorf("%d gateways: %d requests in a window; the server bears %d", gateways, most, f.server.bears())
+		if most := f.server.maxInWindow(); most > f.server.tolerated() {
+			t.Errorf("%d gateways: %d requests in a window; the server tolerates %d", gateways, most, f.server.tolerated())
 		}
 	}
 }
 
-// TestPermitExpires checks that a permit is not used behind its time, and is given back.
+// TestPermitExpires checks that an expired permit is not used, and that it is issued again.
 func TestPermitExpires(t *testing.T) {
 	b, l := NewPermitAllocator(), NewLimits()
 	l.UpdateLimit("s", protocol.RateLimit{Named: true, PerSecond: 1}, start)
@@ -383,24 +387,24 @@
 		l.HandleReply(&m, &reply, now, now)
 	}
 	exchange()
-	now = now.Add(time.Second) // A permit is there.
+	now = now.Add(time.Second) // A permit is available.
 	if v, _ := l.Acquire("s", now); v != NeedPermit {
-		t.Fatalf("without a permit: %v", v)
+		t.Fatalf("decision without a permit: %v", v)
 	}
 	exchange()
-	late := now.Add(PermitLasts)
+	late := now.Add(PermitLifetime)
 	if v, _ := l.Acquire("s", late); v == Send {
-		t.Error("a permit was used behind its time")
+		t.Error("an expired permit was used")
 	}
 	now = late
 	exchange()
 	if v, _ := l.Acquire("s", now); v != Send {
-		t.Errorf("the permit that was given back is not given again: %v", v)
+		t.Errorf("the expired permit was not issued again: decision %v", v)
 	}
 }
 
-// TestPermitsNeedCounts checks that a leader gives a gateway no permits before it knows what
-// that one sent, and counts what was sent without a permit.
+// TestPermitsNeedCounts checks that a leader issues no permits to a gateway before it knows
+// how many requests that one sent, and that it counts requests sent without a permit.
 func TestPermitsNeedCounts(t *testing.T) {
 	named := []protocol.HeardLimit{{Server: "s", Limit: protocol.RateLimit{Named: true, PerSecond: 2}}}
 	ask := func(b *PermitAllocator, m protocol.LimitsMsg, now time.Time) int {
@@ -414,23 +418,23 @@
 	ask(b, protocol.LimitsMsg{}, start)
 	now := start.Add(time.Second)
 	if n := ask(b, protocol.LimitsMsg{}, now); n != 0 {
-		t.Errorf("%d permits to a gateway whose requests are not counted", n)
+		t.Errorf("%d permits to a gateway whose sent requests are unknown", n)
 	}
 	counted := []protocol.SentRequests{{Server: "s", Slots: []int{1}}}
 	if n := ask(b, protocol.LimitsMsg{Sent: counted}, now); n != 1 {
-		t.Errorf("%d permits to a gateway whose requests are counted; want 1", n)
+		t.Errorf("%d permits to a gateway whose sent requests are known; want 1", n)
 	}
 	ask(b, protocol.LimitsMsg{Wants: []protocol.PermitWant{{Server: "s", Alone: 4}}}, now)
 	if n := ask(b, protocol.LimitsMsg{}, now.Add(time.Second)); n != 0 {
-		t.Errorf("%d permits a second behind 4 requests without one", n)
+		t.Errorf("%d permits one second after 4 requests without a permit", n)
 	}
 	if n := ask(b, protocol.LimitsMsg{}, now.Add(3*time.Second)); n != 1 {
-		t.Errorf("%d permits once that is made up for; want 1", n)
+		t.Errorf("%d permits after the deficit is made up; want 1", n)
 	}
 }
 
-// TestWaitEndsWithTheLeader checks that a time until the next permit, as a leader told it,
-// holds for as long as one answers: without one the gateway takes its own part.
+// TestWaitEndsWithTheLeader checks that the time until the next permit, as the leader told
+// it, is ignored once no leader answers: the gateway then uses its leaderless share.
 func TestWaitEndsWithTheLeader(t *testing.T) {
 	l := NewLimits(WithRandom(func() float64 { return 1 }))
 	l.UpdateLimit("s", protocol.RateLimit{Named: true, PerSecond: 1}, start)
@@ -442,41 +446,41 @@
 	}
 	l.Report(start)
 	if waiting(start) != 1 {
-		t.Error("the server is not waited for")
+		t.Error("the gateway does not wait for the server")
 	}
-	late := start.Add(2 * aloneAfter)
+	late := start.Add(2 * leaderTimeout)
 	if v, _ := l.Acquire("s", late); waiting(late) != 0 || v != Send {
-		t.Errorf("without a leader %d servers are waited for, and a request is said %v", waiting(late), v)
+		t.Errorf("without a leader: waiting for %d servers, decision %v", waiting(late), v)
 	}
 }
 
-// TestLimitPassedOnAtSize has the leader go just as a server names its limit, before a
-// thousand gateways. What each asks of control instances meanwhile is bounded as questions
-// to the leader are.
+// TestLimitPassedOnAtSize has the leader fail right as a server names its limit, with up to
+// a thousand gateways. The rate of their queries to control instances must stay within the
+// bound that also holds for queries to the leader.
 func TestLimitPassedOnAtSize(t *testing.T) {
 	for _, gateways := range []int{300, 986} {
 		for _, limit := range []float64{1, 10} {
 			f := newFleet(uint64(gateways), gateways)
 			f.run(Window, limit)
-			f.names(limit)
-			f.book = nil
+			f.setLimit(limit)
+			f.allocator = nil
 			f.run(2*Window, 8*limit)
-			if most := f.server.most(); most > f.server.bears() {
-				t.Errorf("%d gateways, limit %.0f: %d requests in a window; the server bears %d", gateways, limit, most, f.server.bears())
+			if most := f.server.maxInWindow(); most > f.server.tolerated() {
+				t.Errorf("%d gateways, limit %.0f: %d requests in a window; the server tolerates %d", gateways, limit, most, f.server.tolerated())
 			}
-			// Each limited gateway may ask once more as a request of its finds no permit.
-			if most := int((2*Window).Seconds()*(1000/1.5*controls+8*limit)) + gateways; f.asked > most {
-				t.Errorf("%d gateways, limit %.0f: %d questions to control instances, at most %d", gateways, limit, f.asked, most)
+			// Each gateway may query once more when a request of its own finds no permit.
+			if most := int((2*Window).Seconds()*(1000/1.5*controlInstances+8*limit)) + gateways; f.controlQueries > most {
+				t.Errorf("%d gateways, limit %.0f: %d queries to control instances, at most %d", gateways, limit, f.controlQueries, most)
 			}
 		}
 	}
 }
 
-// BenchmarkAnswer answers gateways of the largest fleet while all its servers name limits:
-// each question wants permits for five of them.
+// BenchmarkAnswer measures the replies to gateways of the largest fleet while all its
+// servers have limits: each report requests permits for five of them.
 func BenchmarkAnswer(b *testing.B) {
 	const servers, gateways, wants = 600, 360, 5
-	book, now := NewPermitAllocator(), start
+	allocator, now := NewPermitAllocator(), start
 	var heard []protocol.HeardLimit
 	var counted []protocol.SentRequests
 	for s := range servers {
@@ -485,30 +489,30 @@
 		counted = append(counted, protocol.SentRequests{Server: id})
 	}
 	for g := range gateways {
-		book.HandleReport(&protocol.LimitsMsg{Gateway: strconv.Itoa(g), Heard: heard, Sent: counted}, 1, now)
+		allocator.HandleReport(&protocol.LimitsMsg{Gateway: strconv.Itoa(g), Heard: heard, Sent: counted}, 1, now)
 	}
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
 		now = now.Add(time.Millisecond)
-		m := protocol.LimitsMsg{Gateway: strconv.Itoa(n % gateways), Term: 1, Held: book.Change()}
+		m := protocol.LimitsMsg{Gateway: strconv.Itoa(n % gateways), Term: 1, Held: allocator.Change()}
 		for w := range wants {
 			m.Wants = append(m.Wants, protocol.PermitWant{Server: heard[(n*wants+w)%servers].Server, Count: 1})
 		}
-		book.HandleReport(&m, 1, now)
+		allocator.HandleReport(&m, 1, now)
 	}
 }
 
-// TestLimitUnheardWithoutLeader has the leader go just as a server names its limit, before
-// many gateways that send rarely have heard of it. Each of them hears of it from the server
-// alone, with an answer to a request that it had sent before it knew.
+// TestLimitUnheardWithoutLeader has the leader fail right as a server names its limit,
+// before most gateways, which rarely send, have got it. Each of them learns the limit only
+// from the response to a request that it sent without knowing it.
 func TestLimitUnheardWithoutLeader(t *testing.T) {
 	const gateways, limit = 40, 1
 	f := newFleet(2, gateways)
 	f.run(Window, limit)
-	f.names(limit)
-	f.book = nil
+	f.setLimit(limit)
+	f.allocator = nil
 	f.run(2*Window, 8*limit)
-	if most := f.server.most(); most > f.server.bears() {
-		t.Errorf("%d requests in a window; the server bears %d", most, f.server.bears())
+	if most := f.server.maxInWindow(); most > f.server.tolerated() {
+		t.Errorf("%d requests in a window; the server tolerates %d", most, f.server.tolerated())
 	}
 }
--- a/coordination/backpressure/book.go
+++ b/coordination/backpressure/book.go
@@ -8,143 +8,145 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// PermitAllocator is what the leader knows of the servers that limit their requests. It gives out the
-// permits.
+// PermitAllocator is the leader's record of the servers that limit their requests. It
+// issues the permits for them.
 type PermitAllocator struct {
-	change  uint64 // change rises with each limit that changes.
+	change  uint64 // change is a counter that rises with each change of a limit.
 	entries map[string]*entry
 }
 
-// entry is one server in the book.
+// entry is the state of one server.
 type entry struct {
-	limit  protocol.RateLimit
-	said   time.Time // said is when the server said so.
-	change uint64    // change is that of the book by which the limit came.
-	counts map[lifeOf]bool
-	level  float64 // level are the permits that may be given at once; below 0 where more was sent.
-	at     time.Time
-	recent []count // recent are permits that were given, and requests that were sent without.
+	limit      protocol.RateLimit
+	statedAt   time.Time // statedAt is when the server sent the limit.
+	change     uint64    // change is the allocator's counter at the last change of this limit.
+	counted    map[gatewayIncarnation]bool
+	available  float64 // available is the number of permits for immediate use; below 0 after requests without permits.
+	refilledAt time.Time
+	recent     []requestCount // recent holds permits issued and requests sent without one, in the last accountingPeriod.
 }
 
-// lifeOf names a gateway whose requests of the time before are counted.
-type lifeOf struct {
+// gatewayIncarnation identifies one start of a gateway.
+type gatewayIncarnation struct {
 	gateway string
 	life    uint64
 }
 
-// count are some requests at a time.
-type count struct {
+// requestCount is a number of requests at one time.
+type requestCount struct {
 	requests int
 	at       time.Time
 }
 
 const (
-	// span is the time over which permits are counted: those that are used in a window were
-	// given in it, or just ahead of it.
-	span = Window + PermitLasts
-	// atOnce is the time whose permits may be given at once, so that a server in need gets
-	// its requests one after the other.
-	atOnce = 500 * time.Millisecond
-	// leastWait is the least time after which a gateway may ask again.
-	leastWait = 10 * time.Millisecond
-	// goneKept is for how long a limit that is gone stays in the book, so that all gateways hear of it.
-	goneKept = time.Minute
+	// accountingPeriod is the time over which issued permits are counted: a permit that is
+	// used within a window was issued in it or up to PermitLifetime earlier.
+	accountingPeriod = Window + PermitLifetime
+	// burstPeriod limits a burst to the permits of this time, so that an overloaded server
+	// gets its requests spread out.
+	burstPeriod = 500 * time.Millisecond
+	// minWait is the least time after which a gateway may ask for permits again.
+	minWait = 10 * time.Millisecond
+	// withdrawnRetention is how long a withdrawn limit is kept, so that all gateways learn of
+	// the withdrawal.
+	withdrawnRetention = time.Minute
 )
 
-// NewPermitAllocator returns a book without entries.
+// NewPermitAllocator returns an allocator that knows no limits.
 func NewPermitAllocator() *PermitAllocator { return &PermitAllocator{entries: map[string]*entry{}} }
 
-// HandleReport takes a gateway's report and returns what it lacks, and its permits.
-func (b *PermitAllocator) HandleReport(m *protocol.LimitsMsg, term uint64, now time.Time) protocol.LimitsReply {
-	var overruled []protocol.ServerLimit
+// HandleReport processes a gateway's report. It returns the limits that the gateway does
+// not know yet, and the permits issued to it.
+func (a *PermitAllocator) HandleReport(m *protocol.LimitsMsg, term uint64, now time.Time) protocol.LimitsReply {
+	var corrections []protocol.ServerLimit
 	for i := range m.Heard {
 		h := &m.Heard[i]
-		b.hear(h, now)
-		if holds := b.Limit(h.Server); holds != h.Limit {
-			overruled = append(overruled, protocol.ServerLimit{Server: h.Server, Limit: holds})
+		a.recordLimit(h, now)
+		if current := a.Limit(h.Server); current != h.Limit {
+			corrections = append(corrections, protocol.ServerLimit{Server: h.Server, Limit: current})
 		}
 	}
 	for i := range m.Sent {
-		b.countSent(lifeOf{m.Gateway, m.Life}, &m.Sent[i], now)
+		a.countSent(gatewayIncarnation{m.Gateway, m.Life}, &m.Sent[i], now)
 	}
-	held := m.Held
+	known := m.Held
 	if m.Term != term {
-		held = 0
+		known = 0
 	}
-	reply := protocol.LimitsReply{Leads: true, Term: term, Change: b.change, Limits: append(b.news(held), overruled...)}
+	reply := protocol.LimitsReply{Leads: true, Term: term, Change: a.change, Limits: append(a.changedSince(known), corrections...)}
 	for i := range m.Wants {
-		reply.Grants = append(reply.Grants, b.grant(lifeOf{m.Gateway, m.Life}, &m.Wants[i], now))
+		reply.Grants = append(reply.Grants, a.grant(gatewayIncarnation{m.Gateway, m.Life}, &m.Wants[i], now))
 	}
 	return reply
 }
 
-// hear takes what a server said to a gateway, unless it said something else since.
-func (b *PermitAllocator) hear(h *protocol.HeardLimit, now time.Time) {
-	said := now.Add(-h.Ago)
-	e := b.entries[h.Server]
+// recordLimit stores the limit that a server sent to a gateway, unless a later one is known.
+func (a *PermitAllocator) recordLimit(h *protocol.HeardLimit, now time.Time) {
+	statedAt := now.Add(-h.Ago)
+	e := a.entries[h.Server]
 	if e == nil {
-		e = &entry{at: now, counts: map[lifeOf]bool{}}
-		b.entries[h.Server] = e
+		e = &entry{refilledAt: now, counted: map[gatewayIncarnation]bool{}}
+		a.entries[h.Server] = e
 	}
-	if said.Before(e.said) {
+	if statedAt.Before(e.statedAt) {
 		return
 	}
-	e.said = said
+	e.statedAt = statedAt
 	if e.limit == h.Limit {
 		return
 	}
 	if !e.limit.Named {
-		clear(e.counts) // What was sent without a limit is counted anew.
-		e.recent, e.level, e.at = nil, 0, now
+		clear(e.counted) // Gateways report again what they sent while there was no limit.
+		e.recent, e.available, e.refilledAt = nil, 0, now
 	}
 	e.limit = h.Limit
-	b.change++
-	e.change = b.change
+	a.change++
+	e.change = a.change
 }
 
-// countSent counts what a gateway had sent before it kept to the limit, once.
-func (b *PermitAllocator) countSent(by lifeOf, row *protocol.SentRequests, now time.Time) {
-	e := b.entries[row.Server]
-	if e == nil || e.counts[by] {
+// countSent counts, once per gateway, the requests that it sent before it knew the limit.
+func (a *PermitAllocator) countSent(from gatewayIncarnation, row *protocol.SentRequests, now time.Time) {
+	e := a.entries[row.Server]
+	if e == nil || e.counted[from] {
 		return
 	}
-	e.counts[by] = true
+	e.counted[from] = true
 	for age, n := range row.Slots {
 		if n > 0 {
-			e.recent = append(e.recent, count{n, now.Add(-time.Duration(age) * protocol.SentSlot)})
+			e.recent = append(e.recent, requestCount{n, now.Add(-time.Duration(age) * protocol.SentSlot)})
 		}
 	}
 }
 
-// news returns the limits that changed behind a change.
-func (b *PermitAllocator) news(held uint64) []protocol.ServerLimit {
-	if held == b.change {
+// changedSince returns the limits that changed after the given value of the counter.
+func (a *PermitAllocator) changedSince(known uint64) []protocol.ServerLimit {
+	if known == a.change {
 		return nil
 	}
 	var list []protocol.ServerLimit
-	for server, e := range b.entries {
-		if e.change > held {
+	for server, e := range a.entries {
+		if e.change > known {
 			list = append(list, protocol.ServerLimit{Server: server, Limit: e.limit})
 		}
 	}
 	return list
 }
 
-// Change returns the change of the latest limit; 0 before the first.
-func (b *PermitAllocator) Change() uint64 { return b.change }
+// Change returns the counter of limit changes; 0 before the first limit.
+func (a *PermitAllocator) Change() uint64 { return a.change }
 
 // Limit returns a server's limit.
-func (b *PermitAllocator) Limit(server string) protocol.RateLimit {
-	if e := b.entries[server]; e != nil {
+func (a *PermitAllocator) Limit(server string) protocol.RateLimit {
+	if e := a.entries[server]; e != nil {
 		return e.limit
 	}
 	return protocol.RateLimit{}
 }
 
-// Limits returns the limits that hold, by server.
-func (b *PermitAllocator) Limits() map[string]float64 {
+// Limits returns the limits in force, in requests per second, by server.
+func (a *PermitAllocator) Limits() map[string]float64 {
 	all := map[string]float64{}
-	for server, e := range b.entries {
+	for server, e := range a.entries {
 		if e.limit.Named {
 			all[server] = e.limit.PerSecond
 		}
@@ -152,75 +154,79 @@
 	return all
 }
 
-// Prune drops the servers that are listed no more, and limits that are gone for long.
-func (b *PermitAllocator) Prune(listed func(server string) bool, now time.Time) {
-	maps.DeleteFunc(b.entries, func(server string, e *entry) bool {
-		return !listed(server) || (!e.limit.Named && now.Sub(e.said) > goneKept)
+// Prune removes servers that are no longer listed, and limits withdrawn longer ago than
+// withdrawnRetention.
+func (a *PermitAllocator) Prune(listed func(server string) bool, now time.Time) {
+	maps.DeleteFunc(a.entries, func(server string, e *entry) bool {
+		return !listed(server) || (!e.limit.Named && now.Sub(e.statedAt) > withdrawnRetention)
 	})
 }
 
-// grant gives permits to a gateway. One whose earlier requests are not counted gets none.
-func (b *PermitAllocator) grant(by lifeOf, w *protocol.PermitWant, now time.Time) protocol.PermitGrant {
-	g := protocol.PermitGrant{Server: w.Server, Lasts: PermitLasts}
-	e := b.entries[w.Server]
+// grant issues permits to a gateway. It issues none before the gateway's earlier requests
+// are counted.
+func (a *PermitAllocator) grant(to gatewayIncarnation, w *protocol.PermitWant, now time.Time) protocol.PermitGrant {
+	g := protocol.PermitGrant{Server: w.Server, Lasts: PermitLifetime}
+	e := a.entries[w.Server]
 	if e == nil || !e.limit.Named {
 		return g
 	}
-	e.fill(now)
-	e.returned(max(0, w.Back))
-	e.note(max(0, w.Alone), now)
-	if e.counts[by] {
-		g.Count = max(0, min(w.Count, int(math.Floor(e.level)), e.room()))
-		e.note(g.Count, now)
+	e.refill(now)
+	e.reclaim(max(0, w.Back))
+	e.charge(max(0, w.Alone), now)
+	if e.counted[to] {
+		g.Count = max(0, min(w.Count, int(math.Floor(e.available)), e.headroom()))
+		e.charge(g.Count, now)
 	}
 	if g.Count < w.Count {
-		g.Wait = e.wait(now)
+		g.Wait = e.untilNext(now)
 	}
 	return g
 }
 
-// rate is the limit that is kept to, in requests a second.
-func (e *entry) rate() float64 { return max(e.limit.PerSecond, slowest) }
+// rate is the rate to enforce, in requests per second.
+func (e *entry) rate() float64 { return max(e.limit.PerSecond, minRate) }
 
-// fill brings the level up to date, and forgets what lies behind the span.
-func (e *entry) fill(now time.Time) {
-	most := max(1, e.rate()*atOnce.Seconds())
-	e.level = min(most, e.level+e.rate()*max(0, now.Sub(e.at).Seconds()))
-	e.at = now
+// refill adds the permits that became available since the last call, and drops counts that
+// are older than accountingPeriod.
+func (e *entry) refill(now time.Time) {
+	burst := max(1, e.rate()*burstPeriod.Seconds())
+	e.available = min(burst, e.available+e.rate()*max(0, now.Sub(e.refilledAt).Seconds()))
+	e.refilledAt = now
 	kept := e.recent[:0]
 	for _, c := range e.recent {
-		if now.Sub(c.at) < span {
+		if now.Sub(c.at) < accountingPeriod {
 			kept = append(kept, c)
 		}
 	}
 	e.recent = kept
 }
 
-// room is how many permits may be given in the span that ends now.
-func (e *entry) room() int {
-	room := e.mostInSpan()
+// headroom returns how many more permits the accountingPeriod that ends now allows.
+func (e *entry) headroom() int {
+	left := e.maxInPeriod()
 	for _, c := range e.recent {
-		room -= c.requests
+		left -= c.requests
 	}
-	return room
+	return left
 }
 
-// mostInSpan is how many permits may be given in a span.
-func (e *entry) mostInSpan() int { return int(max(1, e.rate()*span.Seconds())) }
+// maxInPeriod returns how many permits may be issued within an accountingPeriod.
+func (e *entry) maxInPeriod() int { return int(max(1, e.rate()*accountingPeriod.Seconds())) }
 
-// note counts permits that are given, or requests that were sent without. Of the latter the
-// level owes no more than it gets back in a window.
-func (e *entry) note(requests int, now time.Time) {
+// charge counts permits that are issued, or requests that were sent without one. The
+// deficit from the latter is at most what becomes available within a Window.
+func (e *entry) charge(requests int, now time.Time) {
 	if requests == 0 {
 		return
 	}
-	e.level = max(e.level-float64(requests), -e.rate()*Window.Seconds())
-	e.recent = append(e.recent, count{requests, now})
+	e.available = max(e.available-float64(requests), -e.rate()*Window.Seconds())
+	e.recent = append(e.recent, requestCount{requests, now})
 }
 
-// returned takes permits off that were not used: the latest ones, since they expire soon.
-func (e *entry) returned(n int) {
-	e.level += float64(n)
+// reclaim takes back permits that expired unused. It takes them from the latest counts, as
+// permits expire soon after they are issued.
+func (e *entry) reclaim(n int) {
+	e.available += float64(n)
 	for i := len(e.recent) - 1; i >= 0 && n > 0; i-- {
 		part := min(n, e.recent[i].requests)
 		e.recent[i].requests -= part
@@ -228,15 +234,15 @@
 	}
 }
 
-// wait is when a permit may be given next.
-func (e *entry) wait(now time.Time) time.Duration {
-	wait := time.Duration((1 - e.level) / e.rate() * float64(time.Second))
-	over := 1 - e.room()
-	for _, c := range e.recent { // Not in order of time: gateways tell what they sent before.
-		if over > 0 && c.requests > 0 {
-			wait = max(wait, c.at.Add(span).Sub(now))
-			over -= c.requests
+// untilNext returns how long it takes until the next permit is available.
+func (e *entry) untilNext(now time.Time) time.Duration {
+	wait := time.Duration((1 - e.available) / e.rate() * float64(time.Second))
+	excess := 1 - e.headroom()
+	for _, c := range e.recent { // Not sorted by time: gateways report earlier requests later.
+		if excess > 0 && c.requests > 0 {
+			wait = max(wait, c.at.Add(accountingPeriod).Sub(now))
+			excess -= c.requests
 		}
 	}
-	return max(leastWait, wait)
+	return max(minWait, wait)
 }
--- a/coordination/backpressure/departures.go
+++ b/coordination/backpressure/departures.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// leftKept is for how long a server that said it leaves is remembered once it is listed no
-// more: an older list may come behind a newer one.
-const leftKept = time.Minute
+// departureRetention is how long a departure is remembered after the server was last
+// listed: an outdated list may arrive after a newer one.
+const departureRetention = time.Minute
 
-// Departures are the servers that said themselves that they leave. No list takes that back
-// for the same start of a server. The zero value is of none.
+// Departures holds the servers that announced that they are leaving. A later list cannot
+// revoke the announcement for the same start of a server. The zero value is empty.
 type Departures struct {
-	listed map[string]time.Time // listed is when each was listed last, or said so.
+	lastListed map[string]time.Time // lastListed is when each server was last listed, or announced that it leaves.
 }
 
-// MarkLeaving notes that a server leaves, and reports whether it was not known to.
-func (d *Departures) MarkLeaving(server string, now time.Time) (news bool) {
-	if d.listed == nil {
-		d.listed = map[string]time.Time{}
+// MarkLeaving records that a server is leaving, and reports whether that was unknown.
+func (d *Departures) MarkLeaving(server string, now time.Time) (added bool) {
+	if d.lastListed == nil {
+		d.lastListed = map[string]time.Time{}
 	}
-	_, known := d.listed[server]
-	d.listed[server] = now
+	_, known := d.lastListed[server]
+	d.lastListed[server] = now
 	return !known
 }
 
-// IsLeaving reports whether a server said that it leaves.
+// IsLeaving reports whether a server announced that it is leaving.
 func (d *Departures) IsLeaving(server string) bool {
-	_, ok := d.listed[server]
+	_, ok := d.lastListed[server]
 	return ok
 }
 
-// Prune forgets the servers that have not been listed for long.
+// Prune removes the servers that have not been listed for departureRetention.
 func (d *Departures) Prune(listed func(server string) bool, now time.Time) {
-	for server := range d.listed {
+	for server := range d.lastListed {
 		if listed(server) {
-			d.listed[server] = now
+			d.lastListed[server] = now
 		}
 	}
-	maps.DeleteFunc(d.listed, func(_ string, at time.Time) bool { return now.Sub(at) > leftKept })
+	maps.DeleteFunc(d.lastListed, func(_ string, at time.Time) bool { return now.Sub(at) > departureRetention })
 }
--- a/coordination/backpressure/limits.go
+++ b/coordination/backpressure/limits.go
@@ -11,139 +11,141 @@
 // Decision says whether a request may be sent to a server.
 type Decision uint8
 
-// The verdicts.
+// The possible decisions.
 const (
-	Send       Decision = iota // Send means that it may be sent.
-	NeedPermit                 // Ask means that the leader must be asked for a permit first.
-	Wait                       // Wait means that it may not be sent for a while.
+	Send       Decision = iota // Send means that the request may be sent.
+	NeedPermit                 // NeedPermit means that a permit must be requested from the leader first.
+	Wait                       // Wait means that no request may be sent for a while.
 )
 
-// Limits are the limits of servers as one gateway knows them, and its permits.
+// Limits holds the limits of servers that one gateway knows, and its permits.
 type Limits struct {
-	gateways   int
-	chance     func() float64 // chance is from 0 to 1, each time another.
-	term       uint64         // term is the leader's that held is of.
-	held       uint64         // held is the change of its limits that is known here.
-	unanswered time.Time      // unanswered is when the first question was sent that got no answer; zero for none.
-	servers    map[string]*limited
-	sent       map[string]*sent
+	gateways        int
+	random          func() float64 // random returns a random number from 0 to 1.
+	term            uint64         // term is the term of the leader that heldChange belongs to.
+	heldChange      uint64         // heldChange is the leader's change counter up to which its limits are known here.
+	unansweredSince time.Time      // unansweredSince is when the first unanswered report was made; zero if there is none.
+	servers         map[string]*serverState
+	sent            map[string]*sentCounter
 }
 
-// limited is one server that named a limit.
-type limited struct {
-	limit     protocol.RateLimit
-	said      time.Time // said is when the server said so, as far as is known.
-	reported  bool      // reported says that the leader of the term has this.
-	counted   bool      // counted says that it has what was sent here, too.
-	heard     bool      // heard says that the server said so in an answer to this gateway.
-	permits   []permits
-	lacking   int       // lacking are requests without a permit since the last question.
-	back      int       // back are permits that expired unused, to be reported.
-	alone     int       // alone are requests that were sent without a permit, to be reported.
-	reporting int       // reporting are those of them that the report under way names.
-	room      time.Time // room is when there will be more permits, as far as is known.
-	own       ownPart
+// serverState is the state of one server that named a limit.
+type serverState struct {
+	limit               protocol.RateLimit
+	statedAt            time.Time // statedAt is when the server sent the limit, as far as known.
+	reported            bool      // reported means that the leader of the term knows the limit.
+	counted             bool      // counted means that the leader also knows the requests sent from here.
+	direct              bool      // direct means that the limit came in a server's response to this gateway.
+	permits             []permitBatch
+	shortfall           int       // shortfall is the number of requests that found no permit since the last report.
+	expired             int       // expired is the number of permits that expired unused and are not reported yet.
+	unpermitted         int       // unpermitted is the number of requests sent without a permit and not yet acknowledged.
+	unpermittedInReport int       // unpermittedInReport is the part of unpermitted that the last report includes.
+	nextPermitAt        time.Time // nextPermitAt is when the leader expects to have more permits; zero if unknown.
+	bucket              leaderlessBucket
 }
 
-// permits may be used up to a time.
-type permits struct {
-	count int
-	until time.Time
+// permitBatch is a number of permits that expire at the same time.
+type permitBatch struct {
+	count     int
+	expiresAt time.Time
 }
 
-// LimitsOption changes new limits.
+// LimitsOption configures new Limits.
 type LimitsOption func(*Limits)
 
-// WithRandom sets what is drawn by chance, from 0 to 1; without it gateways draw the same.
-func WithRandom(chance func() float64) LimitsOption { return func(l *Limits) { l.chance = chance } }
+// WithRandom sets the source of random numbers from 0 to 1. The default always returns 0,
+// so that all gateways draw the same.
+func WithRandom(random func() float64) LimitsOption { return func(l *Limits) { l.random = random } }
 
-// NewLimits returns those of a gateway that knows none.
+// NewLimits returns the Limits of a gateway that knows no limits yet.
 func NewLimits(opts ...LimitsOption) *Limits {
-	l := &Limits{gateways: 1, chance: func() float64 { return 0 }, servers: map[string]*limited{}, sent: map[string]*sent{}}
+	l := &Limits{gateways: 1, random: func() float64 { return 0 }, servers: map[string]*serverState{}, sent: map[string]*sentCounter{}}
 	for _, opt := range opts {
 		opt(l)
 	}
 	return l
 }
 
-// SetGateways notes how many gateways there are.
+// SetGateways sets the number of gateways.
 func (l *Limits) SetGateways(n int) { l.gateways = max(1, n) }
 
-// UpdateLimit notes what a server said of its limit in an answer, and reports whether that is
-// another limit than before.
+// UpdateLimit stores the limit from a server's response, and reports whether it differs
+// from the one before.
 func (l *Limits) UpdateLimit(server string, limit protocol.RateLimit, now time.Time) (changed bool) {
 	s := l.servers[server]
 	if s == nil && !limit.Named {
 		return false
 	}
 	if s == nil {
-		s = &limited{}
+		s = &serverState{}
 		l.servers[server] = s
 	}
-	s.said = now
-	if !s.set(limit, false) {
+	s.statedAt = now
+	if !s.setLimit(limit, false) {
 		return false
 	}
-	s.heard = true
+	s.direct = true
 	return true
 }
 
-// set puts a limit in force, and reports whether it is another one than before.
-func (s *limited) set(limit protocol.RateLimit, reported bool) (changed bool) {
+// setLimit replaces the limit, and reports whether it changed.
+func (s *serverState) setLimit(limit protocol.RateLimit, reported bool) (changed bool) {
 	if s.limit == limit {
 		return false
 	}
 	if !s.limit.Named {
-		s.counted = false // What was sent meanwhile is to be reported.
+		s.counted = false // The requests sent while there was no limit have to be reported.
 	}
 	s.limit, s.reported = limit, reported
-	s.permits, s.room = nil, time.Time{} // What was granted under another limit is given up.
+	s.permits, s.nextPermitAt = nil, time.Time{} // Permits issued under another limit are void.
 	return true
 }
 
-// RecordSent counts a request that is sent to a server, whether or not it names a limit.
+// RecordSent counts a request that is sent to a server, whether or not it has a limit.
 func (l *Limits) RecordSent(server string, now time.Time) {
 	s := l.sent[server]
 	if s == nil {
-		s = &sent{}
+		s = &sentCounter{}
 		l.sent[server] = s
 	}
 	s.add(now)
 }
 
-// Acquire takes a permit for a request to a server. With Wait, wait is when there may be one.
-func (l *Limits) Acquire(server string, now time.Time) (v Decision, wait time.Duration) {
+// Acquire takes a permit for a request to a server. If the decision is Wait, wait is the
+// time until a permit may be available.
+func (l *Limits) Acquire(server string, now time.Time) (d Decision, wait time.Duration) {
 	s := l.servers[server]
-	if s == nil || !s.limit.Named || s.spend(now) {
+	if s == nil || !s.limit.Named || s.usePermit(now) {
 		return Send, 0
 	}
-	if l.isAlone(now) {
-		s.own.begin(l, s.limit, now)
-		if s.own.take(now) {
-			s.alone++
+	if l.isLeaderless(now) {
+		s.bucket.prepare(l, s.limit, now)
+		if s.bucket.take(now) {
+			s.unpermitted++
 			return Send, 0
 		}
-		return Wait, s.own.wait()
+		return Wait, s.bucket.untilNext()
 	}
-	if now.Before(s.room) {
-		return Wait, s.room.Sub(now)
+	if now.Before(s.nextPermitAt) {
+		return Wait, s.nextPermitAt.Sub(now)
 	}
-	s.lacking++
+	s.shortfall++
 	return NeedPermit, 0
 }
 
-// ForceAcquire takes a permit for a request that is sent in any case: it has its place at the
-// server already. Where there is none, it is reported as sent without one.
+// ForceAcquire takes a permit for a request that is sent in any case, since it already has
+// a slot at the server. Without a permit, the request is reported as sent without one.
 func (l *Limits) ForceAcquire(server string, now time.Time) {
 	s := l.servers[server]
-	if s != nil && s.limit.Named && !s.spend(now) {
-		s.alone++
+	if s != nil && s.limit.Named && !s.usePermit(now) {
+		s.unpermitted++
 	}
 }
 
-// spend uses a permit, the one that expires first before others.
-func (s *limited) spend(now time.Time) bool {
-	s.expire(now)
+// usePermit uses the permit that expires first, and reports whether there was one.
+func (s *serverState) usePermit(now time.Time) bool {
+	s.dropExpired(now)
 	if len(s.permits) == 0 {
 		return false
 	}
@@ -154,20 +156,20 @@
 	return true
 }
 
-// expire drops the permits whose time is over, and returns how many are left.
-func (s *limited) expire(now time.Time) (left int) {
-	s.permits = slices.DeleteFunc(s.permits, func(p permits) bool {
-		if now.Before(p.until) {
+// dropExpired removes expired permits, and returns the number of permits left.
+func (s *serverState) dropExpired(now time.Time) (left int) {
+	s.permits = slices.DeleteFunc(s.permits, func(p permitBatch) bool {
+		if now.Before(p.expiresAt) {
 			left += p.count
 			return false
 		}
-		s.back += p.count
+		s.expired += p.count
 		return true
 	})
 	return left
 }
 
-// Limit returns what a server limits its requests to.
+// Limit returns the limit of a server.
 func (l *Limits) Limit(server string) protocol.RateLimit {
 	if s := l.servers[server]; s != nil {
 		return s.limit
@@ -175,20 +177,21 @@
 	return protocol.RateLimit{}
 }
 
-// EachWaiting calls a func with each server for which there is no permit for a while, as the
-// leader said, and for how long. While none answers, that says nothing.
+// EachWaiting calls a func with each server for which the leader expects no permit for a
+// while, and with the time left. It does nothing while no leader answers, as the times are
+// then no longer valid.
 func (l *Limits) EachWaiting(now time.Time, call func(server string, wait time.Duration)) {
-	if l.isAlone(now) {
+	if l.isLeaderless(now) {
 		return
 	}
 	for server, s := range l.servers {
-		if wait := s.room.Sub(now); s.limit.Named && wait > 0 && s.expire(now) == 0 {
+		if wait := s.nextPermitAt.Sub(now); s.limit.Named && wait > 0 && s.dropExpired(now) == 0 {
 			call(server, wait)
 		}
 	}
 }
 
-// Limited returns the servers that name a limit, sorted.
+// Limited returns the servers with a limit, sorted.
 func (l *Limits) Limited() []string {
 	var list []string
 	for server, s := range l.servers {
@@ -200,88 +203,88 @@
 	return list
 }
 
-// Prune drops the servers that are listed no more.
+// Prune removes the servers that are no longer listed.
 func (l *Limits) Prune(listed func(server string) bool) {
 	gone := func(server string) bool { return !listed(server) }
-	maps.DeleteFunc(l.servers, func(server string, _ *limited) bool { return gone(server) })
-	maps.DeleteFunc(l.sent, func(server string, _ *sent) bool { return gone(server) })
+	maps.DeleteFunc(l.servers, func(server string, _ *serverState) bool { return gone(server) })
+	maps.DeleteFunc(l.sent, func(server string, _ *sentCounter) bool { return gone(server) })
 }
 
-// IsStale reports whether a leader has limits that are not known here.
+// IsStale reports whether the leader has limits that are not known here.
 func (l *Limits) IsStale(term, change uint64) bool {
-	return change != 0 && (term != l.term || change != l.held)
+	return change != 0 && (term != l.term || change != l.heldChange)
 }
 
-// Report returns what the leader lacks and the permits that are wanted. It is false where
-// there is neither: no server names a limit, as far as is known here.
-func (l *Limits) Report(now time.Time) (m protocol.LimitsMsg, any bool) {
-	m.Term, m.Held = l.term, l.held
+// Report returns the limits that the leader does not know yet, and the permits to request.
+// It returns false if no server is known to have a limit, so that there is nothing to report.
+func (l *Limits) Report(now time.Time) (m protocol.LimitsMsg, hasData bool) {
+	m.Term, m.Held = l.term, l.heldChange
 	for server, s := range l.servers {
 		if !s.reported {
-			m.Heard = append(m.Heard, protocol.HeardLimit{Server: server, Limit: s.limit, Ago: now.Sub(s.said)})
+			m.Heard = append(m.Heard, protocol.HeardLimit{Server: server, Limit: s.limit, Ago: now.Sub(s.statedAt)})
 		}
 		if !s.limit.Named {
 			continue
 		}
 		if !s.counted {
-			m.Sent = append(m.Sent, protocol.SentRequests{Server: server, Slots: l.sentTo(server, now)})
+			m.Sent = append(m.Sent, protocol.SentRequests{Server: server, Slots: l.sentByAge(server, now)})
 		}
-		if want := s.want(server, now); want.Count+want.Back+want.Alone > 0 {
+		if want := s.permitWant(server, now); want.Count+want.Back+want.Alone > 0 {
 			m.Wants = append(m.Wants, want)
 		}
 	}
 	switch {
 	case len(l.servers) == 0:
-		l.unanswered = time.Time{}
-	case l.unanswered.IsZero():
-		l.unanswered = now
+		l.unansweredSince = time.Time{}
+	case l.unansweredSince.IsZero():
+		l.unansweredSince = now
 	}
 	return m, len(l.servers) > 0
 }
 
-// sentTo returns how many requests were sent to a server, by age.
-func (l *Limits) sentTo(server string, now time.Time) []int {
+// sentByAge returns the numbers of requests sent to a server, by age.
+func (l *Limits) sentByAge(server string, now time.Time) []int {
 	if s := l.sent[server]; s != nil {
 		return s.byAge(now)
 	}
 	return nil
 }
 
-// want returns the permits that are to be asked for. None are asked for in advance: where
-// requests for one server are rare at each of many gateways, most of those would expire
-// while others lack them.
-func (s *limited) want(server string, now time.Time) protocol.PermitWant {
-	count := max(0, s.lacking-s.expire(now))
-	w := protocol.PermitWant{Server: server, Count: count, Back: s.back}
-	s.reporting = s.alone
+// permitWant returns the permits to request. None are requested ahead of need: if each of
+// many gateways rarely sends to a server, most of those would expire unused while other
+// gateways need them.
+func (s *serverState) permitWant(server string, now time.Time) protocol.PermitWant {
+	count := max(0, s.shortfall-s.dropExpired(now))
+	w := protocol.PermitWant{Server: server, Count: count, Back: s.expired}
+	s.unpermittedInReport = s.unpermitted
 	if s.counted {
-		w.Alone = s.alone // Else they are among what was sent.
+		w.Alone = s.unpermitted // Otherwise they are part of the counts of sent requests.
 	}
-	s.lacking, s.back = 0, 0 // If the message is lost, so are they.
+	s.shortfall, s.expired = 0, 0 // They are lost if the message is lost.
 	return w
 }
 
-// HandleReply takes the leader's answer to a report that was made at a time. It reports
-// whether anything came of it for requests that wait.
-func (l *Limits) HandleReply(m *protocol.LimitsMsg, reply *protocol.LimitsReply, asked, now time.Time) (news bool) {
-	l.unanswered = time.Time{}
+// HandleReply processes the leader's reply to a report that was made at the time asked. It
+// reports whether a limit changed or permits arrived, so that waiting requests may proceed.
+func (l *Limits) HandleReply(m *protocol.LimitsMsg, reply *protocol.LimitsReply, asked, now time.Time) (changed bool) {
+	l.unansweredSince = time.Time{}
 	if reply.Term != l.term {
-		l.newTerm(reply.Term)
+		l.resetReported(reply.Term)
 	}
-	l.acknowledge(m)
-	l.held = reply.Change
+	l.markReported(m)
+	l.heldChange = reply.Change
 	for i := range reply.Limits {
-		news = l.hear(&reply.Limits[i], asked) || news
+		changed = l.applyLimit(&reply.Limits[i], asked) || changed
 	}
 	for i := range reply.Grants {
-		news = l.granted(&reply.Grants[i], asked, now) || news
+		changed = l.addGrant(&reply.Grants[i], asked, now) || changed
 	}
-	maps.DeleteFunc(l.servers, func(_ string, s *limited) bool { return !s.limit.Named && s.reported })
-	return news
+	maps.DeleteFunc(l.servers, func(_ string, s *serverState) bool { return !s.limit.Named && s.reported })
+	return changed
 }
 
-// acknowledge notes that the leader has a report.
-func (l *Limits) acknowledge(m *protocol.LimitsMsg) {
+// markReported marks what the leader knows through the report.
+func (l *Limits) markReported(m *protocol.LimitsMsg) {
 	for _, h := range m.Heard {
 		if s := l.servers[h.Server]; s != nil && s.limit == h.Limit {
 			s.reported = true
@@ -293,49 +296,49 @@
 		}
 	}
 	for _, s := range l.servers {
-		s.alone, s.reporting = s.alone-s.reporting, 0
+		s.unpermitted, s.unpermittedInReport = s.unpermitted-s.unpermittedInReport, 0
 	}
 }
 
-// newTerm has all reported again: another leader knows nothing of it.
-func (l *Limits) newTerm(term uint64) {
+// resetReported starts a term: a new leader knows nothing, so everything is reported again.
+func (l *Limits) resetReported(term uint64) {
 	l.term = term
 	for _, s := range l.servers {
 		s.reported, s.counted = false, false
 	}
 }
 
-// hear takes a limit that the leader tells. What a server said here and has not been
-// reported yet goes before it.
-func (l *Limits) hear(news *protocol.ServerLimit, asked time.Time) (changed bool) {
-	s := l.servers[news.Server]
+// applyLimit takes a limit from the leader. A limit from a server's response to this gateway
+// that has not been reported yet takes precedence.
+func (l *Limits) applyLimit(update *protocol.ServerLimit, asked time.Time) (changed bool) {
+	s := l.servers[update.Server]
 	if s != nil && !s.reported {
 		return false
 	}
 	if s == nil {
-		s = &limited{reported: true}
-		l.servers[news.Server] = s
+		s = &serverState{reported: true}
+		l.servers[update.Server] = s
 	}
-	s.said = asked
-	if !s.set(news.Limit, true) {
+	s.statedAt = asked
+	if !s.setLimit(update.Limit, true) {
 		return false
 	}
-	s.heard = false
+	s.direct = false
 	return true
 }
 
-// granted puts permits in.
-func (l *Limits) granted(g *protocol.PermitGrant, asked, now time.Time) bool {
+// addGrant adds the permits of a grant, and reports whether there are any.
+func (l *Limits) addGrant(g *protocol.PermitGrant, asked, now time.Time) bool {
 	s := l.servers[g.Server]
 	if s == nil {
 		return false
 	}
-	s.room = time.Time{}
+	s.nextPermitAt = time.Time{}
 	if g.Wait > 0 {
-		s.room = now.Add(g.Wait)
+		s.nextPermitAt = now.Add(g.Wait)
 	}
 	if g.Count > 0 {
-		s.permits = append(s.permits, permits{count: g.Count, until: asked.Add(g.Lasts)})
+		s.permits = append(s.permits, permitBatch{count: g.Count, expiresAt: asked.Add(g.Lasts)})
 	}
 	return g.Count > 0
 }
--- a/coordination/backpressure/passed.go
+++ b/coordination/backpressure/passed.go
@@ -7,109 +7,109 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// passedKept is for how long a limit is passed on: gateways tell it once, and those that
-// can still reach a control instance have heard of it long before.
-const passedKept = time.Minute
+// forwardedRetention is how long a limit is served to other gateways. Each gateway reports
+// it once, and those that can still reach a control instance learn of it much earlier.
+const forwardedRetention = time.Minute
 
-// LimitCache are the limits that gateways tell a control instance while no leader answers them.
-// It passes them on to the others, and gives out no permits.
+// LimitCache holds, on a control instance, the limits that gateways report while no leader
+// answers them. It serves them to other gateways, and issues no permits.
 type LimitCache struct {
 	incarnation uint64 // incarnation differs with each start of the control instance.
-	change      uint64 // change rises with each limit that changes.
-	limits      map[string]passedLimit
+	change      uint64 // change is a counter that rises with each change of a limit.
+	limits      map[string]cachedLimit
 }
 
-// passedLimit is what a server said to some gateway.
-type passedLimit struct {
-	limit  protocol.RateLimit
-	said   time.Time
-	change uint64 // change is that by which the limit came.
+// cachedLimit is a limit that a server sent to some gateway.
+type cachedLimit struct {
+	limit    protocol.RateLimit
+	statedAt time.Time
+	change   uint64 // change is the cache's counter at the last change of this limit.
 }
 
-// NewLimitCache returns those of a control instance that has heard of none.
+// NewLimitCache returns an empty cache.
 func NewLimitCache(incarnation uint64) *LimitCache {
-	return &LimitCache{incarnation: incarnation, limits: map[string]passedLimit{}}
+	return &LimitCache{incarnation: incarnation, limits: map[string]cachedLimit{}}
 }
 
-// Exchange takes what servers said to a gateway and returns what the gateway lacks of what
-// they said to others.
-func (p *LimitCache) Exchange(m *protocol.PassedMsg, now time.Time) protocol.PassedReply {
-	maps.DeleteFunc(p.limits, func(_ string, l passedLimit) bool { return now.Sub(l.said) > passedKept })
-	held := m.Held.Change
-	if m.Held.Incarnation != p.incarnation {
-		held = 0
+// Exchange stores the limits that servers sent to a gateway, and returns those of other
+// gateways that it does not know yet.
+func (c *LimitCache) Exchange(m *protocol.PassedMsg, now time.Time) protocol.PassedReply {
+	maps.DeleteFunc(c.limits, func(_ string, l cachedLimit) bool { return now.Sub(l.statedAt) > forwardedRetention })
+	known := m.Held.Change
+	if m.Held.Incarnation != c.incarnation {
+		known = 0
 	}
-	reply := protocol.PassedReply{Heard: p.since(held, now)}
+	reply := protocol.PassedReply{Heard: c.changedSince(known, now)}
 	for i := range m.Heard {
-		p.hear(&m.Heard[i], now)
+		c.store(&m.Heard[i], now)
 	}
-	reply.Holds = protocol.PassedMark{Incarnation: p.incarnation, Change: p.change}
+	reply.Holds = protocol.PassedMark{Incarnation: c.incarnation, Change: c.change}
 	return reply
 }
 
-// since returns the limits that changed behind a change.
-func (p *LimitCache) since(change uint64, now time.Time) (list []protocol.HeardLimit) {
-	if change == p.change {
+// changedSince returns the limits that changed after the given value of the counter.
+func (c *LimitCache) changedSince(change uint64, now time.Time) (list []protocol.HeardLimit) {
+	if change == c.change {
 		return nil
 	}
-	for server, l := range p.limits {
+	for server, l := range c.limits {
 		if l.change > change {
-			list = append(list, protocol.HeardLimit{Server: server, Limit: l.limit, Ago: now.Sub(l.said)})
+			list = append(list, protocol.HeardLimit{Server: server, Limit: l.limit, Ago: now.Sub(l.statedAt)})
 		}
 	}
 	return list
 }
 
-// hear takes what a server said to a gateway, unless it said something else since.
-func (p *LimitCache) hear(h *protocol.HeardLimit, now time.Time) {
-	l, known := p.limits[h.Server]
-	said := now.Add(-h.Ago)
-	if known && said.Before(l.said) {
+// store stores a limit that a server sent to a gateway, unless a later one is known.
+func (c *LimitCache) store(h *protocol.HeardLimit, now time.Time) {
+	l, known := c.limits[h.Server]
+	statedAt := now.Add(-h.Ago)
+	if known && statedAt.Before(l.statedAt) {
 		return
 	}
 	if !known || l.limit != h.Limit {
-		p.change++
-		l.change = p.change
+		c.change++
+		l.change = c.change
 	}
-	l.limit, l.said = h.Limit, said
-	p.limits[h.Server] = l
+	l.limit, l.statedAt = h.Limit, statedAt
+	c.limits[h.Server] = l
 }
 
-// DirectLimits returns the limits that servers named, or took back, in answers to this gateway.
-// The gateway reports all of them while no leader answers, also those that a leader had:
-// it may have told only some gateways before it failed.
+// DirectLimits returns the limits, and withdrawals of limits, that came in responses of
+// servers to this gateway. While no leader answers, the gateway reports all of them, even
+// those that the last leader knew: it may have told only some gateways before it failed.
 func (l *Limits) DirectLimits(now time.Time) (list []protocol.HeardLimit) {
 	for server, s := range l.servers {
-		if s.heard {
-			list = append(list, protocol.HeardLimit{Server: server, Limit: s.limit, Ago: now.Sub(s.said)})
+		if s.direct {
+			list = append(list, protocol.HeardLimit{Server: server, Limit: s.limit, Ago: now.Sub(s.statedAt)})
 		}
 	}
 	return list
 }
 
-// MergeForwarded takes what servers said to other gateways, and reports whether a limit changed
-// by it. A later answer of the server to this gateway overrides it. The next leader gets it
-// with the gateway's report.
+// MergeForwarded takes limits that servers sent to other gateways, and reports whether a
+// limit changed. A later response of the server to this gateway overrides such a limit. The
+// gateway's next report passes it to the next leader.
 func (l *Limits) MergeForwarded(rows []protocol.HeardLimit, now time.Time) (changed bool) {
 	for i := range rows {
-		changed = l.takePassed(&rows[i], now) || changed
+		changed = l.mergeLimit(&rows[i], now) || changed
 	}
 	return changed
 }
 
-func (l *Limits) takePassed(row *protocol.HeardLimit, now time.Time) bool {
-	s, said := l.servers[row.Server], now.Add(-row.Ago)
-	if s == nil && !row.Limit.Named || s != nil && !said.After(s.said) {
+func (l *Limits) mergeLimit(row *protocol.HeardLimit, now time.Time) bool {
+	s, statedAt := l.servers[row.Server], now.Add(-row.Ago)
+	if s == nil && !row.Limit.Named || s != nil && !statedAt.After(s.statedAt) {
 		return false
 	}
 	if s == nil {
-		s = &limited{}
+		s = &serverState{}
 		l.servers[row.Server] = s
 	}
-	s.said = said
-	if !s.set(row.Limit, false) {
+	s.statedAt = statedAt
+	if !s.setLimit(row.Limit, false) {
 		return false
 	}
-	s.heard = false
+	s.direct = false
 	return true
 }
--- a/coordination/backpressure/rests.go
+++ b/coordination/backpressure/rests.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// longestRest bounds a rest: a server that asks for more was asked by nobody for an hour.
-const longestRest = time.Hour
+// maxBackoff bounds a back-off, so that a server that asks for an extreme time gets
+// requests again after an hour.
+const maxBackoff = time.Hour
 
-// Backoffs are the servers that asked one gateway for rest. The zero value is of none.
+// Backoffs holds the servers that asked one gateway to back off. The zero value is empty.
 type Backoffs struct {
 	until map[string]time.Time
 }
 
-// Add notes that a server wants nothing from this gateway for a time. Each rest holds to
-// its end, also where a shorter one is asked for behind it.
-func (r *Backoffs) Add(server string, rest time.Duration, now time.Time) {
+// Add records that a server wants no requests from this gateway for a time. A later,
+// shorter back-off does not end an earlier one.
+func (r *Backoffs) Add(server string, backoff time.Duration, now time.Time) {
 	if r.until == nil {
 		r.until = map[string]time.Time{}
 	}
-	if end := now.Add(min(rest, longestRest)); end.After(r.until[server]) {
+	if end := now.Add(min(backoff, maxBackoff)); end.After(r.until[server]) {
 		r.until[server] = end
 	}
 }
 
-// Remaining returns how much longer a server wants nothing; 0 or less where it takes requests.
+// Remaining returns how long a server still wants no requests; 0 or less if it takes them.
 func (r *Backoffs) Remaining(server string, now time.Time) time.Duration {
 	end, ok := r.until[server]
 	if !ok {
@@ -33,7 +34,7 @@
 	return end.Sub(now)
 }
 
-// Each calls a func with each server that wants nothing now, and for how much longer.
+// Each calls a func with each server that wants no requests now, and the time left.
 func (r *Backoffs) Each(now time.Time, call func(server string, left time.Duration)) {
 	for server, end := range r.until {
 		if left := end.Sub(now); left > 0 {
@@ -42,7 +43,7 @@
 	}
 }
 
-// Prune drops the rests that are over, and those of servers that are listed no more.
+// Prune removes back-offs that have ended, and those of servers that are no longer listed.
 func (r *Backoffs) Prune(listed func(server string) bool, now time.Time) {
 	maps.DeleteFunc(r.until, func(server string, end time.Time) bool { return !now.Before(end) || !listed(server) })
 }
--- a/coordination/backpressure/rests_test.go
+++ b/coordination/backpressure/rests_test.go
@@ -5,51 +5,51 @@
 	"time"
 )
 
-// TestRests checks how long a server is left alone: each rest to its end, for an hour at the
-// most, and for as long as the server is listed.
-func TestRests(t *testing.T) {
+// TestBackoffs checks how long a server gets no requests: until the last back-off ends, for
+// at most maxBackoff, and only while the server is listed.
+func TestBackoffs(t *testing.T) {
 	for name, c := range map[string]struct {
-		asked []time.Duration // asked come a second apart.
-		want  time.Duration   // want is from the last one on.
+		asked []time.Duration // asked are the requested times, one second apart.
+		want  time.Duration   // want is the remaining time after the last request.
 	}{
-		"none":                    {nil, 0},
-		"one":                     {[]time.Duration{3 * time.Second}, 3 * time.Second},
-		"a shorter one behind it": {[]time.Duration{5 * time.Second, time.Second}, 4 * time.Second},
-		"a longer one behind it":  {[]time.Duration{time.Second, 5 * time.Second}, 5 * time.Second},
-		"absurd":                  {[]time.Duration{1 << 62}, longestRest},
+		"none":                {nil, 0},
+		"one":                 {[]time.Duration{3 * time.Second}, 3 * time.Second},
+		"a shorter one later": {[]time.Duration{5 * time.Second, time.Second}, 4 * time.Second},
+		"a longer one later":  {[]time.Duration{time.Second, 5 * time.Second}, 5 * time.Second},
+		"above the maximum":   {[]time.Duration{1 << 62}, maxBackoff},
 	} {
 		var r Backoffs
 		now := start
-		for i, rest := range c.asked {
+		for i, backoff := range c.asked {
 			now = start.Add(time.Duration(i) * time.Second)
-			r.Add("s", rest, now)
+			r.Add("s", backoff, now)
 		}
 		if got := r.Remaining("s", now); got != c.want {
 			t.Errorf("%s: %v left, want %v", name, got, c.want)
 		}
 		r.Prune(func(string) bool { return false }, now)
 		if got := r.Remaining("s", now); got > 0 {
-			t.Errorf("%s: %v left of a server that is gone", name, got)
+			t.Errorf("%s: %v left for a server that is no longer listed", name, got)
 		}
 	}
 }
 
-// TestDepartures checks that a server which said that it leaves is remembered while it is
-// listed, and a while behind that.
+// TestDepartures checks that the departure of a server is remembered while it is listed, and
+// for departureRetention after that.
 func TestDepartures(t *testing.T) {
 	var d Departures
 	if !d.MarkLeaving("s", start) || d.MarkLeaving("s", start) {
-		t.Error("that it leaves is news once")
+		t.Error("want true for the first announcement only")
 	}
 	listed, gone := func(string) bool { return true }, func(string) bool { return false }
 	now := start.Add(time.Hour)
 	d.Prune(listed, now)
-	d.Prune(gone, now.Add(leftKept))
+	d.Prune(gone, now.Add(departureRetention))
 	if !d.IsLeaving("s") || d.IsLeaving("other") {
-		t.Error("it is forgotten, or another one is taken for it")
+		t.Error("the departure is forgotten, or attributed to another server")
 	}
-	d.Prune(gone, now.Add(leftKept+time.Second))
+	d.Prune(gone, now.Add(departureRetention+time.Second))
 	if d.IsLeaving("s") {
-		t.Error("it is never forgotten")
+		t.Error("the departure is still remembered after departureRetention")
 	}
 }
--- a/coordination/backpressure/sent.go
+++ b/coordination/backpressure/sent.go
@@ -6,27 +6,27 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// sentSlots cover the window.
-const sentSlots = int(Window / protocol.SentSlot)
+// windowSlots is the number of slots in a Window.
+const windowSlots = int(Window / protocol.SentSlot)
 
-// sent counts the requests that a gateway sent to one server of late.
-type sent struct {
-	slots [sentSlots]int // slots are by the number of the slot of time, modulo their count.
-	last  int64          // last is the number of the latest slot.
+// sentCounter counts the requests that a gateway sent to one server within the last Window.
+type sentCounter struct {
+	slots  [windowSlots]int // slots is a ring buffer, indexed by the number of the time slot modulo windowSlots.
+	latest int64            // latest is the number of the latest time slot.
 }
 
 // add counts a request.
-func (s *sent) add(now time.Time) {
-	s.forget(now)
-	s.slots[s.last%int64(sentSlots)]++
+func (s *sentCounter) add(now time.Time) {
+	s.advance(now)
+	s.slots[s.latest%int64(windowSlots)]++
 }
 
-// byAge returns the counts by age, the latest first, without the empty ones at the end.
-func (s *sent) byAge(now time.Time) []int {
-	s.forget(now)
+// byAge returns the counts by age, the latest first, without trailing zeros.
+func (s *sentCounter) byAge(now time.Time) []int {
+	s.advance(now)
 	var list []int
-	for n := range int64(sentSlots) {
-		list = append(list, s.slots[(s.last-n)%int64(sentSlots)])
+	for n := range int64(windowSlots) {
+		list = append(list, s.slots[(s.latest-n)%int64(windowSlots)])
 	}
 	for len(list) > 0 && list[len(list)-1] == 0 {
 		list = list[:len(list)-1]
@@ -34,12 +34,12 @@
 	return list
 }
 
-// forget drops what lies behind the window.
-func (s *sent) forget(now time.Time) {
-	latest := now.UnixNano() / int64(protocol.SentSlot)
-	s.last = max(s.last, latest-int64(sentSlots))
-	for s.last < latest {
-		s.last++
-		s.slots[s.last%int64(sentSlots)] = 0
+// advance moves on to the current time slot and clears the slots that left the Window.
+func (s *sentCounter) advance(now time.Time) {
+	current := now.UnixNano() / int64(protocol.SentSlot)
+	s.latest = max(s.latest, current-int64(windowSlots))
+	for s.latest < current {
+		s.latest++
+		s.slots[s.latest%int64(windowSlots)] = 0
 	}
 }
