--- a/coordination/quarantine/fleet_test.go
+++ b/coordination/quarantine/fleet_test.go
@@ -66,7 +66,7 @@
 	now     time.Time
 	servers []*fleetServer
 	gates   []*fleetGate
-	keeper  *Keeper
+	keeper  *Coordinator
 	term    uint64
 	away    time.Time // away is until when nobody leads.
 	log     *state.Machine
@@ -81,7 +81,7 @@
 }
 
 func newFleet(seed uint64) *fleet {
-	f := &fleet{rnd: rand.New(rand.NewPCG(seed, seed)), now: day, keeper: NewKeeper(), term: 1, log: state.NewMachine(), ended: map[int][]time.Time{}, arrivals: map[int][]time.Time{}}
+	f := &fleet{rnd: rand.New(rand.NewPCG(seed, seed)), now: day, keeper: NewCoordinator(), term: 1, log: state.NewMachine(), ended: map[int][]time.Time{}, arrivals: map[int][]time.Time{}}
 	for range fleetServers {
 		f.servers = append(f.servers, f.server(f.now))
 	}
@@ -217,7 +217,7 @@
 	if f.rnd.IntN(10) == 0 {
 		return
 	}
-	f.keeper.Take(g.name, list, func(string) bool { return false }, f.now)
+	f.keeper.AddObservations(g.name, list, func(string) bool { return false }, f.now)
 	news, watch := f.logged().News(known), protocol.Watch(f.keeper.Watched(), mark)
 	if f.rnd.IntN(10) == 0 {
 		return
@@ -235,7 +235,7 @@
 func (f *fleet) nextLeader() {
 	f.away = f.now.Add(200*time.Millisecond + f.upTo(400*time.Millisecond))
 	f.term++
-	f.keeper = NewKeeper()
+	f.keeper = NewCoordinator()
 	f.unstable = append(f.unstable, f.now)
 }
 
--- a/coordination/quarantine/keeper.go
+++ b/coordination/quarantine/keeper.go
@@ -6,18 +6,18 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Keeper is what the leader of a term knows, and decides.
-type Keeper struct {
+// Coordinator is what the leader of a term knows, and decides.
+type Coordinator struct {
 	table   *Table
 	changes uint64 // changes is the change of the quarantine that the table follows.
 	watched []protocol.Fingerprint
 }
 
-// NewKeeper returns a keeper without reports.
-func NewKeeper() *Keeper { return &Keeper{table: NewTable()} }
+// NewCoordinator returns a keeper without reports.
+func NewCoordinator() *Coordinator { return &Coordinator{table: NewTable()} }
 
-// Take takes what a gateway observed. The ends of servers that leave speak against nobody.
-func (k *Keeper) Take(gateway string, list []protocol.Observation, leaves func(server string) bool, now time.Time) {
+// AddObservations takes what a gateway observed. The ends of servers that leave speak against nobody.
+func (k *Coordinator) AddObservations(gateway string, list []protocol.Observation, leaves func(server string) bool, now time.Time) {
 	for i := range list {
 		if server := list[i].Server; server == "" || !leaves(server) {
 			k.table.Update(ObservedMsg{Now: now, Gateway: gateway, Observation: list[i]})
@@ -25,11 +25,11 @@
 	}
 }
 
-// Excuse has the end of a server speak against nobody.
-func (k *Keeper) Excuse(server string) { k.table.Update(ExcusedMsg{Server: server}) }
+// IgnoreCrash has the end of a server speak against nobody.
+func (k *Coordinator) IgnoreCrash(server string) { k.table.Update(ExcusedMsg{Server: server}) }
 
 // Decide returns what is to change in the log; see [Table.Judge].
-func (k *Keeper) Decide(l *protocol.QuarantineLog, now, date time.Time) protocol.QuarantineMsg {
+func (k *Coordinator) Decide(l *protocol.QuarantineLog, now, date time.Time) protocol.QuarantineMsg {
 	if l.Changes != k.changes {
 		k.changes = l.Changes
 		k.table.Update(LoggedMsg{Entries: l.Entries})
@@ -40,4 +40,4 @@
 
 // Watched returns the requests whose good ends gateways are to tell, as of the last
 // decision.
-func (k *Keeper) Watched() []protocol.Fingerprint { return k.watched }
+func (k *Coordinator) Watched() []protocol.Fingerprint { return k.watched }
--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -340,13 +340,13 @@
 		"known":  {func(s string) bool { return s == "0" }, nil, 0},
 		"behind": {func(string) bool { return false }, []string{"2"}, 0},
 	} {
-		k := NewKeeper()
+		k := NewCoordinator()
 		for i := range holdAfter {
 			o := protocol.Observation{Server: fmt.Sprint(i), Runs: []protocol.ObservedRun{{Fingerprint: named("x")}}}
-			k.Take("g", []protocol.Observation{o}, c.leaves, day)
+			k.AddObservations("g", []protocol.Observation{o}, c.leaves, day)
 		}
 		for _, server := range c.excuse {
-			k.Excuse(server)
+			k.IgnoreCrash(server)
 		}
 		if m := k.Decide(&protocol.QuarantineLog{}, day.Add(time.Second), day); len(m.Hold) != c.held {
 			t.Errorf("%s: held %+v", name, m.Hold)
--- a/transport/control/quarantine.go
+++ b/transport/control/quarantine.go
@@ -73,7 +73,7 @@
 func (u *Uplink) excuseLeaving(list []protocol.Instance) {
 	for i := range list {
 		if list[i].Leaving {
-			u.keeper.Excuse(list[i].ID)
+			u.keeper.IgnoreCrash(list[i].ID)
 		}
 	}
 }
--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -78,7 +78,7 @@
 	common   common
 	rolled   uint64            // rolled is the change of the roll-outs that the view follows.
 	trials   map[uint64]*trial // trials are the roll-outs that run, by number.
-	keeper   *quarantine.Keeper
+	keeper   *quarantine.Coordinator
 	book     *backpressure.PermitAllocator // book are the servers that limit their requests.
 	starts   place.Starts                  // starts are the newest ones of the servers, over all terms.
 	unnamed  map[versionOf]time.Time       // unnamed are versions that nothing names, by when they were listed first.
@@ -199,7 +199,7 @@
 	u.relays, u.placed = map[string]*relayRecord{}, place.Placements{}
 	u.view, u.places = nil, place.NewLedger(u.loads, place.WithTopology(u.topology))
 	u.readings = place.NewReadings()
-	u.keeper = quarantine.NewKeeper()
+	u.keeper = quarantine.NewCoordinator()
 	u.book = backpressure.NewPermitAllocator()
 	u.rolled, u.trials, u.unnamed = 0, nil, map[versionOf]time.Time{}
 	if u.catalog != nil {
@@ -312,7 +312,7 @@
 		u.marks.Take(m.Gateway, m.Counted, u.clock.Now(now.Sub(u.began)))
 	}
 	u.answerTrials(m, reply, now)
-	u.keeper.Take(m.Gateway, m.Observations, u.leaves, now)
+	u.keeper.AddObservations(m.Gateway, m.Observations, u.leaves, now)
 	for _, want := range m.Wants {
 		reply.Grants = append(reply.Grants, u.quotas.Grant(want, now))
 	}
--- a/transport/quarantine.go
+++ b/transport/quarantine.go
@@ -187,13 +187,13 @@
 
 	mu     sync.Mutex // mu guards all below.
 	term   uint64
-	keeper *quarantine.Keeper
+	keeper *quarantine.Coordinator
 }
 
 // NewQuarantineService returns the service of a replica. The func leaves tells whether a
 // server is known to leave.
 func NewQuarantineService(g QuarantineGroup, leaves func(server string) bool, log zerolog.Logger) *QuarantineService {
-	s := &QuarantineService{group: g, leaves: leaves, log: log, keeper: quarantine.NewKeeper()}
+	s := &QuarantineService{group: g, leaves: leaves, log: log, keeper: quarantine.NewCoordinator()}
 	s.logged.Store(&protocol.QuarantineLog{})
 	return s
 }
@@ -204,7 +204,7 @@
 // enter makes sure that what is held belongs to a term. It needs s.mu.
 func (s *QuarantineService) enter(term uint64) {
 	if s.term != term {
-		s.term, s.keeper = term, quarantine.NewKeeper()
+		s.term, s.keeper = term, quarantine.NewCoordinator()
 	}
 }
 
@@ -217,7 +217,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.enter(term)
-	s.keeper.Take(m.Instance, m.Observations, s.leaves, clock.Now())
+	s.keeper.AddObservations(m.Instance, m.Observations, s.leaves, clock.Now())
 	reply.Term = term
 	reply.Quarantine = s.logged.Load().News(m.Quarantined)
 	reply.Watch = protocol.Watch(s.keeper.Watched(), m.Watched)
@@ -259,13 +259,13 @@
 type LocalQuarantine struct {
 	leaves func(server string) bool
 	mu     sync.Mutex // mu guards all below.
-	keeper *quarantine.Keeper
+	keeper *quarantine.Coordinator
 	log    *state.Machine
 }
 
 // NewLocalQuarantine returns one that holds nothing.
 func NewLocalQuarantine(leaves func(server string) bool) *LocalQuarantine {
-	return &LocalQuarantine{leaves: leaves, keeper: quarantine.NewKeeper(), log: state.NewMachine()}
+	return &LocalQuarantine{leaves: leaves, keeper: quarantine.NewCoordinator(), log: state.NewMachine()}
 }
 
 // Observe implements Observer.
@@ -273,7 +273,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := clock.Now()
-	l.keeper.Take(m.Instance, m.Observations, l.leaves, now)
+	l.keeper.AddObservations(m.Instance, m.Observations, l.leaves, now)
 	logged := l.log.QuarantineLog()
 	change := l.keeper.Decide(&logged, now, time.Now())
 	if len(change.Hold)+len(change.Try)+len(change.Free) > 0 {
