--- a/coordination/quarantine/fleet_test.go
+++ b/coordination/quarantine/fleet_test.go
@@ -56,7 +56,7 @@
 
 type fleetGate struct {
 	name  string
-	gate  *Gate
+	gate  *Filter
 	askAt time.Time
 }
 
@@ -88,7 +88,7 @@
 	for i := range fleetGates {
 		f.gates = append(f.gates, &fleetGate{
 			name:  fmt.Sprint("gateway-", i),
-			gate:  NewGate(fmt.Sprint("gateway-", i), f.now),
+			gate:  NewFilter(fmt.Sprint("gateway-", i), f.now),
 			askAt: f.now.Add(f.upTo(fleetSync)),
 		})
 	}
@@ -133,7 +133,7 @@
 }
 
 // passage asks a gateway whether it sends a request on.
-func (g *fleetGate) passage(p protocol.Fingerprint, now time.Time) Passage {
+func (g *fleetGate) passage(p protocol.Fingerprint, now time.Time) Decision {
 	return g.gate.Check(p.Quick, func() protocol.Fingerprint { return p }, true, false, now)
 }
 
@@ -147,7 +147,7 @@
 	}
 	for gate, runs := range byGate {
 		g := f.gates[gate]
-		g.gate.SawEnd(s.id, runs, f.now)
+		g.gate.RecordCrash(s.id, runs, f.now)
 		g.askAt = minTime(g.askAt, f.now.Add(fleetSoon))
 	}
 	for _, run := range s.runs {
@@ -181,7 +181,7 @@
 				ends = run.r.poison
 				left = append(left, run)
 			default:
-				f.gates[run.gate].gate.EndedWell(run.r.print.Quick, func() protocol.Fingerprint { return run.r.print }, f.now)
+				f.gates[run.gate].gate.RecordSuccess(run.r.print.Quick, func() protocol.Fingerprint { return run.r.print }, f.now)
 			}
 		}
 		s.runs = left
@@ -213,7 +213,7 @@
 // ask has a gateway ask the leader; a tenth of the questions and of the answers are lost.
 func (f *fleet) ask(g *fleetGate) {
 	list := g.gate.Report(f.term, f.now)
-	known, mark := g.gate.Changes()
+	known, mark := g.gate.SyncState()
 	if f.rnd.IntN(10) == 0 {
 		return
 	}
@@ -223,7 +223,7 @@
 		return
 	}
 	g.gate.Acknowledged(f.term, list)
-	g.gate.Hear(news, watch, f.now)
+	g.gate.ApplyUpdate(news, watch, f.now)
 }
 
 func (f *fleet) logged() *protocol.QuarantineLog {
--- a/coordination/quarantine/gate.go
+++ b/coordination/quarantine/gate.go
@@ -6,9 +6,9 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Gate is what one gateway knows of requests under which servers end: what the leader
+// Filter is what one gateway knows of requests under which servers end: what the leader
 // says, and what it saw itself.
-type Gate struct {
+type Filter struct {
 	name    string
 	changes uint64 // changes is the change of the quarantine that is kept to.
 	held    map[protocol.Fingerprint]*heldRequest
@@ -26,9 +26,9 @@
 	used int // used is the latest trial that was made here.
 }
 
-// NewGate returns what a gateway with a name knows at its start: nothing.
-func NewGate(name string, now time.Time) *Gate {
-	return &Gate{
+// NewFilter returns what a gateway with a name knows at its start: nothing.
+func NewFilter(name string, now time.Time) *Filter {
+	return &Filter{
 		name:    name,
 		held:    map[protocol.Fingerprint]*heldRequest{},
 		watched: map[protocol.Fingerprint]bool{},
@@ -38,8 +38,8 @@
 	}
 }
 
-// Hear takes the leader's word on what is held and watched; nil is for no change.
-func (g *Gate) Hear(n *protocol.QuarantineNews, w *protocol.WatchNews, now time.Time) {
+// ApplyUpdate takes the leader's word on what is held and watched; nil is for no change.
+func (g *Filter) ApplyUpdate(n *protocol.QuarantineNews, w *protocol.WatchNews, now time.Time) {
 	if n != nil {
 		g.take(n)
 	}
@@ -52,7 +52,7 @@
 }
 
 // take takes what changed of what is held.
-func (g *Gate) take(n *protocol.QuarantineNews) {
+func (g *Filter) take(n *protocol.QuarantineNews) {
 	before := g.held
 	if n.Whole {
 		g.held = make(map[protocol.Fingerprint]*heldRequest, len(n.Held))
@@ -71,7 +71,7 @@
 }
 
 // watch takes the requests whose good ends are to be reported, and reports those of a moment ago.
-func (g *Gate) watch(list []protocol.Fingerprint, now time.Time) {
+func (g *Filter) watch(list []protocol.Fingerprint, now time.Time) {
 	before := g.watched
 	g.watched, g.mark = make(map[protocol.Fingerprint]bool, len(list)), protocol.WatchMark(list)
 	for _, f := range list {
@@ -83,7 +83,7 @@
 }
 
 // index renews the quick hashes.
-func (g *Gate) index() {
+func (g *Filter) index() {
 	g.quick = make(map[uint64]bool, len(g.held)+len(g.watched))
 	for f := range g.held {
 		g.quick[f.Quick] = true
@@ -94,29 +94,29 @@
 }
 
 // sawWell keeps a good end for the next reports.
-func (g *Gate) sawWell(f protocol.Fingerprint, at time.Time) {
+func (g *Filter) sawWell(f protocol.Fingerprint, at time.Time) {
 	g.seen.Add(protocol.Observation{Runs: []protocol.ObservedRun{{Fingerprint: f}}}, at)
 }
 
 // Held returns how many requests are kept from servers.
-func (g *Gate) Held() int { return len(g.held) }
+func (g *Filter) Held() int { return len(g.held) }
 
-// Changes returns the change of the quarantine that is kept to, and the mark of the
+// SyncState returns the change of the quarantine that is kept to, and the mark of the
 // requests that are watched.
-func (g *Gate) Changes() (changes, watched uint64) { return g.changes, g.mark }
+func (g *Filter) SyncState() (changes, watched uint64) { return g.changes, g.mark }
 
 // Report returns the observations that the leader of a term lacks.
-func (g *Gate) Report(term uint64, now time.Time) []protocol.Observation {
+func (g *Filter) Report(term uint64, now time.Time) []protocol.Observation {
 	return g.seen.Report(term, now)
 }
 
 // Acknowledged notes that the leader of a term has a report.
-func (g *Gate) Acknowledged(term uint64, list []protocol.Observation) {
+func (g *Filter) Acknowledged(term uint64, list []protocol.Observation) {
 	g.seen.Acknowledged(term, list)
 }
 
-// SawEnd keeps that a server ended unannounced under requests.
-func (g *Gate) SawEnd(server string, runs []protocol.ObservedRun, now time.Time) {
+// RecordCrash keeps that a server ended unannounced under requests.
+func (g *Filter) RecordCrash(server string, runs []protocol.ObservedRun, now time.Time) {
 	for i := range runs {
 		if ago, ok := g.well.Ago(runs[i].Quick, now); ok {
 			runs[i].Well = ago
@@ -127,9 +127,9 @@
 	g.own.Update(ObservedMsg{Now: now, Gateway: g.name, Observation: o})
 }
 
-// EndedWell notes that a request was answered by its server. Its fingerprint is asked for
+// RecordSuccess notes that a request was answered by its server. Its fingerprint is asked for
 // only where it counts.
-func (g *Gate) EndedWell(quick uint64, fingerprint func() protocol.Fingerprint, now time.Time) {
+func (g *Filter) RecordSuccess(quick uint64, fingerprint func() protocol.Fingerprint, now time.Time) {
 	g.well.Note(quick, now)
 	if !g.quick[quick] {
 		return
@@ -139,8 +139,8 @@
 	}
 }
 
-// Passage is whether a request may be sent to a server.
-type Passage struct {
+// Decision is whether a request may be sent to a server.
+type Decision struct {
 	Held    bool  // Held says that it is kept from servers.
 	Servers int   // Servers are those that ended under it.
 	Until   int64 // Until is when it is tried next, in ms since 1970; 0 where only this gateway holds it.
@@ -152,7 +152,7 @@
 
 // Refusal returns the refusal of a held request at a time of day: it has not run, this
 // time, and is to come back when it is tried next.
-func (p Passage) Refusal(date time.Time) *protocol.Refusal {
+func (p Decision) Refusal(date time.Time) *protocol.Refusal {
 	wait := leastHeld
 	if p.Until > 0 {
 		wait = max(wait, time.UnixMilli(p.Until).Sub(date))
@@ -163,24 +163,24 @@
 
 // Check returns whether a request may be sent. With use, a trial by which it passes is used
 // up. Alone says that the gateway has not heard from a leader of late.
-func (g *Gate) Check(quick uint64, fingerprint func() protocol.Fingerprint, use, alone bool, now time.Time) Passage {
+func (g *Filter) Check(quick uint64, fingerprint func() protocol.Fingerprint, use, alone bool, now time.Time) Decision {
 	h := g.find(quick, fingerprint)
 	switch {
 	case h != nil && h.Trial == g.name && h.Trials > h.used:
 		if use {
 			h.used = h.Trials
 		}
-		return Passage{Servers: h.Servers, Trial: h.Trials}
+		return Decision{Servers: h.Servers, Trial: h.Trials}
 	case h != nil:
-		return Passage{Held: true, Servers: h.Servers, Until: h.Until}
+		return Decision{Held: true, Servers: h.Servers, Until: h.Until}
 	case alone && g.heldAlone(quick, fingerprint, now):
-		return Passage{Held: true, Servers: holdAfter}
+		return Decision{Held: true, Servers: holdAfter}
 	}
-	return Passage{}
+	return Decision{}
 }
 
 // find returns the held request that this one is, or nil.
-func (g *Gate) find(quick uint64, fingerprint func() protocol.Fingerprint) *heldRequest {
+func (g *Filter) find(quick uint64, fingerprint func() protocol.Fingerprint) *heldRequest {
 	if len(g.held) == 0 || !g.quick[quick] {
 		return nil
 	}
@@ -188,7 +188,7 @@
 }
 
 // heldAlone reports whether enough servers ended under the request at this gateway.
-func (g *Gate) heldAlone(quick uint64, fingerprint func() protocol.Fingerprint, now time.Time) bool {
+func (g *Filter) heldAlone(quick uint64, fingerprint func() protocol.Fingerprint, now time.Time) bool {
 	if !g.own.Any() {
 		return false
 	}
--- a/coordination/quarantine/gate_test.go
+++ b/coordination/quarantine/gate_test.go
@@ -10,11 +10,11 @@
 
 // gateway is a gate in a time of its own.
 type gateway struct {
-	*Gate
+	*Filter
 	now time.Time
 }
 
-func newGateway() *gateway { return &gateway{Gate: NewGate("g", day), now: day} }
+func newGateway() *gateway { return &gateway{Filter: NewFilter("g", day), now: day} }
 
 // passes asks for a request, and uses up a trial.
 func (g *gateway) passes(name string, alone bool) bool {
@@ -23,7 +23,7 @@
 
 // endsWell has a request be answered.
 func (g *gateway) endsWell(name string) {
-	g.EndedWell(named(name).Quick, func() protocol.Fingerprint { return named(name) }, g.now)
+	g.RecordSuccess(named(name).Quick, func() protocol.Fingerprint { return named(name) }, g.now)
 }
 
 // hears tells the gate of requests that are held, tried so often at gateway "g".
@@ -32,7 +32,7 @@
 	for _, name := range names {
 		n.Held = append(n.Held, protocol.HeldRequest{Fingerprint: named(name), Servers: 3, Trials: trials, Trial: "g"})
 	}
-	g.Hear(n, nil, g.now)
+	g.ApplyUpdate(n, nil, g.now)
 }
 
 // TestGateFollowsTheLeader checks what passes behind news of changes, of the whole, and of
@@ -48,11 +48,11 @@
 	if !g.passes("a", false) || g.passes("c", false) || g.Held() != 1 {
 		t.Error("behind the whole not just c is held")
 	}
-	g.Hear(&protocol.QuarantineNews{Changes: 4, Free: []protocol.Fingerprint{named("c")}}, nil, g.now)
+	g.ApplyUpdate(&protocol.QuarantineNews{Changes: 4, Free: []protocol.Fingerprint{named("c")}}, nil, g.now)
 	if !g.passes("c", false) {
 		t.Error("c is held though it is free")
 	}
-	if changes, _ := g.Changes(); changes != 4 {
+	if changes, _ := g.SyncState(); changes != 4 {
 		t.Errorf("keeps to change %d", changes)
 	}
 }
@@ -82,7 +82,7 @@
 	if told(g) != 0 {
 		t.Error("told of a request that nobody asks for")
 	}
-	g.Hear(nil, &protocol.WatchNews{Requests: []protocol.Fingerprint{named("a")}}, g.now.Add(time.Second))
+	g.ApplyUpdate(nil, &protocol.WatchNews{Requests: []protocol.Fingerprint{named("a")}}, g.now.Add(time.Second))
 	if told(g) != 1 {
 		t.Error("not told of a good end of a moment ago")
 	}
@@ -93,7 +93,7 @@
 	}
 	late := newGateway()
 	late.endsWell("a")
-	late.Hear(nil, &protocol.WatchNews{Requests: []protocol.Fingerprint{named("a")}}, late.now.Add(2*trustTime))
+	late.ApplyUpdate(nil, &protocol.WatchNews{Requests: []protocol.Fingerprint{named("a")}}, late.now.Add(2*trustTime))
 	if told(late) != 0 {
 		t.Error("told of a good end of long ago")
 	}
@@ -105,7 +105,7 @@
 	for _, well := range []bool{false, true} {
 		g := newGateway()
 		for i := range holdAfter {
-			g.SawEnd(fmt.Sprint("server-", i), []protocol.ObservedRun{{Fingerprint: named("a"), Age: time.Millisecond}}, g.now)
+			g.RecordCrash(fmt.Sprint("server-", i), []protocol.ObservedRun{{Fingerprint: named("a"), Age: time.Millisecond}}, g.now)
 			g.now = g.now.Add(time.Second)
 		}
 		if well {
@@ -126,7 +126,7 @@
 	g := newGateway()
 	g.endsWell("a")
 	g.now = g.now.Add(2 * time.Second)
-	g.SawEnd("server", []protocol.ObservedRun{{Fingerprint: named("a")}, {Fingerprint: named("b")}}, g.now)
+	g.RecordCrash("server", []protocol.ObservedRun{{Fingerprint: named("a")}, {Fingerprint: named("b")}}, g.now)
 	runs := g.Report(1, g.now)[0].Runs
 	if runs[0].Well != 2*time.Second || runs[1].Well != 0 {
 		t.Errorf("told %+v", runs)
@@ -137,7 +137,7 @@
 // is tried next, or that a gateway alone does not know.
 func TestPassageRefusal(t *testing.T) {
 	for until, want := range map[time.Time]time.Duration{{}: leastHeld, day.Add(-time.Second): leastHeld, day.Add(time.Minute): time.Minute} {
-		p := Passage{Held: true, Servers: 3}
+		p := Decision{Held: true, Servers: 3}
 		if !until.IsZero() {
 			p.Until = until.UnixMilli()
 		}
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -148,7 +148,7 @@
 		granted:     make(chan struct{}),
 		news:        make(chan struct{}),
 		shares:      map[string]*retry.Share{},
-		quarantined: quarantined{gate: quarantine.NewGate(cfg.Name, now)},
+		quarantined: quarantined{gate: quarantine.NewFilter(cfg.Name, now)},
 		counter:     usage.NewCounter(cfg.UsageWindow, cfg.UsageDue),
 		pressure:    map[string]*pressure{},
 	}
--- a/transport/forward/quarantine.go
+++ b/transport/forward/quarantine.go
@@ -16,7 +16,7 @@
 // quarantined is what a gateway knows of requests under which servers end.
 type quarantined struct {
 	mu   sync.Mutex // mu guards gate; no other lock is taken under it.
-	gate *quarantine.Gate
+	gate *quarantine.Filter
 }
 
 // SetQuarantine takes the leader's word on requests that are kept from servers.
@@ -24,7 +24,7 @@
 	q := &g.quarantined
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.gate.Hear(reply.Quarantine, reply.Watch, clock.Now())
+	q.gate.ApplyUpdate(reply.Quarantine, reply.Watch, clock.Now())
 	if reply.Quarantine != nil {
 		g.log.Info().Uint64("changes", reply.Quarantine.Changes).Int("held", q.gate.Held()).Msg("quarantine")
 	}
@@ -36,7 +36,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	m.Observations = q.gate.Report(term, clock.Now())
-	changes, watched := q.gate.Changes()
+	changes, watched := q.gate.SyncState()
 	m.Quarantined, m.Watched = &changes, watched
 }
 
@@ -60,7 +60,7 @@
 func (g *Gateway) sawEnd(server string, runs []protocol.ObservedRun) {
 	q := &g.quarantined
 	q.mu.Lock()
-	q.gate.SawEnd(server, runs, clock.Now())
+	q.gate.RecordCrash(server, runs, clock.Now())
 	q.mu.Unlock()
 	g.syncNow() // Others may be sent the same requests.
 }
@@ -70,7 +70,7 @@
 	q, quick := &x.g.quarantined, x.quickHash()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.gate.EndedWell(quick, x.fingerprint, clock.Now())
+	q.gate.RecordSuccess(quick, x.fingerprint, clock.Now())
 }
 
 // refusedHeld returns the refusal of a request that is kept from servers, or nil. A
--- a/transport/quarantine.go
+++ b/transport/quarantine.go
@@ -46,7 +46,7 @@
 	heard    atomic.Pointer[time.Time] // heard is when the leader answered last.
 
 	mu     sync.Mutex // mu guards all below; no other lock is taken under it.
-	gate   *quarantine.Gate
+	gate   *quarantine.Filter
 	term   uint64
 	broken quarantine.Broken
 }
@@ -54,7 +54,7 @@
 // NewQuarantine returns an instance's quarantine, which holds nothing before Run.
 func NewQuarantine(name string, o Observer, dial time.Duration, log zerolog.Logger) *Quarantine {
 	now := clock.Now()
-	q := &Quarantine{observer: o, name: name, dial: dial, log: log, wake: make(chan struct{}, 1), gate: quarantine.NewGate(name, now)}
+	q := &Quarantine{observer: o, name: name, dial: dial, log: log, wake: make(chan struct{}, 1), gate: quarantine.NewFilter(name, now)}
 	q.heard.Store(&now)
 	return q
 }
@@ -74,7 +74,7 @@
 	defer cancel()
 	q.mu.Lock()
 	m := protocol.ObserveMsg{Instance: q.name, Term: q.term, Observations: q.gate.Report(q.term, clock.Now())}
-	m.Quarantined, m.Watched = q.gate.Changes()
+	m.Quarantined, m.Watched = q.gate.SyncState()
 	q.mu.Unlock()
 	asked := clock.Now()
 	reply, err := q.observer.Observe(limit, m)
@@ -85,7 +85,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.gate.Acknowledged(reply.Term, m.Observations)
-	q.gate.Hear(reply.Quarantine, reply.Watch, clock.Now())
+	q.gate.ApplyUpdate(reply.Quarantine, reply.Watch, clock.Now())
 	q.term = reply.Term
 	q.heard.Store(&asked)
 	if reply.Quarantine != nil {
@@ -107,7 +107,7 @@
 
 // check returns whether a request may be sent to a server, and uses up a trial by which it
 // may.
-func (q *Quarantine) check(r *protocol.Request) quarantine.Passage {
+func (q *Quarantine) check(r *protocol.Request) quarantine.Decision {
 	same := sameRequest(r)
 	alone := q.alone()
 	q.mu.Lock()
@@ -116,7 +116,7 @@
 }
 
 // heldMsg ends an attempt that is not made, as servers ended under its request.
-func heldMsg(attemptNumber int, p quarantine.Passage) attempt.FailedMsg {
+func heldMsg(attemptNumber int, p quarantine.Decision) attempt.FailedMsg {
 	r := p.Refusal(time.Now())
 	return attempt.FailedMsg{Attempt: attemptNumber, Verdict: r.Verdict, Status: r.Status, Code: r.Code, Reason: r.Message, RetryAfter: r.RetryAfter, Final: true}
 }
@@ -126,7 +126,7 @@
 	same := sameRequest(r)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.gate.EndedWell(same.Quick(), same.Fingerprint, clock.Now())
+	q.gate.RecordSuccess(same.Quick(), same.Fingerprint, clock.Now())
 }
 
 // broke notes that a server's connection ended under a request, for none of our reasons.
@@ -152,7 +152,7 @@
 	q.mu.Lock()
 	runs, names := q.broken.Take(s.ID, broke)
 	if ended {
-		q.gate.SawEnd(s.ID, runs, clock.Now())
+		q.gate.RecordCrash(s.ID, runs, clock.Now())
 	}
 	q.mu.Unlock()
 	q.log.Warn().Str("server", s.ID).Stringer("presence", presence).Int("runs", len(runs)).Strs("fingerprints", names).Msg("connections of a server broke")
--- a/transport/quarantine_test.go
+++ b/transport/quarantine_test.go
@@ -107,7 +107,7 @@
 	f := sameRequest(crashing).Fingerprint()
 	o := &noted{err: ErrNoQuorum}
 	q := newQuarantineOf(o)
-	q.gate.SawEnd("server", []protocol.ObservedRun{{Fingerprint: f}}, clock.Now())
+	q.gate.RecordCrash("server", []protocol.ObservedRun{{Fingerprint: f}}, clock.Now())
 	told := func() int { return len(o.told[len(o.told)-1].Observations) }
 	q.ask(t.Context())
 	q.ask(t.Context())
@@ -138,7 +138,7 @@
 func TestEntryAlone(t *testing.T) {
 	q := newQuarantineOf(&noted{err: ErrNoQuorum})
 	for i := range 3 {
-		q.gate.SawEnd(fmt.Sprint("server-", i), []protocol.ObservedRun{{Fingerprint: sameRequest(crashing).Fingerprint()}}, clock.Now())
+		q.gate.RecordCrash(fmt.Sprint("server-", i), []protocol.ObservedRun{{Fingerprint: sameRequest(crashing).Fingerprint()}}, clock.Now())
 	}
 	if q.check(crashing).Held {
 		t.Error("held though a leader may still decide")
@@ -218,7 +218,7 @@
 func TestInstanceWithoutGroupDecides(t *testing.T) {
 	q := newQuarantineOf(NewLocalQuarantine(func(string) bool { return false }))
 	for _, o := range threeEnds() {
-		q.gate.SawEnd(o.Server, o.Runs, clock.Now())
+		q.gate.RecordCrash(o.Server, o.Runs, clock.Now())
 	}
 	q.ask(t.Context())
 	if q.check(crashing).Held {
@@ -252,7 +252,7 @@
 		}
 		q := g.quarantine
 		q.mu.Lock()
-		q.gate.Hear(nil, &protocol.WatchNews{Requests: []protocol.Fingerprint{sameRequest(crashing).Fingerprint()}}, clock.Now())
+		q.gate.ApplyUpdate(nil, &protocol.WatchNews{Requests: []protocol.Fingerprint{sameRequest(crashing).Fingerprint()}}, clock.Now())
 		q.mu.Unlock()
 		x.end(attempt.FinishCmd{})
 		q.mu.Lock()
