--- a/coordination/quarantine/broken.go
+++ b/coordination/quarantine/broken.go
@@ -6,10 +6,10 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Broken are servers whose connections broke a moment ago, with the requests that were
+// BrokenConnections are servers whose connections broke a moment ago, with the requests that were
 // there: a process that ends breaks all of them within 3 ms, as the output of nine gateways
 // showed. The zero value holds none.
-type Broken struct {
+type BrokenConnections struct {
 	runs map[string][]brokenRun
 }
 
@@ -21,7 +21,7 @@
 
 // Add notes a request whose connection broke, and reports whether it is the first of its
 // server, which is then to be probed in a while.
-func (b *Broken) Add(server string, f protocol.Fingerprint, sent time.Time) (first bool) {
+func (b *BrokenConnections) Add(server string, f protocol.Fingerprint, sent time.Time) (first bool) {
 	if b.runs == nil {
 		b.runs = map[string][]brokenRun{}
 	}
@@ -32,7 +32,7 @@
 
 // Take returns the requests at a server whose first connection broke at a time, and their
 // fingerprints as they are logged, and forgets them.
-func (b *Broken) Take(server string, broke time.Time) (runs []protocol.ObservedRun, names []string) {
+func (b *BrokenConnections) Take(server string, broke time.Time) (runs []protocol.ObservedRun, names []string) {
 	for _, r := range b.runs[server] {
 		runs = append(runs, protocol.ObservedRun{Fingerprint: r.fingerprint, Age: broke.Sub(r.sent)})
 		names = append(names, r.fingerprint.String())
@@ -42,7 +42,7 @@
 }
 
 // Len returns how many servers are held.
-func (b *Broken) Len() int { return len(b.runs) }
+func (b *BrokenConnections) Len() int { return len(b.runs) }
 
-// GatherBroken is for how long the broken connections of a server are gathered.
-const GatherBroken = 20 * time.Millisecond
+// BrokenConnectionWindow is for how long the broken connections of a server are gathered.
+const BrokenConnectionWindow = 20 * time.Millisecond
--- a/coordination/quarantine/fingerprint.go
+++ b/coordination/quarantine/fingerprint.go
@@ -20,8 +20,8 @@
 	Body   []byte
 }
 
-// Quick returns a hash that is cheap to make: a tenth of a microsecond for a body of 1 KB.
-func (r *Request) Quick() uint64 {
+// QuickHash returns a hash that is cheap to make: a tenth of a microsecond for a body of 1 KB.
+func (r *Request) QuickHash() uint64 {
 	h := xxhash.New()
 	r.hash(h)
 	return h.Sum64()
@@ -34,7 +34,7 @@
 	r.hash(h)
 	sum := h.Sum(nil)
 	return protocol.Fingerprint{
-		Quick:   r.Quick(),
+		Quick:   r.QuickHash(),
 		Content: [2]uint64{binary.BigEndian.Uint64(sum), binary.BigEndian.Uint64(sum[8:])},
 	}
 }
--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -475,7 +475,7 @@
 	}
 	same := base
 	same.Body = slices.Clone(base.Body)
-	if same.Fingerprint() != base.Fingerprint() || same.Fingerprint().Quick != base.Quick() {
+	if same.Fingerprint() != base.Fingerprint() || same.Fingerprint().Quick != base.QuickHash() {
 		t.Error("the same request has another fingerprint")
 	}
 }
--- a/transport/forward/crash.go
+++ b/transport/forward/crash.go
@@ -16,7 +16,7 @@
 // crashes are servers whose connections broke, until it is known what that was.
 type crashes struct {
 	mu     sync.Mutex // mu guards all below.
-	broken quarantine.Broken
+	broken quarantine.BrokenConnections
 	open   map[string]openEnd // open are the servers that answered a connect behind that.
 }
 
@@ -86,7 +86,7 @@
 // requests there come into question: connections are reset for many other reasons.
 func (g *Gateway) probe(s *place.Server) {
 	broke := time.Now()
-	pause.For(context.Background(), quarantine.GatherBroken)
+	pause.For(context.Background(), quarantine.BrokenConnectionWindow)
 	presence := tcp.Probe(s.Address, dialTime)
 	g.crashes.mu.Lock()
 	runs, names := g.crashes.broken.Take(s.ID, broke)
--- a/transport/forward/quarantine.go
+++ b/transport/forward/quarantine.go
@@ -100,7 +100,7 @@
 // quickHash returns the request's quick hash.
 func (x *exchange) quickHash() uint64 {
 	if x.quick == 0 {
-		x.quick = max(1, x.request().Quick())
+		x.quick = max(1, x.request().QuickHash())
 	}
 	return x.quick
 }
--- a/transport/quarantine.go
+++ b/transport/quarantine.go
@@ -48,7 +48,7 @@
 	mu     sync.Mutex // mu guards all below; no other lock is taken under it.
 	gate   *quarantine.Filter
 	term   uint64
-	broken quarantine.Broken
+	broken quarantine.BrokenConnections
 }
 
 // NewQuarantine returns an instance's quarantine, which holds nothing before Run.
@@ -112,7 +112,7 @@
 	alone := q.alone()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.gate.Check(same.Quick(), same.Fingerprint, true, alone, clock.Now())
+	return q.gate.Check(same.QuickHash(), same.Fingerprint, true, alone, clock.Now())
 }
 
 // heldMsg ends an attempt that is not made, as servers ended under its request.
@@ -126,7 +126,7 @@
 	same := sameRequest(r)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.gate.RecordSuccess(same.Quick(), same.Fingerprint, clock.Now())
+	q.gate.RecordSuccess(same.QuickHash(), same.Fingerprint, clock.Now())
 }
 
 // broke notes that a server's connection ended under a request, for none of our reasons.
@@ -146,7 +146,7 @@
 // probe finds out whether a server whose connections broke has ended: its port refuses.
 func (q *Quarantine) probe(s *state.Server) {
 	broke := time.Now()
-	pause.For(context.Background(), quarantine.GatherBroken)
+	pause.For(context.Background(), quarantine.BrokenConnectionWindow)
 	presence := tcp.Probe(s.Address, q.dial)
 	ended := presence == tcp.PresenceEnded
 	q.mu.Lock()
