--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -52,8 +52,8 @@
 	relay    atomic.Pointer[Relay]         // relay answers gateways while this instance does not lead; nil for none.
 	domainOf func(peers []string) []string // domainOf tells the domains of control instances.
 
-	passing sync.Mutex           // passing guards passed, and is taken alone.
-	passed  *backpressure.Passed // passed holds the limits of servers that gateways report while there is no leader.
+	passing sync.Mutex               // passing guards passed, and is taken alone.
+	passed  *backpressure.LimitCache // passed holds the limits of servers that gateways report while there is no leader.
 
 	mu      sync.Mutex // mu guards all below.
 	number  uint64
@@ -78,10 +78,10 @@
 	common   common
 	rolled   uint64            // rolled is the change of the roll-outs that the view follows.
 	trials   map[uint64]*trial // trials are the roll-outs that run, by number.
-	keeper   *quarantine.Keeper
-	book     *backpressure.Book      // book are the servers that limit their requests.
-	starts   place.Incarnations      // starts are the newest ones of the servers, over all terms.
-	unnamed  map[versionOf]time.Time // unnamed are versions that nothing names, by when they were listed first.
+	keeper   *quarantine.Coordinator
+	book     *backpressure.PermitAllocator // book are the servers that limit their requests.
+	starts   place.Incarnations            // starts are the newest ones of the servers, over all terms.
+	unnamed  map[versionOf]time.Time       // unnamed are versions that nothing names, by when they were listed first.
 }
 
 // common is the part of the answers that is the same for all gateways.
@@ -179,7 +179,7 @@
 	for _, opt := range opts {
 		opt(u)
 	}
-	u.passed = backpressure.NewPassed(u.incarnation)
+	u.passed = backpressure.NewLimitCache(u.incarnation)
 	u.logged.Store(&logged{})
 	u.quarantined.Store(&protocol.QuarantineLog{})
 	u.reset(0)
@@ -199,8 +199,8 @@
 	u.relays, u.placed = map[string]*relayRecord{}, place.Placements{}
 	u.view, u.places = nil, place.NewPromptScheduler(u.loads, place.WithTopology(u.topology))
 	u.readings = place.NewReadings()
-	u.keeper = quarantine.NewKeeper()
-	u.book = backpressure.NewBook()
+	u.keeper = quarantine.NewCoordinator()
+	u.book = backpressure.NewPermitAllocator()
 	u.rolled, u.trials, u.unnamed = 0, nil, map[versionOf]time.Time{}
 	if u.catalog != nil {
 		u.quotas.Configure(u.catalog.Workspaces, clock.Now())
@@ -312,7 +312,7 @@
 		u.marks.Take(m.Gateway, m.Counted, u.clock.Now(now.Sub(u.began)))
 	}
 	u.answerTrials(m, reply, now)
-	u.keeper.Take(m.Gateway, m.Observations, u.leaves, now)
+	u.keeper.AddObservations(m.Gateway, m.Observations, u.leaves, now)
 	for _, want := range m.Wants {
 		reply.Grants = append(reply.Grants, u.quotas.Grant(want, now))
 	}
--- a/transport/forward/limiting_test.go
+++ b/transport/forward/limiting_test.go
@@ -16,7 +16,7 @@
 
 // withBook has a leader's book answer the gateway whenever it asks for permits.
 func (w *world) withBook() {
-	book, ask := backpressure.NewBook(), make(chan struct{}, 1)
+	book, ask := backpressure.NewPermitAllocator(), make(chan struct{}, 1)
 	w.g.limitsNow = func() {
 		select {
 		case ask <- struct{}{}:
@@ -28,7 +28,7 @@
 		for range ask {
 			m, _ := w.g.ReportLimits()
 			asked := clock.Now()
-			reply := book.Answer(&m, 1, asked)
+			reply := book.HandleReport(&m, 1, asked)
 			w.g.AnsweredLimits(&m, &reply, asked)
 		}
 	}()
@@ -131,7 +131,7 @@
 	w.g.limitsNow = func() { asked.Add(1) }
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
 		w.backend(id, good)
-		w.g.words.limits.Heard(id, protocol.RateLimit{Named: true, PerSecond: 1}, clock.Now())
+		w.g.words.limits.UpdateLimit(id, protocol.RateLimit{Named: true, PerSecond: 1}, clock.Now())
 	}
 	if got := w.ask(); got.status != 503 || got.verdict != "not-run" {
 		t.Errorf("got %+v", got)
--- a/transport/quarantine.go
+++ b/transport/quarantine.go
@@ -46,15 +46,15 @@
 	heard    atomic.Pointer[time.Time] // heard is when the leader answered last.
 
 	mu     sync.Mutex // mu guards all below; no other lock is taken under it.
-	gate   *quarantine.Gate
+	gate   *quarantine.Filter
 	term   uint64
-	broken quarantine.Broken
+	broken quarantine.BrokenConnections
 }
 
 // NewQuarantine returns an instance's quarantine, which holds nothing before Run.
 func NewQuarantine(name string, o Observer, dial time.Duration, log zerolog.Logger) *Quarantine {
 	now := clock.Now()
-	q := &Quarantine{observer: o, name: name, dial: dial, log: log, wake: make(chan struct{}, 1), gate: quarantine.NewGate(name, now)}
+	q := &Quarantine{observer: o, name: name, dial: dial, log: log, wake: make(chan struct{}, 1), gate: quarantine.NewFilter(name, now)}
 	q.heard.Store(&now)
 	return q
 }
@@ -74,7 +74,7 @@
 	defer cancel()
 	q.mu.Lock()
 	m := protocol.ObserveMsg{Instance: q.name, Term: q.term, Observations: q.gate.Report(q.term, clock.Now())}
-	m.Quarantined, m.Watched = q.gate.Changes()
+	m.Quarantined, m.Watched = q.gate.SyncState()
 	q.mu.Unlock()
 	asked := clock.Now()
 	reply, err := q.observer.Observe(limit, m)
@@ -85,7 +85,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.gate.Acknowledged(reply.Term, m.Observations)
-	q.gate.Hear(reply.Quarantine, reply.Watch, clock.Now())
+	q.gate.ApplyUpdate(reply.Quarantine, reply.Watch, clock.Now())
 	q.term = reply.Term
 	q.heard.Store(&asked)
 	if reply.Quarantine != nil {
@@ -107,16 +107,16 @@
 
 // check returns whether a request may be sent to a server, and uses up a trial by which it
 // may.
-func (q *Quarantine) check(r *protocol.Request) quarantine.Passage {
+func (q *Quarantine) check(r *protocol.Request) quarantine.Decision {
 	same := sameRequest(r)
 	alone := q.alone()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.gate.Check(same.Quick(), same.Fingerprint, true, alone, clock.Now())
+	return q.gate.Check(same.QuickHash(), same.Fingerprint, true, alone, clock.Now())
 }
 
 // heldMsg ends an attempt that is not made, as servers ended under its request.
-func heldMsg(attemptNumber int, p quarantine.Passage) attempt.FailedMsg {
+func heldMsg(attemptNumber int, p quarantine.Decision) attempt.FailedMsg {
 	r := p.Refusal(time.Now())
 	return attempt.FailedMsg{Attempt: attemptNumber, Verdict: r.Verdict, Status: r.Status, Code: r.Code, Reason: r.Message, RetryAfter: r.RetryAfter, Final: true}
 }
@@ -126,7 +126,7 @@
 	same := sameRequest(r)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.gate.EndedWell(same.Quick(), same.Fingerprint, clock.Now())
+	q.gate.RecordSuccess(same.QuickHash(), same.Fingerprint, clock.Now())
 }
 
 // broke notes that a server's connection ended under a request, for none of our reasons.
@@ -146,13 +146,13 @@
 // probe finds out whether a server whose connections broke has ended: its port refuses.
 func (q *Quarantine) probe(s *state.Server) {
 	broke := time.Now()
-	pause.For(context.Background(), quarantine.GatherBroken)
+	pause.For(context.Background(), quarantine.BrokenConnectionWindow)
 	presence := tcp.Probe(s.Address, q.dial)
 	ended := presence == tcp.PresenceEnded
 	q.mu.Lock()
 	runs, names := q.broken.Take(s.ID, broke)
 	if ended {
-		q.gate.SawEnd(s.ID, runs, clock.Now())
+		q.gate.RecordCrash(s.ID, runs, clock.Now())
 	}
 	q.mu.Unlock()
 	q.log.Warn().Str("server", s.ID).Stringer("presence", presence).Int("runs", len(runs)).Strs("fingerprints", names).Msg("connections of a server broke")
@@ -187,13 +187,13 @@
 
 	mu     sync.Mutex // mu guards all below.
 	term   uint64
-	keeper *quarantine.Keeper
+	keeper *quarantine.Coordinator
 }
 
 // NewQuarantineService returns the service of a replica. The func leaves tells whether a
 // server is known to leave.
 func NewQuarantineService(g QuarantineGroup, leaves func(server string) bool, log zerolog.Logger) *QuarantineService {
-	s := &QuarantineService{group: g, leaves: leaves, log: log, keeper: quarantine.NewKeeper()}
+	s := &QuarantineService{group: g, leaves: leaves, log: log, keeper: quarantine.NewCoordinator()}
 	s.logged.Store(&protocol.QuarantineLog{})
 	return s
 }
@@ -204,7 +204,7 @@
 // enter makes sure that what is held belongs to a term. It needs s.mu.
 func (s *QuarantineService) enter(term uint64) {
 	if s.term != term {
-		s.term, s.keeper = term, quarantine.NewKeeper()
+		s.term, s.keeper = term, quarantine.NewCoordinator()
 	}
 }
 
@@ -217,7 +217,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.enter(term)
-	s.keeper.Take(m.Instance, m.Observations, s.leaves, clock.Now())
+	s.keeper.AddObservations(m.Instance, m.Observations, s.leaves, clock.Now())
 	reply.Term = term
 	reply.Quarantine = s.logged.Load().UpdateSince(m.Quarantined)
 	reply.Watch = protocol.NewWatchUpdate(s.keeper.Watched(), m.Watched)
@@ -259,13 +259,13 @@
 type LocalQuarantine struct {
 	leaves func(server string) bool
 	mu     sync.Mutex // mu guards all below.
-	keeper *quarantine.Keeper
+	keeper *quarantine.Coordinator
 	log    *state.Machine
 }
 
 // NewLocalQuarantine returns one that holds nothing.
 func NewLocalQuarantine(leaves func(server string) bool) *LocalQuarantine {
-	return &LocalQuarantine{leaves: leaves, keeper: quarantine.NewKeeper(), log: state.NewMachine()}
+	return &LocalQuarantine{leaves: leaves, keeper: quarantine.NewCoordinator(), log: state.NewMachine()}
 }
 
 // Observe implements Observer.
@@ -273,7 +273,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := clock.Now()
-	l.keeper.Take(m.Instance, m.Observations, l.leaves, now)
+	l.keeper.AddObservations(m.Instance, m.Observations, l.leaves, now)
 	logged := l.log.QuarantineLog()
 	change := l.keeper.Decide(&logged, now, time.Now())
 	if len(change.Hold)+len(change.Try)+len(change.Free) > 0 {
