--- a/coordination/rollout/analyzer.go
+++ b/coordination/rollout/analyzer.go
@@ -9,15 +9,15 @@
 
 // Assessment is what the answers so far say of the new version.
 type Assessment struct {
-	Bad      bool // Bad says that it is to be turned back from at once.
-	Worse    bool // Worse says that it must not be completed, though no single sign is enough to act at once.
-	Doubtful bool // Doubtful says that more answers are to be waited for.
-	Reason   string
-	New, Old int64 // New and Old count the answers of either side.
-	NewBad   int64
-	OldBad   int64
-	Failures float64 // Failures is the evidence for more failures, in natural logarithms of the odds.
-	Slowness float64 // Slowness is the evidence for slower answers, in standard deviations.
+	Bad       bool // Bad says that it is to be turned back from at once.
+	Worse     bool // Worse says that it must not be completed, though no single sign is enough to act at once.
+	Doubtful  bool // Doubtful says that more answers are to be waited for.
+	Reason    string
+	New, Old  int64 // New and Old count the answers of either side.
+	NewFailed int64
+	OldFailed int64
+	Failures  float64 // Failures is the evidence for more failures, in natural logarithms of the odds.
+	Slowness  float64 // Slowness is the evidence for slower answers, in standard deviations.
 }
 
 // Analyzer weighs the answers of the new version against those of the others.
@@ -68,7 +68,7 @@
 			seq.route(rows[i].Route).others.add(&rows[i].Answers, now)
 			seq.route(allRoutes).others.add(&rows[i].Answers, now)
 			seq.totals.Old += rows[i].Answers.Good + rows[i].Answers.Bad
-			seq.totals.OldBad += rows[i].Answers.Bad
+			seq.totals.OldFailed += rows[i].Answers.Bad
 		}
 	}
 	for i := range rows {
@@ -81,7 +81,7 @@
 // weigh takes the answers of one server of the new version.
 func (seq *Sequential) weigh(row *protocol.EvidenceRow) {
 	seq.totals.New += row.Answers.Good + row.Answers.Bad
-	seq.totals.NewBad += row.Answers.Bad
+	seq.totals.NewFailed += row.Answers.Bad
 	seq.weighFailures(row)
 	seq.weighTimes(row)
 }
@@ -105,13 +105,13 @@
 	switch {
 	case v.Failures >= certain:
 		v.Bad = true
-		v.Reason = fmt.Sprintf("%d of %d answers of the new version failed%s, %d of %d others", v.NewBad, v.New, on(route), v.OldBad, v.Old)
+		v.Reason = fmt.Sprintf("%d of %d answers of the new version failed%s, %d of %d others", v.NewFailed, v.New, on(route), v.OldFailed, v.Old)
 	case slow >= certainlySlow:
 		v.Bad = true
 		v.Reason = fmt.Sprintf("answers of the new version take more than twice as long%s, by %.1f standard deviations", on(slowRoute), slow)
 	case seq.worse():
 		v.Worse = true
-		v.Reason = fmt.Sprintf("%d of %d answers of the new version failed, %d of %d others", v.NewBad, v.New, v.OldBad, v.Old)
+		v.Reason = fmt.Sprintf("%d of %d answers of the new version failed, %d of %d others", v.NewFailed, v.New, v.OldFailed, v.Old)
 	}
 	v.Doubtful = v.Failures >= likely || slow >= likelySlow
 	if v.Doubtful && v.Reason == "" {
--- a/coordination/rollout/answers.go
+++ b/coordination/rollout/answers.go
@@ -23,22 +23,22 @@
 
 // Answer is how one answer went.
 type Answer struct {
-	Bad bool
-	// First is the time to the first event, or to a whole answer; 0 where none came and
+	Failed bool
+	// FirstEvent is the time to the first event, or to a whole answer; 0 where none came and
 	// no time is known.
-	First time.Duration
-	Pace  time.Duration // Pace is the mean time between events; 0 with fewer than two.
+	FirstEvent    time.Duration
+	EventInterval time.Duration // Pace is the mean time between events; 0 with fewer than two.
 }
 
-// Add counts an answer.
-func Add(a *protocol.Answers, one Answer) {
-	if one.Bad {
+// RecordAnswer counts an answer.
+func RecordAnswer(a *protocol.Answers, one Answer) {
+	if one.Failed {
 		a.Bad++
 	} else {
 		a.Good++
 	}
-	a.First = count(a.First, one.First)
-	a.Pace = count(a.Pace, one.Pace)
+	a.First = count(a.First, one.FirstEvent)
+	a.Pace = count(a.Pace, one.EventInterval)
 }
 
 func count(h []int64, d time.Duration) []int64 {
@@ -91,9 +91,9 @@
 // NewCounters returns an empty book.
 func NewCounters() *Counters { return &Counters{known: map[counterKey]protocol.Answers{}} }
 
-// Take returns what a report holds that the ones before did not. A report that comes
+// Update returns what a report holds that the ones before did not. A report that comes
 // twice, or behind a later one, holds nothing new.
-func (b *Counters) Take(gateway string, life uint64, rows []protocol.EvidenceRow) []protocol.EvidenceRow {
+func (b *Counters) Update(gateway string, life uint64, rows []protocol.EvidenceRow) []protocol.EvidenceRow {
 	var news []protocol.EvidenceRow
 	for _, row := range rows {
 		key := counterKey{gateway: gateway, life: life, route: row.Route, server: row.Server, isNew: row.New}
--- a/coordination/rollout/bounds.go
+++ b/coordination/rollout/bounds.go
@@ -34,10 +34,10 @@
 			n += float64(c)
 		}
 		if rows[i].New {
-			b.totals.New, b.totals.NewBad = b.totals.New+a.Good+a.Bad, b.totals.NewBad+a.Bad
+			b.totals.New, b.totals.NewFailed = b.totals.New+a.Good+a.Bad, b.totals.NewFailed+a.Bad
 			b.newSlow, b.newTimes = b.newSlow+sum, b.newTimes+n
 		} else {
-			b.totals.Old, b.totals.OldBad = b.totals.Old+a.Good+a.Bad, b.totals.OldBad+a.Bad
+			b.totals.Old, b.totals.OldFailed = b.totals.Old+a.Good+a.Bad, b.totals.OldFailed+a.Bad
 			b.oldSlow, b.oldTime = b.oldSlow+sum, b.oldTime+n
 		}
 	}
@@ -49,7 +49,7 @@
 	if v.New < boundAnswers || v.Old < boundAnswers {
 		return v
 	}
-	more := float64(v.NewBad)/float64(v.New) - float64(v.OldBad)/float64(v.Old)
+	more := float64(v.NewFailed)/float64(v.New) - float64(v.OldFailed)/float64(v.Old)
 	slower := 0.0
 	if b.newTimes > 0 && b.oldTime > 0 {
 		slower = math.Exp2(b.newSlow/b.newTimes - b.oldSlow/b.oldTime)
--- a/coordination/rollout/exposure.go
+++ b/coordination/rollout/exposure.go
@@ -53,14 +53,14 @@
 
 // ReportMsg is what a gateway tells of its sends since it heard of the roll-out.
 type ReportMsg struct {
-	Gateway string
-	Life    uint64
-	Arrived int64   // Arrived are the requests that were sent to any server.
-	Tried   int64   // Tried are sends to the version.
-	Wants   int     // Wants are credits that it asks for.
-	Pace    float64 // Pace is the part of the requests that the trial takes now.
-	Part    float64 // Part is how much of the trial is over, 0 to 1.
-	Grants  bool    // Grants says that the leader has led for long enough that earlier leaders' credits ran out.
+	Gateway  string
+	Life     uint64
+	Arrived  int64   // Arrived are the requests that were sent to any server.
+	Tried    int64   // Tried are sends to the version.
+	Wants    int     // Wants are credits that it asks for.
+	Share    float64 // Pace is the part of the requests that the trial takes now.
+	Progress float64 // Part is how much of the trial is over, 0 to 1.
+	CanGrant bool    // Grants says that the leader has led for long enough that earlier leaders' credits ran out.
 }
 
 // Grant takes a report and returns how many credits the gateway was granted here, in
@@ -76,14 +76,14 @@
 	if more := float64(m.Arrived - a.arrived); more > 0 {
 		a.arrived = m.Arrived
 		p.earned += p.share * more
-		p.released = min(p.earned, p.released+m.Pace*more)
+		p.released = min(p.earned, p.released+m.Share*more)
 	}
-	if more := p.slack * (m.Part - p.begun); more > 0 {
-		p.begun = m.Part
+	if more := p.slack * (m.Progress - p.begun); more > 0 {
+		p.begun = m.Progress
 		p.earned += more
 		p.released = min(p.earned, p.released+more)
 	}
-	if !m.Grants {
+	if !m.CanGrant {
 		return a.granted
 	}
 	n := min(float64(m.Wants), math.Floor(p.released-p.granted))
@@ -99,9 +99,9 @@
 // from 1.6 s behind the move.
 const turnBackTime = 2 * time.Second
 
-// Coming returns how many requests the service will get until the limit, or until a bad
+// ExpectedRequests returns how many requests the service will get until the limit, or until a bad
 // version would be turned back from, at the mean rate since the order.
-func (p *Pool) Coming(elapsed, limit time.Duration) float64 {
+func (p *Pool) ExpectedRequests(elapsed, limit time.Duration) float64 {
 	if elapsed <= 0 {
 		return 0
 	}
@@ -113,9 +113,9 @@
 	return arrived * float64(rest) / float64(elapsed)
 }
 
-// Spare returns how many more requests the version may be sent, if it is bad, once as many
+// Headroom returns how many more requests the version may be sent, if it is bad, once as many
 // as are coming have come.
-func (p *Pool) Spare(coming float64) float64 {
+func (p *Pool) Headroom(coming float64) float64 {
 	return p.earned + p.share*coming + p.slack*(1-p.begun) - p.granted
 }
 
@@ -127,9 +127,9 @@
 	until   time.Time
 }
 
-// Granted takes a leader's answer to a question that was sent at a time. Credits of
+// Renew takes a leader's answer to a question that was sent at a time. Credits of
 // another leader are gone.
-func (p *Credits) Granted(term uint64, credits int64, asked time.Time) {
+func (p *Credits) Renew(term uint64, credits int64, asked time.Time) {
 	if term != p.term {
 		*p = Credits{term: term}
 	}
@@ -137,8 +137,8 @@
 	p.until = asked.Add(CreditLease)
 }
 
-// Held returns how many credits can be spent.
-func (p *Credits) Held(now time.Time) int64 {
+// Available returns how many credits can be spent.
+func (p *Credits) Available(now time.Time) int64 {
 	if !now.Before(p.until) {
 		return 0
 	}
@@ -147,15 +147,15 @@
 
 // Spend takes one credit, if there is one.
 func (p *Credits) Spend(now time.Time) bool {
-	if p.Held(now) <= 0 {
+	if p.Available(now) <= 0 {
 		return false
 	}
 	p.spent++
 	return true
 }
 
-// Back returns a credit that was not used.
-func (p *Credits) Back() {
+// Refund returns a credit that was not used.
+func (p *Credits) Refund() {
 	if p.spent > 0 {
 		p.spent--
 	}
--- a/coordination/rollout/load_test.go
+++ b/coordination/rollout/load_test.go
@@ -99,7 +99,7 @@
 	var arrived, tried, granted int64
 	moved := time.Duration(0)
 	for at := time.Duration(0); at < 2*dayLimit; at += dayTick {
-		share := Share(&r, at)
+		share := TrialShare(&r, at)
 		rows := map[string]*protocol.EvidenceRow{}
 		for range poisson(rnd, d.rate*dayTick.Seconds()) {
 			arrived++
@@ -109,15 +109,15 @@
 				tried++
 			}
 			a := d.answer(rnd, &m)
-			if m.isNew && a.Bad {
+			if m.isNew && a.Failed {
 				out.bad++
 			}
 			row := rowOf(rows, &m)
-			Add(&row.Answers, a)
+			RecordAnswer(&row.Answers, a)
 		}
 		j.Observe(list(rows), start.Add(at))
-		granted = pool.Grant(ReportMsg{Gateway: "g", Arrived: arrived, Tried: tried, Wants: int(d.rate), Pace: share, Part: Part(&r, at), Grants: true})
-		tick := TickMsg{Elapsed: at, Led: at, Assessment: j.Assessment(), Slots: 1000, Settled: true, Quiet: at - moved - time.Second, Longest: 15 * time.Second, Moved: at - moved, Others: []string{"v1"}}
+		granted = pool.Grant(ReportMsg{Gateway: "g", Arrived: arrived, Tried: tried, Wants: int(d.rate), Share: share, Progress: TrialProgress(&r, at), CanGrant: true})
+		tick := TickMsg{Elapsed: at, LeadingFor: at, Assessment: j.Assessment(), Slots: 1000, InSync: true, IdleFor: at - moved - time.Second, MaxAnswerTime: 15 * time.Second, MovingFor: at - moved, OtherVersions: []string{"v1"}}
 		step, ok := Next(&r, tick)
 		if !ok {
 			continue
@@ -139,12 +139,12 @@
 // and, with less spread, their pace.
 func (d day) answer(rnd *rand.Rand, m *moment) Answer {
 	if rnd.Float64() < d.fails(m) {
-		return Answer{Bad: true}
+		return Answer{Failed: true}
 	}
 	x := d.slows(m)
-	a := Answer{First: time.Duration(x * 80 * math.Exp(0.8*rnd.NormFloat64()) * float64(time.Millisecond))}
+	a := Answer{FirstEvent: time.Duration(x * 80 * math.Exp(0.8*rnd.NormFloat64()) * float64(time.Millisecond))}
 	if d.streams {
-		a.Pace = time.Duration(x * 35 * math.Exp(0.25*rnd.NormFloat64()) * float64(time.Millisecond))
+		a.EventInterval = time.Duration(x * 35 * math.Exp(0.25*rnd.NormFloat64()) * float64(time.Millisecond))
 	}
 	return a
 }
--- a/coordination/rollout/rollout.go
+++ b/coordination/rollout/rollout.go
@@ -63,19 +63,19 @@
 
 // TickMsg is what is known at a moment.
 type TickMsg struct {
-	Elapsed    time.Duration // Elapsed is since the order was accepted.
-	Led        time.Duration // Led is for how long this leader has gathered reports.
-	Assessment Assessment
-	Slots      int           // Slots are those of the new version's servers that take requests.
-	Running    float64       // Running are the requests that the service has at once.
-	Settled    bool          // Settled says that all gateways keep to the stage.
-	OldRunning int           // OldRunning are the requests that run on servers of other versions.
-	Quiet      time.Duration // Quiet is for how long there were none.
-	Longest    time.Duration // Longest is how long an answer of the service may take.
-	Moved      time.Duration // Moved is since the roll-out began to move.
-	Coming     float64       // Coming are the requests that the service will get until a bad version would be turned back from.
-	Spare      float64       // Spare are those that the version may get of them if it is bad.
-	Others     []string      // Others are the versions that are listed besides the new one.
+	Elapsed          time.Duration // Elapsed is since the order was accepted.
+	LeadingFor       time.Duration // Led is for how long this leader has gathered reports.
+	Assessment       Assessment
+	Slots            int           // Slots are those of the new version's servers that take requests.
+	Running          float64       // Running are the requests that the service has at once.
+	InSync           bool          // Settled says that all gateways keep to the stage.
+	OldRunning       int           // OldRunning are the requests that run on servers of other versions.
+	IdleFor          time.Duration // Quiet is for how long there were none.
+	MaxAnswerTime    time.Duration // Longest is how long an answer of the service may take.
+	MovingFor        time.Duration // Moved is since the roll-out began to move.
+	ExpectedRequests float64       // Coming are the requests that the service will get until a bad version would be turned back from.
+	Headroom         float64       // Spare are those that the version may get of them if it is bad.
+	OtherVersions    []string      // Others are the versions that are listed besides the new one.
 }
 
 // Next returns the step that a roll-out is to take now, if any.
@@ -97,13 +97,13 @@
 func move(step protocol.StageRolloutMsg, r *protocol.Rollout, m TickMsg) (protocol.StageRolloutMsg, bool) {
 	v := m.Assessment
 	enough := v.New >= leastAnswers && !v.Doubtful
-	harmless := v.New > 0 && m.Coming <= m.Spare
+	harmless := v.New > 0 && m.ExpectedRequests <= m.Headroom
 	late := m.Elapsed >= time.Duration(waitPart*float64(r.Limit()))
 	room := m.Slots > 0 && m.Running <= fullPart*float64(m.Slots)
 	switch {
-	case m.Led < leastLed:
+	case m.LeadingFor < leastLed:
 		return step, false
-	case m.Slots > 0 && len(m.Others) == 0 && v.Old == 0:
+	case m.Slots > 0 && len(m.OtherVersions) == 0 && v.Old == 0:
 		// Nobody serves but the version that was ordered: on trial it would get next to
 		// no requests, and the service would be away.
 		step.Stage, step.Reason = protocol.RolloutCompleted, "no other version serves"
@@ -114,7 +114,7 @@
 		step.Stage, step.Reason = protocol.RolloutRolledBack, v.Reason
 		return step, true
 	case room && (enough || (late && harmless)):
-		step.Stage, step.Former = protocol.RolloutMoving, m.Others
+		step.Stage, step.Former = protocol.RolloutMoving, m.OtherVersions
 		step.Reason = fmt.Sprintf("%d answers of the new version are as good as %d others", v.New, v.Old)
 		return step, true
 	case m.Elapsed < r.Limit()+lateMost:
@@ -154,38 +154,38 @@
 	if m.Elapsed < time.Duration(lastPart*float64(r.Limit())) {
 		return step, false
 	}
-	if m.Settled && m.Quiet >= quietFor {
+	if m.InSync && m.IdleFor >= quietFor {
 		step.Reason = "nothing runs on the former servers"
 		return step, true
 	}
-	if m.Moved > m.Longest {
+	if m.MovingFor > m.MaxAnswerTime {
 		step.Reason = "what still runs on the former servers is past its time"
 		return step, true
 	}
 	return step, false
 }
 
-// Part is how much of a roll-out's trial is over, 0 to 1.
-func Part(r *protocol.Rollout, elapsed time.Duration) float64 {
+// TrialProgress is how much of a roll-out's trial is over, 0 to 1.
+func TrialProgress(r *protocol.Rollout, elapsed time.Duration) float64 {
 	return max(0, min(1, float64(elapsed)/float64(max(1, r.Limit()-moveTime(r.Limit())))))
 }
 
-// Share is the part of the requests that a trial takes at a moment.
-func Share(r *protocol.Rollout, elapsed time.Duration) float64 {
+// TrialShare is the part of the requests that a trial takes at a moment.
+func TrialShare(r *protocol.Rollout, elapsed time.Duration) float64 {
 	switch {
 	case r.Stage != protocol.RolloutTrial:
 		return 0
-	case Part(r, elapsed) < lateAfter:
+	case TrialProgress(r, elapsed) < lateAfter:
 		return earlyShare
 	}
 	return lateShare
 }
 
-// Canaries is to how many of the new version's servers a trial's requests go: as many
+// CanaryCount is to how many of the new version's servers a trial's requests go: as many
 // as have, with that part of the requests, as much to do as they all will have with
 // all of them. Two at the least, so that one broken server is not taken for a bad
 // version.
-func Canaries(servers int, share float64) int {
+func CanaryCount(servers int, share float64) int {
 	const spare = 1.1 // Requests do not arrive evenly.
 	return min(servers, max(2, int(math.Ceil(spare*share*float64(servers)))))
 }
--- a/coordination/rollout/rollout_test.go
+++ b/coordination/rollout/rollout_test.go
@@ -52,10 +52,10 @@
 			case what < 30:
 				credits := l.pool.Grant(ReportMsg{
 					Gateway: fmt.Sprint("g", i), Life: g.life, Arrived: g.arrived, Tried: g.tried,
-					Wants: rnd.IntN(40), Pace: lateShare, Part: min(1, now.Sub(began).Seconds()/4), Grants: !now.Before(l.from),
+					Wants: rnd.IntN(40), Share: lateShare, Progress: min(1, now.Sub(began).Seconds()/4), CanGrant: !now.Before(l.from),
 				})
 				if rnd.IntN(4) > 0 { // Else the answer is lost.
-					g.credits.Granted(l.term, credits, now)
+					g.credits.Renew(l.term, credits, now)
 				}
 			default:
 				for range rnd.IntN(20) {
@@ -82,16 +82,16 @@
 	if p.Spend(at) {
 		t.Error("a gateway without a word of a leader has a credit")
 	}
-	p.Granted(1, 2, at)
+	p.Renew(1, 2, at)
 	if !p.Spend(at.Add(CreditLease-1)) || p.Spend(at.Add(CreditLease)) {
 		t.Error("credits last for the lease, and no longer")
 	}
-	p.Granted(1, 2, at.Add(CreditLease))
-	if p.Held(at.Add(CreditLease)) != 1 {
+	p.Renew(1, 2, at.Add(CreditLease))
+	if p.Available(at.Add(CreditLease)) != 1 {
 		t.Error("the answer renews what was not spent")
 	}
-	p.Granted(2, 0, at.Add(CreditLease))
-	if p.Held(at.Add(CreditLease)) != 0 {
+	p.Renew(2, 0, at.Add(CreditLease))
+	if p.Available(at.Add(CreditLease)) != 0 {
 		t.Error("another leader's credits hold on")
 	}
 }
@@ -99,42 +99,48 @@
 // TestSteps checks when a roll-out takes which step.
 func TestSteps(t *testing.T) {
 	good := Assessment{New: 40, Old: 400}
-	trial := TickMsg{Elapsed: 8500 * time.Millisecond, Led: time.Minute, Assessment: good, Slots: 100, Running: 20, Others: []string{"v1"}}
+	trial := TickMsg{Elapsed: 8500 * time.Millisecond, LeadingFor: time.Minute, Assessment: good, Slots: 100, Running: 20, OtherVersions: []string{"v1"}}
 	with := func(f func(*TickMsg)) TickMsg {
 		m := trial
 		f(&m)
 		return m
 	}
-	moving := TickMsg{Elapsed: 11 * time.Second, Led: time.Minute, Assessment: good, Settled: true, Quiet: time.Second, Longest: 15 * time.Second, Moved: 2 * time.Second}
+	moving := TickMsg{Elapsed: 11 * time.Second, LeadingFor: time.Minute, Assessment: good, InSync: true, IdleFor: time.Second, MaxAnswerTime: 15 * time.Second, MovingFor: 2 * time.Second}
 	for name, c := range map[string]struct {
 		stage protocol.RolloutStage
 		msg   TickMsg
 		want  protocol.RolloutStage
 		step  bool
 	}{
-		"early":                            {protocol.RolloutTrial, with(func(m *TickMsg) { m.Elapsed = 7 * time.Second }), 0, false},
-		"no other version serves":          {protocol.RolloutTrial, TickMsg{Led: time.Minute, Slots: 4}, protocol.RolloutCompleted, true},
-		"all others are gone":              {protocol.RolloutTrial, TickMsg{Led: time.Minute, Slots: 4, Assessment: Assessment{Old: 7}}, 0, false},
-		"a new leader":                     {protocol.RolloutTrial, with(func(m *TickMsg) { m.Led = time.Second / 2 }), 0, false},
-		"good":                             {protocol.RolloutTrial, trial, protocol.RolloutMoving, true},
-		"few answers":                      {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.New = 10 }), 0, false},
-		"few answers, late":                {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.New, m.Elapsed = 10, 11*time.Second }), protocol.RolloutMoving, true},
-		"few answers, many to come":        {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.New, m.Elapsed, m.Coming, m.Spare = 26, 11*time.Second, 200, 40 }), 0, false},
-		"few answers, few to come":         {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.New, m.Elapsed, m.Coming, m.Spare = 10, 11*time.Second, 30, 40 }), protocol.RolloutMoving, true},
-		"few answers, past all":            {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.New, m.Elapsed, m.Coming, m.Spare = 26, 18*time.Second, 200, 40 }), protocol.RolloutRolledBack, true},
-		"enough answers, many to come":     {protocol.RolloutTrial, with(func(m *TickMsg) { m.Coming, m.Spare = 200, 40 }), protocol.RolloutMoving, true},
+		"early":                   {protocol.RolloutTrial, with(func(m *TickMsg) { m.Elapsed = 7 * time.Second }), 0, false},
+		"no other version serves": {protocol.RolloutTrial, TickMsg{LeadingFor: time.Minute, Slots: 4}, protocol.RolloutCompleted, true},
+		"all others are gone":     {protocol.RolloutTrial, TickMsg{LeadingFor: time.Minute, Slots: 4, Assessment: Assessment{Old: 7}}, 0, false},
+		"a new leader":            {protocol.RolloutTrial, with(func(m *TickMsg) { m.LeadingFor = time.Second / 2 }), 0, false},
+		"good":                    {protocol.RolloutTrial, trial, protocol.RolloutMoving, true},
+		"few answers":             {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.New = 10 }), 0, false},
+		"few answers, late":       {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.New, m.Elapsed = 10, 11*time.Second }), protocol.RolloutMoving, true},
+		"few answers, many to come": {protocol.RolloutTrial, with(func(m *TickMsg) {
+			m.Assessment.New, m.Elapsed, m.ExpectedRequests, m.Headroom = 26, 11*time.Second, 200, 40
+		}), 0, false},
+		"few answers, few to come": {protocol.RolloutTrial, with(func(m *TickMsg) {
+			m.Assessment.New, m.Elapsed, m.ExpectedRequests, m.Headroom = 10, 11*time.Second, 30, 40
+		}), protocol.RolloutMoving, true},
+		"few answers, past all": {protocol.RolloutTrial, with(func(m *TickMsg) {
+			m.Assessment.New, m.Elapsed, m.ExpectedRequests, m.Headroom = 26, 18*time.Second, 200, 40
+		}), protocol.RolloutRolledBack, true},
+		"enough answers, many to come":     {protocol.RolloutTrial, with(func(m *TickMsg) { m.ExpectedRequests, m.Headroom = 200, 40 }), protocol.RolloutMoving, true},
 		"no answer, late":                  {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.New, m.Elapsed = 0, 11*time.Second }), 0, false},
 		"no answer, past all":              {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.New, m.Elapsed = 0, 18*time.Second }), protocol.RolloutRolledBack, true},
 		"in doubt":                         {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.Doubtful = true }), 0, false},
 		"in doubt, late":                   {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.Doubtful, m.Elapsed = true, 11*time.Second }), protocol.RolloutRolledBack, true},
 		"worse":                            {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.Worse = true }), protocol.RolloutRolledBack, true},
-		"bad, at once":                     {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.Bad, m.Elapsed, m.Led = true, 0, 0 }), protocol.RolloutRolledBack, true},
+		"bad, at once":                     {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.Bad, m.Elapsed, m.LeadingFor = true, 0, 0 }), protocol.RolloutRolledBack, true},
 		"no room":                          {protocol.RolloutTrial, with(func(m *TickMsg) { m.Slots = 20 }), 0, false},
 		"moving, quiet":                    {protocol.RolloutMoving, moving, protocol.RolloutCompleted, true},
-		"moving, early":                    {protocol.RolloutMoving, TickMsg{Elapsed: 10 * time.Second, Assessment: good, Settled: true, Quiet: time.Second, Longest: 15 * time.Second}, 0, false},
-		"moving, answers run":              {protocol.RolloutMoving, TickMsg{Elapsed: 11 * time.Second, Assessment: good, Settled: true, Longest: 15 * time.Second, Moved: 14 * time.Second}, 0, false},
-		"moving, one has not heard":        {protocol.RolloutMoving, TickMsg{Elapsed: 11 * time.Second, Assessment: good, Quiet: time.Second, Longest: 15 * time.Second}, 0, false},
-		"moving, an answer past all limit": {protocol.RolloutMoving, TickMsg{Elapsed: 11 * time.Second, Assessment: good, Longest: 15 * time.Second, Moved: 16 * time.Second}, protocol.RolloutCompleted, true},
+		"moving, early":                    {protocol.RolloutMoving, TickMsg{Elapsed: 10 * time.Second, Assessment: good, InSync: true, IdleFor: time.Second, MaxAnswerTime: 15 * time.Second}, 0, false},
+		"moving, answers run":              {protocol.RolloutMoving, TickMsg{Elapsed: 11 * time.Second, Assessment: good, InSync: true, MaxAnswerTime: 15 * time.Second, MovingFor: 14 * time.Second}, 0, false},
+		"moving, one has not heard":        {protocol.RolloutMoving, TickMsg{Elapsed: 11 * time.Second, Assessment: good, IdleFor: time.Second, MaxAnswerTime: 15 * time.Second}, 0, false},
+		"moving, an answer past all limit": {protocol.RolloutMoving, TickMsg{Elapsed: 11 * time.Second, Assessment: good, MaxAnswerTime: 15 * time.Second, MovingFor: 16 * time.Second}, protocol.RolloutCompleted, true},
 		"moving, bad":                      {protocol.RolloutMoving, TickMsg{Assessment: Assessment{Bad: true}}, protocol.RolloutRolledBack, true},
 		"completed, bad":                   {protocol.RolloutCompleted, TickMsg{Assessment: Assessment{Bad: true}}, 0, false},
 		"rolled back, good":                {protocol.RolloutRolledBack, trial, 0, false},
@@ -156,7 +162,7 @@
 	}
 	var sum int64
 	take := func(life uint64, rows []protocol.EvidenceRow) {
-		for _, r := range b.Take("g", life, rows) {
+		for _, r := range b.Update("g", life, rows) {
 			sum += r.Answers.Good + r.Answers.Bad
 		}
 	}
@@ -186,7 +192,7 @@
 		share   float64
 		want    int
 	}{{0, 0.05, 0}, {1, 0.05, 1}, {4, 0.05, 2}, {112, earlyShare, 6}, {112, lateShare, 31}, {4, lateShare, 2}} {
-		if got := Canaries(c.servers, c.share); got != c.want {
+		if got := CanaryCount(c.servers, c.share); got != c.want {
 			t.Errorf("%d servers, share %.2f: %d, want %d", c.servers, c.share, got, c.want)
 		}
 	}
@@ -209,10 +215,10 @@
 		r := &protocol.Rollout{Service: "s", Number: 3, Version: "v2", LimitMS: 12_000}
 		elapsed := time.Duration(waitPart * float64(r.Limit()))
 		arrived := int64(rate * elapsed.Seconds())
-		granted := p.Grant(ReportMsg{Gateway: "g", Arrived: arrived, Wants: rapid.IntRange(0, 40).Draw(t, "wants"), Pace: lateShare, Part: 1, Grants: true})
-		coming := p.Coming(elapsed, r.Limit())
-		spare := p.Spare(coming)
-		_, moves := Next(r, TickMsg{Elapsed: elapsed, Led: time.Minute, Assessment: Assessment{New: 26, Old: 400}, Slots: 1000, Others: []string{"v1"}, Coming: coming, Spare: spare})
+		granted := p.Grant(ReportMsg{Gateway: "g", Arrived: arrived, Wants: rapid.IntRange(0, 40).Draw(t, "wants"), Share: lateShare, Progress: 1, CanGrant: true})
+		coming := p.ExpectedRequests(elapsed, r.Limit())
+		spare := p.Headroom(coming)
+		_, moves := Next(r, TickMsg{Elapsed: elapsed, LeadingFor: time.Minute, Assessment: Assessment{New: 26, Old: 400}, Slots: 1000, OtherVersions: []string{"v1"}, ExpectedRequests: coming, Headroom: spare})
 		if !moves {
 			stayed++
 			return
--- a/transport/control/rollouts.go
+++ b/transport/control/rollouts.go
@@ -114,21 +114,21 @@
 			continue // It is over.
 		}
 		t.held[m.Gateway] = report.Held
-		t.analyzer.Observe(t.counters.Take(m.Gateway, m.Life, report.Rows), now)
+		t.analyzer.Observe(t.counters.Update(m.Gateway, m.Life, report.Rows), now)
 		if t.record.Stage != protocol.RolloutTrial {
 			continue
 		}
 		elapsed := now.Sub(t.began)
-		share := rollout.Share(&t.record, elapsed)
+		share := rollout.TrialShare(&t.record, elapsed)
 		reply.Trials = append(reply.Trials, protocol.TrialGrant{Number: report.Number, Share: share, Credits: t.pool.Grant(rollout.ReportMsg{
-			Gateway: m.Gateway,
-			Life:    m.Life,
-			Arrived: report.Arrived,
-			Tried:   report.Tried,
-			Wants:   report.Wants,
-			Pace:    share,
-			Part:    rollout.Part(&t.record, elapsed),
-			Grants:  now.Sub(u.entered) >= rollout.CreditLease,
+			Gateway:  m.Gateway,
+			Life:     m.Life,
+			Arrived:  report.Arrived,
+			Tried:    report.Tried,
+			Wants:    report.Wants,
+			Share:    share,
+			Progress: rollout.TrialProgress(&t.record, elapsed),
+			CanGrant: now.Sub(u.entered) >= rollout.CreditLease,
 		})})
 	}
 }
--- a/transport/control/steps.go
+++ b/transport/control/steps.go
@@ -54,8 +54,8 @@
 		}
 		steps = append(steps, step)
 		u.log.Info().Str("service", step.Service).Uint64("rollout", step.Number).Str("version", t.record.Version).Stringer("from", t.record.Stage).
-			Stringer("to", step.Stage).Str("reason", step.Reason).Dur("elapsed", m.Elapsed).Int64("new", m.Assessment.New).Int64("new_failed", m.Assessment.NewBad).
-			Int64("old", m.Assessment.Old).Int64("old_failed", m.Assessment.OldBad).Float64("failures", m.Assessment.Failures).Float64("slowness", m.Assessment.Slowness).
+			Stringer("to", step.Stage).Str("reason", step.Reason).Dur("elapsed", m.Elapsed).Int64("new", m.Assessment.New).Int64("new_failed", m.Assessment.NewFailed).
+			Int64("old", m.Assessment.Old).Int64("old_failed", m.Assessment.OldFailed).Float64("failures", m.Assessment.Failures).Float64("slowness", m.Assessment.Slowness).
 			Int("slots", m.Slots).Float64("running", m.Running).Msg("roll-out goes on")
 	}
 	return steps
@@ -64,15 +64,15 @@
 // tick gathers what is known of a roll-out. It needs u.mu.
 func (u *Uplink) tick(t *trial, now time.Time) rollout.TickMsg {
 	m := rollout.TickMsg{
-		Elapsed:    now.Sub(t.began),
-		Led:        now.Sub(u.entered),
-		Assessment: t.analyzer.Assessment(),
-		Running:    u.load(t.record.Service).Work,
-		Settled:    u.keepTo(t, now),
-		Longest:    u.longest(t.record.Service),
+		Elapsed:       now.Sub(t.began),
+		LeadingFor:    now.Sub(u.entered),
+		Assessment:    t.analyzer.Assessment(),
+		Running:       u.load(t.record.Service).Work,
+		InSync:        u.keepTo(t, now),
+		MaxAnswerTime: u.longest(t.record.Service),
 	}
-	m.Coming = t.pool.Coming(m.Elapsed, t.record.Limit())
-	m.Spare = t.pool.Spare(m.Coming)
+	m.ExpectedRequests = t.pool.ExpectedRequests(m.Elapsed, t.record.Limit())
+	m.Headroom = t.pool.Headroom(m.ExpectedRequests)
 	for i := range u.servers {
 		s := &u.servers[i]
 		switch {
@@ -83,8 +83,8 @@
 			}
 		default:
 			m.OldRunning += u.loads.Of(s.ID)
-			if !slices.Contains(m.Others, s.Version) {
-				m.Others = append(m.Others, s.Version)
+			if !slices.Contains(m.OtherVersions, s.Version) {
+				m.OtherVersions = append(m.OtherVersions, s.Version)
 			}
 		}
 	}
@@ -94,10 +94,10 @@
 	case t.quietSince.IsZero():
 		t.quietSince = now
 	default:
-		m.Quiet = now.Sub(t.quietSince)
+		m.IdleFor = now.Sub(t.quietSince)
 	}
 	if !t.movedAt.IsZero() {
-		m.Moved = now.Sub(t.movedAt)
+		m.MovingFor = now.Sub(t.movedAt)
 	}
 	return m
 }
@@ -179,11 +179,11 @@
 		*reply = append(*reply, protocol.RolloutProgress{
 			Rollout:    t.record,
 			LeftMS:     (t.record.Limit() - m.Elapsed).Milliseconds(),
-			Share:      rollout.Share(&t.record, m.Elapsed),
+			Share:      rollout.TrialShare(&t.record, m.Elapsed),
 			New:        m.Assessment.New,
-			NewFailed:  m.Assessment.NewBad,
+			NewFailed:  m.Assessment.NewFailed,
 			Old:        m.Assessment.Old,
-			OldFailed:  m.Assessment.OldBad,
+			OldFailed:  m.Assessment.OldFailed,
 			Failures:   m.Assessment.Failures,
 			Slowness:   m.Assessment.Slowness,
 			Slots:      m.Slots,
--- a/transport/forward/trial.go
+++ b/transport/forward/trial.go
@@ -51,7 +51,7 @@
 		return 0
 	}
 	want := min(wantMost, 1+int(wantPart*float64(t.arrived-t.told)))
-	return max(0, want-int(t.credits.Held(now)))
+	return max(0, want-int(t.credits.Available(now)))
 }
 
 // report returns what the leader of a term lacks.
@@ -102,7 +102,7 @@
 		for _, t := range g.trials {
 			if t.record.Number == grant.Number {
 				t.share = grant.Share
-				t.credits.Granted(reply.Term, grant.Credits, asked)
+				t.credits.Renew(reply.Term, grant.Credits, asked)
 			}
 		}
 	}
@@ -146,13 +146,13 @@
 	if !spend {
 		return nil
 	}
-	canaries := func(ready int) int { return rollout.Canaries(ready, share) }
+	canaries := func(ready int) int { return rollout.CanaryCount(ready, share) }
 	if i, ok := place.ChooseTrial(view, place.TrialMsg{ChooseMsg: m, Number: number, Canaries: canaries}); ok {
 		x.credited = true
 		return &view.Servers[i]
 	}
 	g.mu.Lock()
-	t.credits.Back()
+	t.credits.Refund()
 	g.mu.Unlock()
 	return nil
 }
@@ -166,7 +166,7 @@
 	x.g.mu.Lock()
 	defer x.g.mu.Unlock()
 	if t := x.g.trials[x.service]; t != nil {
-		t.credits.Back()
+		t.credits.Refund()
 	}
 }
 
@@ -206,7 +206,7 @@
 		row = &evidence{}
 		tr.rows[key] = row
 	}
-	rollout.Add(&row.answers, a)
+	rollout.RecordAnswer(&row.answers, a)
 }
 
 // eventsCame notes that events came.
@@ -220,18 +220,18 @@
 
 // times returns how long the server took to begin its answer, and between its events.
 func (t *try) times(now time.Time) rollout.Answer {
-	a := rollout.Answer{First: now.Sub(t.began)}
+	a := rollout.Answer{FirstEvent: now.Sub(t.began)}
 	if !t.first.IsZero() {
-		a.First = t.first.Sub(t.began)
+		a.FirstEvent = t.first.Sub(t.began)
 	}
 	if t.pieces > 1 {
-		a.Pace = t.last.Sub(t.first) / time.Duration(t.pieces-1)
+		a.EventInterval = t.last.Sub(t.first) / time.Duration(t.pieces-1)
 	}
 	return a
 }
 
 // failedAnswer counts an answer that failed.
-func (t *try) failedAnswer() { t.observe(rollout.Answer{Bad: true}) }
+func (t *try) failedAnswer() { t.observe(rollout.Answer{Failed: true}) }
 
 // callerLeft counts an answer that its caller did not wait for: behind the target it took
 // as long at the least.
