--- a/coordination/quota/allowance.go
+++ b/coordination/quota/allowance.go
@@ -42,9 +42,9 @@
 // AllowanceOption changes a new allowance.
 type AllowanceOption func(*Allowance)
 
-// WithChance sets what is drawn by chance, from 0 to 1; without it gateways draw the
+// WithRandom sets what is drawn by chance, from 0 to 1; without it gateways draw the
 // same.
-func WithChance(chance func() float64) AllowanceOption {
+func WithRandom(chance func() float64) AllowanceOption {
 	return func(a *Allowance) { a.chance = chance }
 }
 
@@ -100,20 +100,20 @@
 	a.spaces = kept
 }
 
-// Heard notes an answer of the coordinator, and how many gateways there are.
-func (a *Allowance) Heard(gateways int, now time.Time) {
+// CoordinatorReplied notes an answer of the coordinator, and how many gateways there are.
+func (a *Allowance) CoordinatorReplied(gateways int, now time.Time) {
 	a.heard, a.gateways, a.overdue = now, max(1, gateways), time.Time{}
 }
 
-// Overdue notes that an answer of the coordinator is overdue.
-func (a *Allowance) Overdue(now time.Time) {
+// ReplyOverdue notes that an answer of the coordinator is overdue.
+func (a *Allowance) ReplyOverdue(now time.Time) {
 	if a.overdue.IsZero() {
 		a.overdue = now
 	}
 }
 
-// Short notes the workspaces of whose quota little is left.
-func (a *Allowance) Short(names []string) {
+// SetShort notes the workspaces of whose quota little is left.
+func (a *Allowance) SetShort(names []string) {
 	clear(a.short)
 	for _, name := range names {
 		a.short[name] = true
@@ -158,9 +158,9 @@
 	return wants
 }
 
-// Acknowledged notes that the coordinator has what was asked for: it knows of what was
+// Acknowledge notes that the coordinator has what was asked for: it knows of what was
 // spent alone.
-func (a *Allowance) Acknowledged(wants []protocol.QuotaWant) {
+func (a *Allowance) Acknowledge(wants []protocol.QuotaWant) {
 	for _, w := range wants {
 		if s := a.spaces[w.Workspace]; s != nil {
 			s.own.owed = max(0, s.own.owed-w.Alone)
@@ -168,8 +168,8 @@
 	}
 }
 
-// Granted puts parts in. Lasts counts from when they were asked for.
-func (a *Allowance) Granted(grants []protocol.QuotaGrant, asked, now time.Time) {
+// AddGrants puts parts in. Lasts counts from when they were asked for.
+func (a *Allowance) AddGrants(grants []protocol.QuotaGrant, asked, now time.Time) {
 	for _, g := range grants {
 		s := a.spaces[g.Workspace]
 		if s == nil {
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -16,8 +16,8 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// GrantLasts is how long a granted part may be used.
-const GrantLasts = 800 * time.Millisecond
+// GrantLifetime is how long a granted part may be used.
+const GrantLifetime = 800 * time.Millisecond
 
 // Coordinator has the buckets of all workspaces.
 type Coordinator struct {
@@ -57,11 +57,11 @@
 // CoordinatorOption changes a new coordinator.
 type CoordinatorOption func(*Coordinator)
 
-// WithQuiet sets for how long no coordinator can have granted anything. While all
+// WithGrantPause sets for how long no coordinator can have granted anything. While all
 // instances are off, callers wait, and come at once when they are back: buckets that
 // began with what the rate gave in changeTime refused 1,500 tries in the second
 // after 295 gateways were off for 1.5 s.
-func WithQuiet(quiet time.Duration) CoordinatorOption {
+func WithGrantPause(quiet time.Duration) CoordinatorOption {
 	return func(c *Coordinator) { c.quiet = max(quiet, changeTime) }
 }
 
@@ -159,7 +159,7 @@
 // Grant returns a part of a workspace's quota, and where it falls short, when
 // more is to be had.
 func (c *Coordinator) Grant(w protocol.QuotaWant, now time.Time) protocol.QuotaGrant {
-	g := protocol.QuotaGrant{Workspace: w.Workspace, Lasts: GrantLasts}
+	g := protocol.QuotaGrant{Workspace: w.Workspace, Lasts: GrantLifetime}
 	b := c.buckets[w.Workspace]
 	if b == nil {
 		return g
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -74,7 +74,7 @@
 func TestAllowance(t *testing.T) {
 	p := NewAllowance(window)
 	p.Configure([]protocol.Tenancy{{Name: "w", Rate: 100, Burst: 100}})
-	p.Heard(2, start)
+	p.CoordinatorReplied(2, start)
 	if v, _ := p.Take("free", 1e9, start); v != Taken {
 		t.Error("a workspace without a quota was limited")
 	}
@@ -85,16 +85,16 @@
 	if len(wants) != 1 || wants[0].Units < 30 {
 		t.Fatalf("it asks for %v", wants)
 	}
-	p.Granted([]protocol.QuotaGrant{{Workspace: "w", Units: 40, Lasts: GrantLasts}}, start, start)
+	p.AddGrants([]protocol.QuotaGrant{{Workspace: "w", Units: 40, Lasts: GrantLifetime}}, start, start)
 	if v, _ := p.Take("w", 30, start); v != Taken {
 		t.Fatalf("with 40 granted, 30 were said %d", v)
 	}
-	late := start.Add(GrantLasts)
-	p.Heard(2, late)
+	late := start.Add(GrantLifetime)
+	p.CoordinatorReplied(2, late)
 	if v, _ := p.Take("w", 5, late); v != Ask {
 		t.Errorf("what was left was spent after its time: %d", v)
 	}
-	p.Granted([]protocol.QuotaGrant{{Workspace: "w", Wait: time.Second, Lasts: GrantLasts}}, late, late)
+	p.AddGrants([]protocol.QuotaGrant{{Workspace: "w", Wait: time.Second, Lasts: GrantLifetime}}, late, late)
 	if v, wait := p.Take("w", 5, late); v != Denied || wait <= 0 {
 		t.Errorf("after a denial it said %d, wait %v", v, wait)
 	}
@@ -109,7 +109,7 @@
 	for range gateways {
 		p := NewAllowance(window)
 		p.Configure([]protocol.Tenancy{w})
-		p.Heard(gateways, start)
+		p.CoordinatorReplied(gateways, start)
 		for ms := 1500; ms < 9500; ms += 5 {
 			if v, _ := p.Take("w", 10, start.Add(time.Duration(ms)*time.Millisecond)); v == Taken {
 				taken += 10
@@ -130,8 +130,8 @@
 	}{"plenty": {nil, Taken}, "little left": {[]string{"w"}, Denied}} {
 		p := NewAllowance(window)
 		p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
-		p.Heard(40, start)
-		p.Short(c.short)
+		p.CoordinatorReplied(40, start)
+		p.SetShort(c.short)
 		now := start.Add(time.Second)
 		if v, _ := p.Take("w", 500, now); v != c.want {
 			t.Errorf("%s: the first request was said %d, want %d", name, v, c.want)
@@ -148,7 +148,7 @@
 	for gateways, after := range map[int]time.Duration{8: aloneAfter, 360: 360 * aloneMember} {
 		p := NewAllowance(window)
 		p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
-		p.Heard(gateways, start)
+		p.CoordinatorReplied(gateways, start)
 		if v, _ := p.Take("w", 1, start.Add(after)); v != Ask {
 			t.Errorf("%d gateways: after %v it said %d", gateways, after, v)
 		}
@@ -177,9 +177,9 @@
 func TestLowerQuotaDropsParts(t *testing.T) {
 	p := NewAllowance(window)
 	p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
-	p.Heard(1, start)
+	p.CoordinatorReplied(1, start)
 	p.Take("w", 1, start)
-	p.Granted([]protocol.QuotaGrant{{Workspace: "w", Units: 900, Lasts: GrantLasts}}, start, start)
+	p.AddGrants([]protocol.QuotaGrant{{Workspace: "w", Units: 900, Lasts: GrantLifetime}}, start, start)
 	p.Configure([]protocol.Tenancy{{Name: "w", Rate: 10, Burst: 10}})
 	if v, _ := p.Take("w", 500, start); v == Taken {
 		t.Error("500 units of the former quota were spent")
@@ -205,12 +205,12 @@
 		for _, want := range p.Wants(now) {
 			grants = append(grants, c.Grant(want, now))
 		}
-		p.Granted(grants, now, now)
+		p.AddGrants(grants, now, now)
 	}
 	for step := range 4000 { // 20 s, in steps of 5 ms
 		now = now.Add(5 * time.Millisecond)
 		for i, p := range allowances {
-			p.Heard(gateways, now)
+			p.CoordinatorReplied(gateways, now)
 			if step%30 == i%30 {
 				ask(p) // As each gateway does each 150 ms.
 			}
@@ -254,9 +254,9 @@
 func TestPartLastsFromItsQuestion(t *testing.T) {
 	p := NewAllowance(window)
 	p.Configure([]protocol.Tenancy{{Name: "w", Rate: 100, Burst: 100}})
-	late := start.Add(GrantLasts)
-	p.Heard(1, late)
-	p.Granted([]protocol.QuotaGrant{{Workspace: "w", Units: 50, Lasts: GrantLasts}}, start, late)
+	late := start.Add(GrantLifetime)
+	p.CoordinatorReplied(1, late)
+	p.AddGrants([]protocol.QuotaGrant{{Workspace: "w", Units: 50, Lasts: GrantLifetime}}, start, late)
 	if v, _ := p.Take("w", 1, late); v == Taken {
 		t.Error("a part that was over was spent")
 	}
@@ -268,8 +268,8 @@
 func TestDenialIsShort(t *testing.T) {
 	p := NewAllowance(window)
 	p.Configure([]protocol.Tenancy{{Name: "w", Rate: 100, Burst: 100}})
-	p.Heard(1, start)
-	p.Granted([]protocol.QuotaGrant{{Workspace: "w", Wait: time.Hour}}, start, start)
+	p.CoordinatorReplied(1, start)
+	p.AddGrants([]protocol.QuotaGrant{{Workspace: "w", Wait: time.Hour}}, start, start)
 	if v, wait := p.Take("w", 50, start); v != Denied || wait != time.Hour {
 		t.Errorf("got %d, wait %v", v, wait)
 	}
@@ -293,8 +293,8 @@
 		now := start
 		for range 60 {
 			now = now.Add(c.pause)
-			p.Heard(1, now)
-			p.Granted([]protocol.QuotaGrant{{Workspace: "w", Units: 10, Lasts: GrantLasts}}, now, now)
+			p.CoordinatorReplied(1, now)
+			p.AddGrants([]protocol.QuotaGrant{{Workspace: "w", Units: 10, Lasts: GrantLifetime}}, now, now)
 			p.Take("w", 10, now)
 		}
 		units := 0.0
@@ -329,7 +329,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := protocol.Tenancy{Name: "w", Rate: rapid.Float64Range(10, 1000).Draw(t, "rate")}
 		w.Burst = w.Rate * rapid.Float64Range(0, 4).Draw(t, "burst")
-		c := NewCoordinator(window, WithQuiet(time.Duration(rapid.IntRange(0, 60).Draw(t, "quiet"))*time.Second))
+		c := NewCoordinator(window, WithGrantPause(time.Duration(rapid.IntRange(0, 60).Draw(t, "quiet"))*time.Second))
 		c.Configure([]protocol.Tenancy{w}, start)
 		now, held := start, 0.0
 		var spent []grant
@@ -402,7 +402,7 @@
 		700 * time.Millisecond: 700,
 		time.Hour:              1000,
 	} {
-		c := NewCoordinator(window, WithQuiet(quiet))
+		c := NewCoordinator(window, WithGrantPause(quiet))
 		c.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}}, start)
 		if got := c.buckets["w"].level; got != want {
 			t.Errorf("after %v the bucket holds %.0f, want %.0f", quiet, got, want)
@@ -419,7 +419,7 @@
 		away := time.Duration(rapid.IntRange(200, 5000).Draw(t, "away")) * time.Millisecond
 		change := start.Add(time.Duration(rapid.IntRange(0, 20_000).Draw(t, "change")) * time.Millisecond)
 		known := time.Duration(rapid.Float64Range(0, 1).Draw(t, "known") * float64(away)) // What is not logged does not count.
-		c := NewCoordinator(window, WithQuiet(time.Hour))
+		c := NewCoordinator(window, WithGrantPause(time.Hour))
 		c.Configure([]protocol.Tenancy{w}, start)
 		var spent []grant
 		ask := func(from, until time.Time) {
@@ -428,7 +428,7 @@
 			}
 		}
 		ask(start, change)
-		c = NewCoordinator(window, WithQuiet(known))
+		c = NewCoordinator(window, WithGrantPause(known))
 		c.Configure([]protocol.Tenancy{w}, change.Add(away))
 		ask(change.Add(away), change.Add(away+10*time.Second))
 		bound := w.Rate*window.Seconds() + w.Burst
@@ -443,9 +443,9 @@
 func TestAloneWhenOverdue(t *testing.T) {
 	p := NewAllowance(window)
 	p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
-	p.Heard(295, start)
-	p.Overdue(start)
-	p.Overdue(start.Add(aloneOverdue)) // It is told again and again.
+	p.CoordinatorReplied(295, start)
+	p.ReplyOverdue(start)
+	p.ReplyOverdue(start.Add(aloneOverdue)) // It is told again and again.
 	if v, _ := p.Take("w", 1, start.Add(aloneOverdue)); v != Ask {
 		t.Errorf("right after the answer was overdue it said %d", v)
 	}
@@ -453,7 +453,7 @@
 	if v, _ := p.Take("w", 1, later); v != Taken {
 		t.Errorf("a while later it said %d", v)
 	}
-	p.Heard(295, later)
+	p.CoordinatorReplied(295, later)
 	if v, _ := p.Take("w", 1, later); v != Ask {
 		t.Errorf("after an answer it said %d", v)
 	}
@@ -477,13 +477,13 @@
 			now := start
 			for range 40 * perSecond { // Until the average has settled.
 				now = now.Add(time.Second / time.Duration(perSecond))
-				p.Heard(gateways, now)
-				p.Granted([]protocol.QuotaGrant{{Workspace: "w", Units: cost, Lasts: GrantLasts}}, now, now)
+				p.CoordinatorReplied(gateways, now)
+				p.AddGrants([]protocol.QuotaGrant{{Workspace: "w", Units: cost, Lasts: GrantLifetime}}, now, now)
 				p.Take("w", cost, now)
 			}
 			now = start.Add(40 * time.Second)
-			p.Heard(gateways, now)
-			p.Overdue(now)
+			p.CoordinatorReplied(gateways, now)
+			p.ReplyOverdue(now)
 			now = now.Add(aloneOverdue)
 			own := 0.0
 			for range seconds * 100 {
@@ -546,8 +546,8 @@
 	}{"soon": {1, 400 * time.Millisecond}, "a small part": {295, aloneReturn}} {
 		p := NewAllowance(window)
 		p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
-		p.Heard(c.gateways, start)
-		p.Overdue(start)
+		p.CoordinatorReplied(c.gateways, start)
+		p.ReplyOverdue(start)
 		now := start.Add(aloneOverdue + time.Millisecond)
 		if v, _ := p.Take("w", 100, now); v != Taken {
 			t.Fatalf("%s: the first request was said %d", name, v)
@@ -576,7 +576,7 @@
 	f := &fleet{w: w, now: start, lastAsked: make([]time.Time, gateways)}
 	draw := rand.New(rand.NewPCG(1, uint64(gateways)))
 	for range gateways {
-		p := NewAllowance(window, WithChance(draw.Float64))
+		p := NewAllowance(window, WithRandom(draw.Float64))
 		p.Configure([]protocol.Tenancy{w})
 		f.gateways = append(f.gateways, p)
 	}
@@ -585,7 +585,7 @@
 
 // elect has another coordinator grant from now on, after an outage.
 func (f *fleet) elect(quiet time.Duration) {
-	f.c = NewCoordinator(window, WithQuiet(quiet))
+	f.c = NewCoordinator(window, WithGrantPause(quiet))
 	f.c.Configure([]protocol.Tenancy{f.w}, f.now)
 }
 
@@ -593,7 +593,7 @@
 func (f *fleet) ask(i int) {
 	p := f.gateways[i]
 	if f.c == nil {
-		p.Overdue(f.now)
+		p.ReplyOverdue(f.now)
 		return
 	}
 	wants := p.Wants(f.now)
@@ -601,10 +601,10 @@
 	for _, want := range wants {
 		grants = append(grants, f.c.Grant(want, f.now))
 	}
-	p.Heard(len(f.gateways), f.now)
-	p.Short(f.c.Short(f.now))
-	p.Acknowledged(wants)
-	p.Granted(grants, f.now, f.now)
+	p.CoordinatorReplied(len(f.gateways), f.now)
+	p.SetShort(f.c.Short(f.now))
+	p.Acknowledge(wants)
+	p.AddGrants(grants, f.now, f.now)
 	f.lastAsked[i] = f.now
 }
 
@@ -679,17 +679,17 @@
 	draw := rand.New(rand.NewPCG(1, 2))
 	taken := 0.0
 	for range gateways {
-		p := NewAllowance(window, WithChance(draw.Float64))
+		p := NewAllowance(window, WithRandom(draw.Float64))
 		p.Configure([]protocol.Tenancy{w})
 		now := start
 		for range 6 { // A request each 6 s, a third of the rate for all together.
 			now = now.Add(6 * time.Second)
-			p.Heard(gateways, now)
-			p.Granted([]protocol.QuotaGrant{{Workspace: "w", Units: units, Lasts: GrantLasts}}, now, now)
+			p.CoordinatorReplied(gateways, now)
+			p.AddGrants([]protocol.QuotaGrant{{Workspace: "w", Units: units, Lasts: GrantLifetime}}, now, now)
 			p.Take("w", units, now)
 		}
-		p.Short([]string{"w"})
-		p.Overdue(now)
+		p.SetShort([]string{"w"})
+		p.ReplyOverdue(now)
 		for range seconds * 100 {
 			now = now.Add(10 * time.Millisecond)
 			if v, _ := p.Take("w", units, now); v == Taken {
@@ -708,12 +708,12 @@
 	w := protocol.Tenancy{Name: "w", Rate: 1000, Burst: 1000}
 	p := NewAllowance(window)
 	p.Configure([]protocol.Tenancy{w})
-	p.Heard(1, start)
-	p.Granted([]protocol.QuotaGrant{{Workspace: "w", Units: 5000, Lasts: GrantLasts}}, start, start)
+	p.CoordinatorReplied(1, start)
+	p.AddGrants([]protocol.QuotaGrant{{Workspace: "w", Units: 5000, Lasts: GrantLifetime}}, start, start)
 	for range 250 {
 		p.Take("w", 20, start) // The rate of five seconds, at once.
 	}
-	p.Overdue(start)
+	p.ReplyOverdue(start)
 	taken, now := 0.0, start.Add(aloneOverdue)
 	for range 200 {
 		now = now.Add(10 * time.Millisecond)
@@ -732,10 +732,10 @@
 	for _, window := range []time.Duration{4 * time.Second, 8 * time.Second, 40 * time.Second} {
 		p := NewAllowance(window)
 		p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
-		p.Heard(295, start)
-		p.Granted([]protocol.QuotaGrant{{Workspace: "w", Units: 4000, Lasts: GrantLasts}}, start, start)
+		p.CoordinatorReplied(295, start)
+		p.AddGrants([]protocol.QuotaGrant{{Workspace: "w", Units: 4000, Lasts: GrantLifetime}}, start, start)
 		p.Take("w", 4000, start)
-		p.Overdue(start)
+		p.ReplyOverdue(start)
 		p.Take("w", 1, start.Add(aloneOverdue+time.Millisecond))
 		got, want := p.spaces["w"].own.rate, 4000/window.Seconds()
 		if got > want || got < 0.9*want {
--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -190,7 +190,7 @@
 func (u *Uplink) reset(term uint64) {
 	u.term, u.entered, u.earlier = term, clock.Now(), 0
 	u.gateways = map[string]*gateway{}
-	u.quotas = quota.NewCoordinator(u.quota, quota.WithQuiet(u.quiet()))
+	u.quotas = quota.NewCoordinator(u.quota, quota.WithGrantPause(u.quiet()))
 	u.ledger = usage.NewLedger()
 	u.marks = usage.NewWatermarks(u.alone)
 	u.listed, u.servers, u.history, u.due = false, nil, history{}, u.entered.Add(listEvery+listSlack)
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -144,7 +144,7 @@
 		place:       func(protocol.PlaceMsg) (protocol.PlaceReply, bool) { return protocol.PlaceReply{}, false },
 		began:       now,
 		clock:       usage.NewClock(now),
-		allowance:   quota.NewAllowance(cfg.QuotaWindow, quota.WithChance(rand.Float64)),
+		allowance:   quota.NewAllowance(cfg.QuotaWindow, quota.WithRandom(rand.Float64)),
 		granted:     make(chan struct{}),
 		news:        make(chan struct{}),
 		shares:      map[string]*retry.Share{},
@@ -260,7 +260,7 @@
 	g.gateways.Store(int64(max(1, gateways)))
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.allowance.Heard(gateways, clock.Now())
+	g.allowance.CoordinatorReplied(gateways, clock.Now())
 	for _, s := range g.shares {
 		s.Resize(g.cfg.RetryExtra, gateways)
 	}
@@ -272,7 +272,7 @@
 func (g *Gateway) Overdue() {
 	now := clock.Now()
 	g.mu.Lock()
-	g.allowance.Overdue(now)
+	g.allowance.ReplyOverdue(now)
 	g.mu.Unlock()
 	g.askForNotices(now)
 }
--- a/transport/forward/quota.go
+++ b/transport/forward/quota.go
@@ -39,14 +39,14 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.allowance.Acknowledged(m.Wants)
+	g.allowance.Acknowledge(m.Wants)
 	g.grant(reply.Grants, asked)
 }
 
 // grant takes parts of quotas, and has the requests that wait for them look again. It needs
 // g.mu.
 func (g *Gateway) grant(grants []protocol.QuotaGrant, asked time.Time) {
-	g.allowance.Granted(grants, asked, clock.Now())
+	g.allowance.AddGrants(grants, asked, clock.Now())
 	close(g.granted)
 	g.granted = make(chan struct{})
 }
