--- a/coordination/scale/load.go
+++ b/coordination/scale/load.go
@@ -46,7 +46,7 @@
 }
 
 func newLoad(s *Service, now time.Time) *load {
-	return &load{begun: s.Begun, slow: s.Slow, at: now, factor: 1}
+	return &load{begun: s.BegunAnswers, slow: s.SlowAnswers, at: now, factor: 1}
 }
 
 // peak returns the highest number of running requests of late.
@@ -73,15 +73,15 @@
 	if l.busy.IsZero() && !s.idle() {
 		l.busy = now
 	}
-	begun, slow := s.Begun-l.begun, s.Slow-l.slow
+	begun, slow := s.BegunAnswers-l.begun, s.SlowAnswers-l.slow
 	if begun < 0 || slow < 0 {
-		l.begun, l.slow, l.at = s.Begun, s.Slow, now // A gateway is gone.
+		l.begun, l.slow, l.at = s.BegunAnswers, s.SlowAnswers, now // A gateway is gone.
 		return
 	}
 	if now.Sub(l.at) < judgeEvery || begun < judgeLeast {
 		return
 	}
-	l.begun, l.slow, l.at = s.Begun, s.Slow, now
+	l.begun, l.slow, l.at = s.BegunAnswers, s.SlowAnswers, now
 	switch part := float64(slow) / float64(begun); {
 	case part > slowMuch:
 		l.factor = min(mostFactor, l.factor*growBy)
--- a/coordination/scale/regions.go
+++ b/coordination/scale/regions.go
@@ -43,14 +43,14 @@
 // load. It needs the service's entry in p.loads, which need makes.
 func (p *Planner) regions(s *Service, domains []domainState, now time.Time) *regions {
 	sum := 0.0
-	for _, work := range s.Regions {
+	for _, work := range s.RunningByRegion {
 		sum += work
 	}
 	if !p.topology.Several() || sum <= 0 || len(domains) == 0 {
 		return nil
 	}
 	parts := map[string]float64{}
-	for region, work := range s.Regions {
+	for region, work := range s.RunningByRegion {
 		parts[region] = work / sum
 	}
 	parts = p.loads[s.Spec.Name].meanParts(parts, now)
--- a/coordination/scale/regions_test.go
+++ b/coordination/scale/regions_test.go
@@ -154,7 +154,7 @@
 	parts := map[string]float64{"x": 9, "y": 1}
 	w := &world{counts: map[Order]int{{Service: "model", Domain: "a"}: 5, {Service: "model", Domain: "b"}: 4}}
 	plan := func(regions map[string]float64, opts ...PlannerOption) []Order {
-		s := Service{Spec: spec(), Base: 20, Regions: regions}
+		s := Service{Spec: spec(), InitialServers: 20, RunningByRegion: regions}
 		return New(opts...).Plan(PlanMsg{Services: []Service{s}, Servers: w.list(), Now: start})
 	}
 	want := plan(nil)
@@ -174,7 +174,7 @@
 func TestLostDomainIsMadeUpNear(t *testing.T) {
 	s := Service{Spec: &protocol.ServiceSpec{Name: "model", Slots: 16, Scaling: &protocol.ScalingSpec{
 		Max: 30, DomainPrices: map[string]float64{"a-1": 0.95, "a-2": 0.95, "b-1": 1, "b-2": 1, "c-1": 0.95, "c-2": 0.95},
-	}}, Base: 40, Begun: 1, Work: 200, Regions: map[string]float64{"a": 1, "b": 1, "c": 1}}
+	}}, InitialServers: 40, BegunAnswers: 1, Running: 200, RunningByRegion: map[string]float64{"a": 1, "b": 1, "c": 1}}
 	regions := threeRegions()
 	for _, c := range []struct {
 		name string
@@ -254,16 +254,16 @@
 func TestMovedLoadOrdersNoMore(t *testing.T) {
 	s := Service{Spec: &protocol.ServiceSpec{Name: "model", Slots: 16, Scaling: &protocol.ScalingSpec{
 		Max: 30, DomainPrices: map[string]float64{"a-1": 1, "a-2": 1, "b-1": 1, "b-2": 1, "c-1": 1, "c-2": 1},
-	}}, Base: 20, Begun: 1, Work: 100}
+	}}, InitialServers: 20, BegunAnswers: 1, Running: 100}
 	p := New(WithTopology(threeRegions()))
 	full := func(load map[string]float64, now time.Time) map[string]int {
-		s.Regions = load
+		s.RunningByRegion = load
 		counts := map[string]int{}
 		for _, o := range p.Plan(PlanMsg{Services: []Service{s}, Now: now}) {
 			if !o.Reclaimable {
 				counts[o.Domain] += o.Count
 			}
-			p.Ordered(o, true, now)
+			p.RecordOrder(o, true, now)
 		}
 		return counts
 	}
@@ -303,10 +303,10 @@
 	p, now := New(WithTopology(threeRegions())), start
 	s := Service{Spec: &protocol.ServiceSpec{Name: "model", Slots: 16, Scaling: &protocol.ScalingSpec{
 		Max: 30, DomainPrices: map[string]float64{"a-1": 1, "b-1": 1},
-	}}, Base: 20}
+	}}, InitialServers: 20}
 	domains := survey(s.Spec, nil)
 	look := func(a, b float64) float64 {
-		s.Work, s.Regions = a+b, map[string]float64{"a": a, "b": b}
+		s.Running, s.RunningByRegion = a+b, map[string]float64{"a": a, "b": b}
 		p.Plan(PlanMsg{Services: []Service{s}, Now: now})
 		part := p.regions(&s, domains, now).parts["a"]
 		now = now.Add(500 * time.Millisecond)
@@ -340,7 +340,7 @@
 	for _, prices := range []map[string]float64{nil, {"a-1": 1}, {"a-1": 1, "b-1": 1}, {"d": 1}} {
 		p := New(WithTopology(threeRegions()))
 		s := Service{Spec: &protocol.ServiceSpec{Name: "model", Slots: 16, Scaling: &protocol.ScalingSpec{Max: 30, DomainPrices: prices}},
-			Base: 10, Work: 50, Begun: 1, Regions: map[string]float64{"a": 1, "b": 3}}
+			InitialServers: 10, Running: 50, BegunAnswers: 1, RunningByRegion: map[string]float64{"a": 1, "b": 3}}
 		if orders := p.Plan(PlanMsg{Services: []Service{s}, Now: start}); (len(orders) > 0) != (len(prices) > 0) {
 			t.Errorf("%v: ordered %v", prices, orders)
 		}
--- a/coordination/scale/scale.go
+++ b/coordination/scale/scale.go
@@ -26,13 +26,13 @@
 // Service is a service whose servers are ours to order, with what its requests
 // ask for.
 type Service struct {
-	Spec    *protocol.ServiceSpec
-	Work    float64            // Work is how many requests run at once, in the mean of the last second.
-	Begun   int64              // Begun counts answers that began, since the gateways' start.
-	Slow    int64              // Slow counts those of them that used up much of their target.
-	Base    int                // Base is how many servers the service had when it was first seen.
-	Guessed bool               // Guessed says that Base may still rise: only reclaimable servers are ordered then.
-	Regions map[string]float64 // Regions are Work by the gateways' region; empty where all lie in one.
+	Spec            *protocol.ServiceSpec
+	Running         float64            // Work is how many requests run at once, in the mean of the last second.
+	BegunAnswers    int64              // Begun counts answers that began, since the gateways' start.
+	SlowAnswers     int64              // Slow counts those of them that used up much of their target.
+	InitialServers  int                // Base is how many servers the service had when it was first seen.
+	Provisional     bool               // Guessed says that Base may still rise: only reclaimable servers are ordered then.
+	RunningByRegion map[string]float64 // Regions are Work by the gateways' region; empty where all lie in one.
 }
 
 // PlanMsg asks for the orders of the moment.
@@ -100,8 +100,8 @@
 	return p
 }
 
-// Ordered notes what became of an order.
-func (p *Planner) Ordered(o Order, taken bool, now time.Time) {
+// RecordOrder notes what became of an order.
+func (p *Planner) RecordOrder(o Order, taken bool, now time.Time) {
 	key := o
 	key.Count = 0
 	p.orders[key] = sent{count: o.Count, at: now, refused: !taken, grew: o.Count > p.orders[key].count}
@@ -141,7 +141,7 @@
 	}
 	orders = p.oneProbe(orders, s.Spec.Name, now)
 	for i, d := range domains {
-		if !s.Guessed {
+		if !s.Provisional {
 			orders = p.order(orders, s.Spec.Name, d, wantFull[i], false, now)
 		}
 	}
@@ -149,7 +149,7 @@
 }
 
 // idle reports whether nobody has asked the service for anything yet.
-func (s *Service) idle() bool { return s.Begun == 0 && s.Work == 0 }
+func (s *Service) idle() bool { return s.BegunAnswers == 0 && s.Running == 0 }
 
 // expect counts the reclaimable servers that were ordered as if they served
 // already: while nobody asks for anything, those at the full price need not stay
@@ -175,8 +175,8 @@
 	}
 	l.observe(s, now)
 	slots := max(1, s.Spec.Slots)
-	work := l.peak(s.Work, now) / float64(slots)
-	base := float64(s.Base)
+	work := l.peak(s.Running, now) / float64(slots)
+	base := float64(s.InitialServers)
 	need = int(math.Ceil(max(work/fillAim, basePart*base*l.factor)))
 	least = int(math.Ceil(max(work/fillMost, leastPart*base)))
 	most := l.most(now)
--- a/coordination/scale/scale_test.go
+++ b/coordination/scale/scale_test.go
@@ -49,7 +49,7 @@
 		if taken {
 			w.counts[key] = w.held(o)
 		}
-		p.Ordered(o, taken, now)
+		p.RecordOrder(o, taken, now)
 	}
 }
 
@@ -78,7 +78,7 @@
 func TestReclaimableTakeOver(t *testing.T) {
 	w := &world{counts: map[Order]int{{Service: "model", Domain: "a"}: 5, {Service: "model", Domain: "b"}: 4}}
 	p, now := New(), start
-	s := Service{Spec: spec(), Base: 9}
+	s := Service{Spec: spec(), InitialServers: 9}
 	for range 40 {
 		w.step(p, s, now)
 		now = now.Add(500 * time.Millisecond)
@@ -108,11 +108,11 @@
 			w.counts[Order{Service: "model", Domain: domain}] = size / 6
 		}
 		p, now := New(), start
-		s := Service{Spec: spec, Base: size}
+		s := Service{Spec: spec, InitialServers: size}
 		pass := func(d time.Duration, work float64) {
 			for end := now.Add(d); now.Before(end); now = now.Add(250 * time.Millisecond) {
-				s.Work = work
-				s.Begun += int64(work / 4)
+				s.Running = work
+				s.BegunAnswers += int64(work / 4)
 				w.step(p, s, now)
 			}
 		}
@@ -152,7 +152,7 @@
 func TestReclaimWhileNoneAreLeft(t *testing.T) {
 	w := &world{counts: map[Order]int{{Service: "model", Domain: "a"}: 9}}
 	p, now := New(), start
-	s := Service{Spec: spec(), Base: 24}
+	s := Service{Spec: spec(), InitialServers: 24}
 	for range 40 {
 		w.step(p, s, now)
 		now = now.Add(500 * time.Millisecond)
@@ -180,7 +180,7 @@
 		w.counts[Order{Service: "model", Domain: d}] = 6
 	}
 	p, now := New(), start
-	s := Service{Spec: spec(), Base: 24} // 18 are needed, without any two domains.
+	s := Service{Spec: spec(), InitialServers: 24} // 18 are needed, without any two domains.
 	for range 40 {
 		w.step(p, s, now)
 		now = now.Add(500 * time.Millisecond)
@@ -198,7 +198,7 @@
 func TestAnotherLossIsBorne(t *testing.T) {
 	w := &world{counts: map[Order]int{{Service: "model", Domain: "a"}: 9}}
 	p, now := New(), start
-	s := Service{Spec: spec(), Base: 16}
+	s := Service{Spec: spec(), InitialServers: 16}
 	run := func(steps int) {
 		for range steps {
 			w.step(p, s, now)
@@ -226,7 +226,7 @@
 		w.counts[Order{Service: "model", Domain: d}] = 28
 	}
 	p, now := New(), start
-	s := Service{Spec: spec(), Base: 112}
+	s := Service{Spec: spec(), InitialServers: 112}
 	s.Spec.Scaling.Max = 56
 	run := func(steps int) {
 		for range steps {
@@ -269,11 +269,11 @@
 		"they do not come": {0, unfilledAfter, false},
 	} {
 		p := New()
-		s := Service{Spec: spec(), Base: 9, Begun: c.begun}
+		s := Service{Spec: spec(), InitialServers: 9, BegunAnswers: c.begun}
 		m := PlanMsg{Services: []Service{s}, Servers: full, Now: start}
 		for _, o := range p.Plan(m) {
 			if o.Reclaimable {
-				p.Ordered(o, true, start)
+				p.RecordOrder(o, true, start)
 			}
 		}
 		m.Now = start.Add(c.after)
@@ -296,18 +296,18 @@
 			w.counts[Order{Service: "model", Domain: d}] = rapid.IntRange(0, 5).Draw(t, "full")
 		}
 		p, now := New(), start
-		s := Service{Spec: spec(), Base: rapid.IntRange(1, 30).Draw(t, "base")}
+		s := Service{Spec: spec(), InitialServers: rapid.IntRange(1, 30).Draw(t, "base")}
 		for range 60 {
 			now = now.Add(time.Duration(rapid.IntRange(50, 2000).Draw(t, "pause")) * time.Millisecond)
-			s.Work = rapid.Float64Range(0, 600).Draw(t, "work")
-			s.Begun += 50
-			s.Slow += int64(rapid.IntRange(0, 20).Draw(t, "slow"))
+			s.Running = rapid.Float64Range(0, 600).Draw(t, "work")
+			s.BegunAnswers += 50
+			s.SlowAnswers += int64(rapid.IntRange(0, 20).Draw(t, "slow"))
 			w.dry = rapid.Bool().Draw(t, "dry")
 			for _, o := range p.Plan(PlanMsg{Services: []Service{s}, Servers: w.list(), Now: now}) {
 				if o.Count < 0 || o.Count > s.Spec.Scaling.Max {
 					t.Fatalf("order %+v", o)
 				}
-				p.Ordered(o, !w.dry, now)
+				p.RecordOrder(o, !w.dry, now)
 			}
 		}
 	})
@@ -316,13 +316,13 @@
 // TestSlowAnswersCallForMore checks that the need follows how many answers are
 // slow, both ways.
 func TestSlowAnswersCallForMore(t *testing.T) {
-	s := Service{Spec: spec(), Base: 8}
+	s := Service{Spec: spec(), InitialServers: 8}
 	l := newLoad(&s, start)
 	now := start
 	feed := func(slow int64) {
 		for range 20 {
 			now = now.Add(judgeEvery)
-			s.Begun, s.Slow = s.Begun+100, s.Slow+slow
+			s.BegunAnswers, s.SlowAnswers = s.BegunAnswers+100, s.SlowAnswers+slow
 			l.observe(&s, now)
 		}
 	}
@@ -366,7 +366,7 @@
 	} {
 		p := New()
 		key := Order{Service: "model", Domain: "a", Count: c.last, Reclaimable: true}
-		p.Ordered(key, c.taken, start)
+		p.RecordOrder(key, c.taken, start)
 		for after, want := range map[time.Duration]int{c.pause - time.Millisecond: 0, c.pause: 1} {
 			if name == "as many" {
 				want = 0
@@ -391,7 +391,7 @@
 	} {
 		p := New()
 		for _, n := range c.counts {
-			p.Ordered(Order{Service: "model", Domain: "a", Count: n}, true, start)
+			p.RecordOrder(Order{Service: "model", Domain: "a", Count: n}, true, start)
 		}
 		d := domainState{name: "a", full: c.counts[1]}
 		if got := p.order(nil, "model", d, 1, false, start.Add(c.pause-time.Millisecond)); len(got) > 0 {
@@ -421,7 +421,7 @@
 	w := &world{counts: map[Order]int{{Service: "model", Domain: "a"}: 2}}
 	for _, guessed := range []bool{true, false} {
 		full := false
-		for _, o := range New().Plan(PlanMsg{Services: []Service{{Spec: spec(), Base: 9, Guessed: guessed}}, Servers: w.list(), Now: start}) {
+		for _, o := range New().Plan(PlanMsg{Services: []Service{{Spec: spec(), InitialServers: 9, Provisional: guessed}}, Servers: w.list(), Now: start}) {
 			full = full || !o.Reclaimable
 		}
 		if full == guessed {
@@ -455,7 +455,7 @@
 func TestOneDomainIsAskedForAll(t *testing.T) {
 	w := &world{counts: map[Order]int{{Service: "model", Domain: "a"}: 9}, dry: true}
 	p, now := New(), start
-	s := Service{Spec: spec(), Base: 9}
+	s := Service{Spec: spec(), InitialServers: 9}
 	refused := map[string]int{}
 	const steps, pause = 200, 100 * time.Millisecond
 	for range steps {
@@ -463,7 +463,7 @@
 			if o.Reclaimable {
 				refused[o.Domain]++
 			}
-			p.Ordered(o, !o.Reclaimable, now)
+			p.RecordOrder(o, !o.Reclaimable, now)
 		}
 		now = now.Add(pause)
 	}
@@ -497,7 +497,7 @@
 	const order = 5
 	p := New()
 	key := Order{Service: "model", Domain: "a", Count: order, Reclaimable: true}
-	p.Ordered(key, true, start)
+	p.RecordOrder(key, true, start)
 	for _, c := range []struct {
 		name   string
 		after  time.Duration
@@ -514,7 +514,7 @@
 			t.Fatalf("%s: %d orders, want %d", c.name, len(got), c.orders)
 		}
 		for _, o := range got {
-			p.Ordered(o, true, now)
+			p.RecordOrder(o, true, now)
 		}
 	}
 	now := start.Add(4 * time.Second)
--- a/transport/control/fleet.go
+++ b/transport/control/fleet.go
@@ -100,7 +100,7 @@
 		}
 		m.Servers = planned
 		l := loads[s.Name]
-		m.Services = append(m.Services, scale.Service{Spec: s, Work: l.Work, Begun: l.Begun, Slow: l.Slow, Base: pick(ok, base, guess), Guessed: !ok, Regions: l.Regions})
+		m.Services = append(m.Services, scale.Service{Spec: s, Running: l.Work, BegunAnswers: l.Begun, SlowAnswers: l.Slow, InitialServers: pick(ok, base, guess), Provisional: !ok, RunningByRegion: l.Regions})
 	}
 	var orders []Order
 	for _, o := range f.planner.Plan(m) {
@@ -111,7 +111,7 @@
 
 // Ordered notes what became of an order.
 func (f *Fleet) Ordered(o Order, err error, now time.Time) {
-	f.planner.Ordered(scale.Order(o), err == nil, now)
+	f.planner.RecordOrder(scale.Order(o), err == nil, now)
 }
 
 // pick returns the settled number if there is one, else the guess.
