--- a/coordination/replicate/copies_test.go
+++ b/coordination/replicate/copies_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestCopies checks that an entry is committed only once it is on as many disks
-// as were asked for, though a quorum would be fewer.
+// TestCopies checks that an entry is committed only once it is on as many disks as
+// Config.Copies requires, even if a quorum would be fewer.
 func TestCopies(t *testing.T) {
 	r := replicaOf(idA, HardState{})
 	r.cfg.Copies = 3
@@ -15,7 +15,7 @@
 	r.Update(SyncedMsg{Index: last, Term: r.hard.Term})
 	r.Update(StepMsg{Message: Message{Kind: AppendReply, From: idB, To: idA, Term: r.hard.Term, Index: last}, Now: time.Second})
 	if r.commit == last {
-		t.Error("committed on two disks, three were asked for")
+		t.Error("committed on two disks, three are required")
 	}
 	r.Update(StepMsg{Message: Message{Kind: AppendReply, From: idC, To: idA, Term: r.hard.Term, Index: last}, Now: time.Second})
 	if r.commit != last {
@@ -23,9 +23,9 @@
 	}
 }
 
-// TestLearnerTakesThePlaceOfTheGone checks that a group at its full size takes
-// a learner in only for a voter that is gone, and then lets that one go.
-func TestLearnerTakesThePlaceOfTheGone(t *testing.T) {
+// TestLearnerReplacesSilentVoter checks that a group with the maximum number of voters
+// promotes a learner only in place of a silent voter, which it then removes.
+func TestLearnerReplacesSilentVoter(t *testing.T) {
 	r := replicaOf(idA, HardState{})
 	r.cfg.Voters, r.cfg.Gone = 3, time.Second
 	elect(t, r)
@@ -47,13 +47,13 @@
 		answer(idB, idC, idD)
 	}
 	if m := r.log.Members(); len(m.Voters) != 3 || !m.IsLearner(idD) {
-		t.Fatalf("with all voters there, the members are %+v", m)
+		t.Fatalf("with all voters answering, the members are %+v", m)
 	}
 	for range 80 {
 		answer(idB, idD)
 	}
 	m := r.log.Members()
 	if len(m.Voters) != 3 || !m.IsVoter(idD) || m.IsVoter(idC) {
-		t.Errorf("after a voter was gone, the members are %+v", m)
+		t.Errorf("after a voter went silent, the members are %+v", m)
 	}
 }
--- a/coordination/replicate/election.go
+++ b/coordination/replicate/election.go
@@ -1,7 +1,7 @@
 package replicate
 
-// campaign asks for votes: first whether they would be given, at a term that
-// nobody takes on for it, and then in earnest.
+// campaign requests votes: as a pre-candidate it asks whether they would be granted, for
+// a term that nobody adopts because of it; as a candidate it requests them.
 func (r *Replica) campaign(role Role) {
 	term := r.hard.Term + 1
 	kind := PreVote
@@ -13,23 +13,24 @@
 	r.role, r.leader = role, ID{}
 	r.votes = map[ID]bool{}
 	if role == PreCandidate {
-		r.votes[r.id] = true // A vote in earnest counts once it is on disk; see synced.
+		r.votes[r.id] = true // The vote of a candidate for itself counts once it is on disk; see handleSynced.
 	}
-	r.electionAt = r.now + r.timeout() + r.spread
-	if role == PreCandidate && r.renews() {
-		r.electionAt = r.now + r.renewPause()
+	r.electionDeadline = r.now + r.electionTimeout() + r.electionJitter
+	if role == PreCandidate && r.seeksReelection() {
+		r.electionDeadline = r.now + r.reelectionInterval()
 	}
 	for _, id := range r.log.Members().Voters {
 		if id != r.id {
-			m := Message{Kind: kind, From: r.id, To: id, Term: term, Index: r.log.Last(), LogTerm: r.log.LastTerm(), Void: r.void}
-			r.do(SendCmd{Message: m, Durable: true})
+			m := Message{Kind: kind, From: r.id, To: id, Term: term, Index: r.log.Last(), LogTerm: r.log.LastTerm(), Void: r.voidTerm}
+			r.emit(SendCmd{Message: m, Durable: true})
 		}
 	}
-	r.count()
+	r.tallyVotes()
 }
 
-// count goes on when a quorum of exactly these incarnations agreed.
-func (r *Replica) count() {
+// tallyVotes continues the campaign once a quorum has granted the vote, and ends it once
+// a quorum has refused. Only the votes of the incarnations in the member list count.
+func (r *Replica) tallyVotes() {
 	members := r.log.Members()
 	granted, refused := 0, 0
 	for _, id := range members.Voters {
@@ -49,39 +50,39 @@
 	}
 }
 
-// step takes a message from another replica. One for another incarnation is
-// not for this replica.
+// step processes a message from another replica. A message for another incarnation is
+// dropped.
 func (r *Replica) step(m Message) {
-	if m.To != r.id || r.broken {
+	if m.To != r.id || r.diskFailed {
 		return
 	}
-	if r.pinged(m) {
+	if r.handlePing(m) {
 		return
 	}
-	r.release(m)
-	if r.stale(m) || !r.takeTerm(m) {
+	r.releasePromise(m)
+	if r.rejectStale(m) || !r.adoptTerm(m) {
 		return
 	}
 	switch m.Kind {
 	case PreVote, Vote:
-		r.vote(m)
+		r.handleVote(m)
 	case PreVoteReply, VoteReply:
-		r.voteReply(m)
+		r.handleVoteReply(m)
 	case Append:
-		r.appendFrom(m)
+		r.handleAppend(m)
 	case AppendReply:
-		r.appendReply(m)
+		r.handleAppendReply(m)
 	case Snapshot:
-		r.restore(m)
+		r.handleSnapshot(m)
 	case Handover:
-		r.takeOver(m)
+		r.handleHandover(m)
 	case Ping, Pong:
 	}
 }
 
-// stale answers messages of an older term, so that their sender learns of the
-// newer one.
-func (r *Replica) stale(m Message) bool {
+// rejectStale answers messages of an older term, so that their sender learns of the newer
+// one, and reports whether m was such a message.
+func (r *Replica) rejectStale(m Message) bool {
 	if m.Term >= r.hard.Term {
 		return false
 	}
@@ -89,17 +90,17 @@
 	case PreVote, Vote:
 		r.replyVote(m, r.hard.Term, true)
 	case Append, Snapshot:
-		// It answers no round: the sender may lead the newer term by now, and have
-		// begun to count its rounds anew when it was started again.
-		r.do(SendCmd{Message: Message{Kind: AppendReply, From: r.id, To: m.From, Term: r.hard.Term, Reject: true}, Durable: true})
+		// The reply carries no round: after a restart the sender may lead the newer term
+		// and have started to number its rounds from the beginning.
+		r.emit(SendCmd{Message: Message{Kind: AppendReply, From: r.id, To: m.From, Term: r.hard.Term, Reject: true}, Durable: true})
 	case PreVoteReply, VoteReply, AppendReply, Handover, Ping, Pong:
 	}
 	return true
 }
 
-// takeTerm takes on a newer term, except where that would let a replica that
-// was cut off disturb a leader that works. It reports whether to go on.
-func (r *Replica) takeTerm(m Message) bool {
+// adoptTerm adopts a newer term, unless that would let a replica that was partitioned
+// disrupt a working leader. It reports whether the message is to be processed.
+func (r *Replica) adoptTerm(m Message) bool {
 	if m.Term <= r.hard.Term {
 		return true
 	}
@@ -111,7 +112,7 @@
 			return true
 		}
 	case Vote:
-		if r.sticky() {
+		if r.leaderMayHoldLease() {
 			return false
 		}
 	case Append, Snapshot, VoteReply, AppendReply, Handover, Ping, Pong:
@@ -124,15 +125,15 @@
 	return true
 }
 
-// sticky reports whether a leader was heard from so lately that its lease may
-// still run.
-func (r *Replica) sticky() bool {
-	return r.role == Leader || r.now-r.heardAt < r.cfg.Election || r.now < r.promisedUntil
+// leaderMayHoldLease reports whether a leader was heard from so recently that its lease
+// may still be valid.
+func (r *Replica) leaderMayHoldLease() bool {
+	return r.role == Leader || r.now-r.leaderContactAt < r.cfg.Election || r.now < r.promisedUntil
 }
 
-func (r *Replica) vote(m Message) {
+func (r *Replica) handleVote(m Message) {
 	if m.Kind == PreVote {
-		grant := !r.sticky() && m.Term > r.hard.Term && r.upToDate(m)
+		grant := !r.leaderMayHoldLease() && m.Term > r.hard.Term && r.upToDate(m)
 		term := m.Term
 		if !grant {
 			term = r.hard.Term
@@ -140,16 +141,16 @@
 		r.replyVote(m, term, !grant)
 		return
 	}
-	grant := !r.sticky() && (r.hard.Vote.IsZero() || r.hard.Vote == m.From) && r.upToDate(m)
+	grant := !r.leaderMayHoldLease() && (r.hard.Vote.IsZero() || r.hard.Vote == m.From) && r.upToDate(m)
 	if grant {
 		r.hard.Vote = m.From
 		r.persist(nil)
-		r.electionAt = r.now + r.timeout() + r.spread
+		r.electionDeadline = r.now + r.electionTimeout() + r.electionJitter
 	}
 	r.replyVote(m, r.hard.Term, !grant)
 }
 
-// upToDate reports whether a candidate's log has all that this one may have
+// upToDate reports whether a candidate's log has everything that this replica may have
 // helped to commit.
 func (r *Replica) upToDate(m Message) bool {
 	last := r.log.LastTerm()
@@ -162,10 +163,10 @@
 		kind = PreVoteReply
 	}
 	reply := Message{Kind: kind, From: r.id, To: m.From, Term: term, Reject: reject}
-	r.do(SendCmd{Message: reply, Durable: true})
+	r.emit(SendCmd{Message: reply, Durable: true})
 }
 
-func (r *Replica) voteReply(m Message) {
+func (r *Replica) handleVoteReply(m Message) {
 	switch {
 	case m.Kind == PreVoteReply && r.role == PreCandidate && (m.Reject || m.Term == r.hard.Term+1):
 	case m.Kind == VoteReply && r.role == Candidate && m.Term == r.hard.Term:
@@ -173,5 +174,5 @@
 		return
 	}
 	r.votes[m.From] = !m.Reject
-	r.count()
+	r.tallyVotes()
 }
--- a/coordination/replicate/handover_test.go
+++ b/coordination/replicate/handover_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestShorterPromiseEndsNoLongerOne checks that a voter keeps a promise also when a
-// later message asks for less, and what is on its disk until the promise is over.
+// TestShorterPromiseEndsNoLongerOne checks that a voter keeps a promise when a later
+// message requests a shorter one, and keeps it on disk until it has ended.
 func TestShorterPromiseEndsNoLongerOne(t *testing.T) {
 	long := 4 * testConfig.Election
 	began := time.Second
@@ -20,47 +20,47 @@
 	for at, want := range map[time.Duration]bool{2 * testConfig.Election: false, long - time.Millisecond: false, long: true} {
 		b := voter()
 		if b.hard.Promise != long {
-			t.Fatalf("%v is on disk while a promise of %v runs", b.hard.Promise, long)
+			t.Fatalf("the promise on disk is %v, want %v", b.hard.Promise, long)
 		}
-		for _, s := range sends(b.Update(StepMsg{Message: Message{Kind: Vote, From: idC, To: idB, Term: 5, Index: 9, LogTerm: 9}, Now: began + at})) {
+		for _, s := range sentMessages(b.Update(StepMsg{Message: Message{Kind: Vote, From: idC, To: idB, Term: 5, Index: 9, LogTerm: 9}, Now: began + at})) {
 			if s.Message.Reject == want {
-				t.Errorf("%v behind the promise the vote is %+v", at, s.Message)
+				t.Errorf("%v after the promise the vote is %+v", at, s.Message)
 			}
 		}
 	}
 	b := voter()
 	b.Update(StepMsg{Message: Message{Kind: Append, From: idA, To: idB, Term: 4}, Now: began + long})
 	if b.hard.Promise != 0 {
-		t.Errorf("%v stays on disk though only shorter promises run", b.hard.Promise)
+		t.Errorf("the promise on disk is still %v after it ended", b.hard.Promise)
 	}
 }
 
-// handing returns a leader with an entry that is not committed, which was asked to hand
-// over to b, and has taken a proposal and a read since.
-func handing(t *testing.T) *Replica {
+// leaderInHandover returns a leader with an uncommitted entry that was asked to hand over
+// to b, and has received a proposal and a read since.
+func leaderInHandover(t *testing.T) *Replica {
 	t.Helper()
 	r := replicaOf(idA, HardState{Term: 2})
 	elect(t, r)
-	answer(r, idB, 1)
+	acknowledge(r, idB, 1)
 	r.Update(SyncedMsg{Index: 1, Term: r.hard.Term})
 	r.Update(ProposeMsg{Token: 1})
 	r.Update(HandoverMsg{Token: 2, To: "b"})
 	if cmds := r.Update(ProposeMsg{Token: 3}); len(cmds) > 0 {
-		t.Fatalf("a proposal during the hand-over came to %+v", cmds)
+		t.Fatalf("a proposal during the handover returned %+v", cmds)
 	}
 	if cmds := r.Update(ReadMsg{Token: 4}); len(cmds) > 0 {
-		t.Fatalf("a read during the hand-over came to %+v", cmds)
+		t.Fatalf("a read during the handover returned %+v", cmds)
 	}
 	return r
 }
 
-// answer has a voter tell that it has the log up to an index.
-func answer(r *Replica, from ID, index uint64) []Cmd {
+// acknowledge sends a leader the reply of a voter that has the log up to an index.
+func acknowledge(r *Replica, from ID, index uint64) []Cmd {
 	return r.Update(StepMsg{Message: Message{Kind: AppendReply, From: from, To: r.id, Term: r.hard.Term, Index: index, Round: r.round}, Now: r.now})
 }
 
-// outcomes returns how proposals, reads and hand-overs were answered, and whether the
-// successor was told.
+// outcomes returns the answers to proposals, reads and handovers by token, and whether b
+// was told to campaign.
 func outcomes(cmds []Cmd) (answers map[uint64]error, told bool) {
 	answers = map[uint64]error{}
 	for _, c := range cmds {
@@ -78,62 +78,62 @@
 	return answers, told
 }
 
-// TestHandoverWaitsForTheLog checks that a leader steps down only once its successor
-// has all of the log and all of it is committed, and that what was held is answered as
-// not proposed.
+// TestHandoverWaitsForTheLog checks that a leader steps down only once its successor has
+// the whole log and all of it is committed, and that held requests are then refused.
 func TestHandoverWaitsForTheLog(t *testing.T) {
-	r := handing(t)
-	if _, told := outcomes(answer(r, idC, 2)); told {
-		t.Fatal("told to campaign before it has the log")
+	r := leaderInHandover(t)
+	if _, told := outcomes(acknowledge(r, idC, 2)); told {
+		t.Fatal("the successor was told to campaign before it had the log")
 	}
-	if _, told := outcomes(answer(r, idB, 2)); !told {
-		// Two copies on other disks commit the entry; its own is not needed.
-		t.Fatal("not told to campaign")
+	if _, told := outcomes(acknowledge(r, idB, 2)); !told {
+		// Two copies on other disks commit the entry; the leader's own copy is not
+		// needed.
+		t.Fatal("the successor was not told to campaign")
 	}
-	if _, leads := r.Leads(); leads || r.lease != 0 {
+	if _, leads := r.Leads(); leads || r.leaseUntil != 0 {
 		t.Errorf("still leads, or has a lease: %+v", r.Status())
 	}
-	alone := handing(t)
-	if _, told := outcomes(answer(alone, idB, 2)); told {
-		t.Error("told to campaign with an entry that is on one disk only")
+	alone := leaderInHandover(t)
+	if _, told := outcomes(acknowledge(alone, idB, 2)); told {
+		t.Error("the successor was told to campaign with an entry that is not committed")
 	}
 	answers, told := outcomes(alone.Update(SyncedMsg{Index: 2, Term: alone.hard.Term}))
 	if !told || answers[2] != nil || !errors.Is(answers[3], ErrNotLeader) || !errors.Is(answers[4], ErrNotLeader) {
-		t.Errorf("told %v, answers %v", told, answers)
+		t.Errorf("successor told to campaign %v, answers %v", told, answers)
 	}
 }
 
-// TestHandoverGivesUp checks that a leader whose successor does not catch up goes on
-// with what it held.
+// TestHandoverGivesUp checks that a leader whose successor does not catch up continues to
+// lead and processes the held requests.
 func TestHandoverGivesUp(t *testing.T) {
-	r := handing(t)
+	r := leaderInHandover(t)
 	var answers map[uint64]error
-	for at := r.now; at <= r.handover.end+testConfig.Heartbeat && answers[2] == nil; at += testConfig.Heartbeat {
-		answer(r, idC, 1)
+	for at := r.now; at <= r.handover.deadline+testConfig.Heartbeat && answers[2] == nil; at += testConfig.Heartbeat {
+		acknowledge(r, idC, 1)
 		answers, _ = outcomes(r.Update(TickMsg{Now: at}))
 	}
 	if _, leads := r.Leads(); !leads || !errors.Is(answers[2], ErrBusy) || answers[3] != nil {
-		t.Errorf("answers %v, %+v", answers, r.Status())
+		t.Errorf("at the deadline: answers %v, status %+v", answers, r.Status())
 	}
 	if r.log.Last() != 3 {
-		t.Errorf("the log ends at %d, not with the proposal that was held", r.log.Last())
+		t.Errorf("the log ends at %d, not with the held proposal", r.log.Last())
 	}
 }
 
-// TestHandoverEndsWithLeadership checks that one who waits for a hand-over is told when
-// leadership ends in another way.
+// TestHandoverEndsWithLeadership checks that pending requests are answered when
+// leadership ends during a handover for another reason.
 func TestHandoverEndsWithLeadership(t *testing.T) {
-	r := handing(t)
+	r := leaderInHandover(t)
 	answers, _ := outcomes(r.Update(StepMsg{Message: Message{Kind: Append, From: idC, To: idA, Term: 9}, Now: r.now}))
 	for _, token := range []uint64{2, 3, 4} {
 		if !errors.Is(answers[token], ErrNotLeader) {
-			t.Errorf("%d is answered %v", token, answers[token])
+			t.Errorf("request %d was answered with %v", token, answers[token])
 		}
 	}
 }
 
-// TestLateHandover checks that a message to campaign is of no use in a later term, or
-// to a replica that lacks what the leader had.
+// TestLateHandover checks that a handover message is ignored in a later term and by a
+// replica that lacks part of the leader's log.
 func TestLateHandover(t *testing.T) {
 	for name, tt := range map[string]struct {
 		hard HardState
@@ -153,23 +153,23 @@
 	}
 }
 
-// TestAbdication checks that a leader without a quorum's answers tells the replica with
-// most of the log to campaign, if replicas lie in several regions, and leads no more.
-func TestAbdication(t *testing.T) {
+// TestLeaderWithoutQuorumHandsOver checks that a leader that no quorum answers steps
+// down, and with Config.Wide tells the replica with most of the log to campaign.
+func TestLeaderWithoutQuorumHandsOver(t *testing.T) {
 	for wide, want := range map[bool]bool{true: true, false: false} {
 		r := replicaOf(idA, HardState{Term: 2})
 		r.cfg.Wide = wide
 		elect(t, r)
-		answer(r, idB, 1)
+		acknowledge(r, idB, 1)
 		_, told := outcomes(r.Update(TickMsg{Now: r.now + 2*testConfig.Election}))
-		if _, leads := r.Leads(); leads || told != want || r.lease != 0 {
-			t.Errorf("wide %v: told %v, %+v", wide, told, r.Status())
+		if _, leads := r.Leads(); leads || told != want || r.leaseUntil != 0 {
+			t.Errorf("wide %v: successor told to campaign %v, status %+v", wide, told, r.Status())
 		}
 	}
 }
 
-// TestLoweredPromiseCoversThoseThatRun checks that what is on a voter's disk covers each
-// promise that still runs, also one that was neither the longest nor the last.
+// TestLoweredPromiseCoversThoseThatRun checks that the promise on disk covers every
+// promise that has not ended, including one that was neither the longest nor the latest.
 func TestLoweredPromiseCoversThoseThatRun(t *testing.T) {
 	b := replicaOf(idB, HardState{Term: 4})
 	began := time.Second
@@ -182,65 +182,66 @@
 	ask(2*testConfig.Election, longest)
 	end := began + longest - testConfig.Election + middle
 	fresh := restarted(idB, b.hard, began+longest)
-	for _, s := range sends(fresh.Update(StepMsg{Message: Message{Kind: Vote, From: idC, To: idB, Term: 5, Index: 9, LogTerm: 9}, Now: end - time.Millisecond})) {
+	for _, s := range sentMessages(fresh.Update(StepMsg{Message: Message{Kind: Vote, From: idC, To: idB, Term: 5, Index: 9, LogTerm: 9}, Now: end - time.Millisecond})) {
 		if !s.Message.Reject {
-			t.Errorf("a vote within a promise, behind a restart: %+v", s.Message)
+			t.Errorf("a vote was granted within a promise after a restart: %+v", s.Message)
 		}
 	}
 }
 
-// TestLeaseEndsWithItsQuorum checks that voters that are taken in shorten a lease which
-// rests on a promise that they did not make: they may be a quorum without it.
+// TestLeaseEndsWithItsQuorum checks that new voters shorten a lease that rests on
+// promises they did not make: they may form a quorum without the voters that made them.
 func TestLeaseEndsWithItsQuorum(t *testing.T) {
 	r := replicaOf(idA, HardState{Term: 2})
 	elect(t, r)
-	r.wantPromise = 4 * testConfig.Election
+	r.requestedPromise = 4 * testConfig.Election
 	r.broadcast()
-	r.Update(StepMsg{Message: Message{Kind: AppendReply, From: idB, To: idA, Term: r.hard.Term, Index: 1, Round: r.round, Promise: r.wantPromise}, Now: r.now})
+	r.Update(StepMsg{Message: Message{Kind: AppendReply, From: idB, To: idA, Term: r.hard.Term, Index: 1, Round: r.round, Promise: r.requestedPromise}, Now: r.now})
 	r.Update(SyncedMsg{Index: 1, Term: r.hard.Term})
-	if r.lease-r.now <= testConfig.Election {
-		t.Fatalf("the lease runs %v only", r.lease-r.now)
+	if r.leaseUntil-r.now <= testConfig.Election {
+		t.Fatalf("the lease lasts only %v", r.leaseUntil-r.now)
 	}
-	r.wantPromise = testConfig.Election
+	r.requestedPromise = testConfig.Election
 	idD, idE := ID{Name: "d", Incarnation: 4}, ID{Name: "e", Incarnation: 5}
 	catchUp := func(ids ...ID) {
 		r.broadcast()
 		r.Update(SyncedMsg{Index: r.log.Last(), Term: r.hard.Term})
 		for _, id := range ids {
-			answer(r, id, r.log.Last())
+			acknowledge(r, id, r.log.Last())
 		}
 	}
 	catchUp(idC)
 	for _, id := range []ID{idD, idE} {
 		r.Update(JoinMsg{ID: id})
 		catchUp(idC, idD, idE)
-		r.Update(TickMsg{Now: r.now}) // It is made a voter.
+		r.Update(TickMsg{Now: r.now}) // It is promoted.
 		catchUp(idC, idD, idE)
 	}
 	if n := len(r.log.Members().Voters); n != 5 {
-		t.Fatalf("%d voters", n)
+		t.Fatalf("%d voters, want 5", n)
 	}
-	if r.lease-r.now > testConfig.Election {
-		t.Errorf("the lease runs %v, but three of five elect another after %v", r.lease-r.now, testConfig.Election)
+	if r.leaseUntil-r.now > testConfig.Election {
+		t.Errorf("the lease lasts %v, but three of five voters may elect another leader after %v", r.leaseUntil-r.now, testConfig.Election)
 	}
 }
 
-// TestFailedMoveIsNotRepeatedAtOnce checks that a leader whose better place answers, but
-// does not catch up, leaves it alone for a while: each try holds up what is proposed.
+// TestFailedMoveIsNotRepeatedAtOnce checks that after a failed handover to a better
+// placed replica, which answers but does not catch up, the leader waits before the next
+// attempt: each attempt delays proposals.
 func TestFailedMoveIsNotRepeatedAtOnce(t *testing.T) {
-	r := New(wideConfig, Start{ID: idA, Hard: HardState{Term: 2}, Snapshot: SnapshotMeta{Members: abc}})
-	r.heardAt = -time.Hour
+	r := New(wideConfig, Start{ID: idA, Hard: HardState{Term: 2}, Snapshot: SnapshotMeta{Members: threeMembers}})
+	r.leaderContactAt = -time.Hour
 	elect(t, r)
 	r.Update(SyncedMsg{Index: 1, Term: r.hard.Term})
-	answer(r, idB, 1)
-	r.Update(ProposeMsg{Token: 1}) // Nobody has it on disk.
+	acknowledge(r, idB, 1)
+	r.Update(ProposeMsg{Token: 1}) // No other replica persists it.
 	moves := 0
 	for at := r.now; at < 2*time.Minute; at += wideConfig.Heartbeat {
 		for _, id := range []ID{idB, idC} {
 			r.Update(StepMsg{Message: Message{Kind: AppendReply, From: id, To: idA, Term: r.hard.Term, Index: 1, Round: r.round}, Now: at})
-			r.trips.Observe("a", id.Name, 80*time.Millisecond, at)
+			r.pingTrips.Observe("a", id.Name, 80*time.Millisecond, at)
 		}
-		r.trips.Observe("b", "c", 2*time.Millisecond, at)
+		r.pingTrips.Observe("b", "c", 2*time.Millisecond, at)
 		for _, c := range r.Update(TickMsg{Now: at}) {
 			if _, ok := c.(MoveCmd); ok {
 				moves++
@@ -248,6 +249,6 @@
 		}
 	}
 	if moves < 1 || moves > 4 {
-		t.Errorf("%d moves begun in two minutes, want one to four", moves)
+		t.Errorf("%d moves started in two minutes, want one to four", moves)
 	}
 }
--- a/coordination/replicate/leader.go
+++ b/coordination/replicate/leader.go
@@ -6,33 +6,33 @@
 	"github.com/weldstream/weldstream/coordination/roundtrip"
 )
 
-// snapshotPatience is how many election timeouts a leader waits for the answer
-// to a snapshot before it sends another.
-const snapshotPatience = 30
+// snapshotRetryElections is how many election timeouts a leader waits for the answer to a
+// snapshot before it sends another one.
+const snapshotRetryElections = 30
 
 func (r *Replica) becomeLeader() {
 	r.role, r.leader = Leader, r.id
 	r.votes = nil
-	r.leadSince, r.place = r.now, roundtrip.Place{}
+	r.leaderSince, r.placement = r.now, roundtrip.Place{}
 	r.peers = map[ID]*progress{}
-	r.wantPromise = max(r.cfg.Election, r.hard.Promise)
-	r.hard.Led = true // On disk with the entry below.
-	r.do(ElectedCmd{Term: r.hard.Term})
-	// The term begins with an entry of its own. It restates the members, so that
-	// a replica that was told of no founders learns them from the log.
+	r.requestedPromise = max(r.cfg.Election, r.hard.Promise)
+	r.hard.Led = true // It reaches the disk with the entry below.
+	r.emit(ElectedCmd{Term: r.hard.Term})
+	// The first entry of a term repeats the members, so that a replica that was started
+	// without the initial members learns them from the log.
 	r.appendEntries(Entry{Kind: EntryMembers, Data: encodeMembers(r.log.Members())})
 	r.syncPeers()
 	r.broadcast()
 }
 
-// syncPeers keeps a progress for each other member.
+// syncPeers makes peers hold a progress for each other member, and for nobody else.
 func (r *Replica) syncPeers() {
 	members := r.log.Members()
 	keep := map[ID]bool{}
 	for _, id := range append(slices.Clone(members.Voters), members.Learners...) {
 		keep[id] = true
 		if id != r.id && r.peers[id] == nil {
-			r.peers[id] = &progress{next: r.log.Last() + 1, heard: r.now}
+			r.peers[id] = &progress{next: r.log.Last() + 1, lastContact: r.now}
 		}
 	}
 	for id := range r.peers {
@@ -42,7 +42,7 @@
 	}
 }
 
-// appendEntries puts entries of this term behind the log.
+// appendEntries appends entries of this term to the log.
 func (r *Replica) appendEntries(entries ...Entry) {
 	next := r.log.Last() + 1
 	for i := range entries {
@@ -54,7 +54,7 @@
 
 func (r *Replica) propose(m ProposeMsg) {
 	if r.role != Leader {
-		r.do(ProposedCmd{Token: m.Token, Err: ErrNotLeader})
+		r.emit(ProposedCmd{Token: m.Token, Err: ErrNotLeader})
 		return
 	}
 	if r.handover.active() {
@@ -62,11 +62,11 @@
 		return
 	}
 	r.appendEntries(Entry{Kind: EntryCommand, Data: m.Data})
-	r.do(ProposedCmd{Token: m.Token, Index: r.log.Last(), Term: r.hard.Term})
+	r.emit(ProposedCmd{Token: m.Token, Index: r.log.Last(), Term: r.hard.Term})
 	r.sendNew()
 }
 
-// sendNew sends new entries to the replicas that keep up.
+// sendNew sends new entries to the replicas that lack them.
 func (r *Replica) sendNew() {
 	for _, id := range r.peerIDs() {
 		if p := r.peers[id]; p.next <= r.log.Last() {
@@ -82,42 +82,42 @@
 	return slices.DeleteFunc(ids, func(id ID) bool { return id == r.id })
 }
 
-// broadcast sends a round to all others, which counts as a heartbeat.
+// broadcast starts a heartbeat round to all other members.
 func (r *Replica) broadcast() {
 	r.round++
-	r.sent.add(r.round, r.now)
-	r.adaptPromise()
-	r.beatAt = r.now + r.cfg.Heartbeat
+	r.sentRounds.add(r.round, r.now)
+	r.adjustRequestedPromise()
+	r.nextHeartbeatAt = r.now + r.cfg.Heartbeat
 	for _, id := range r.peerIDs() {
 		r.sendTo(id, r.peers[id], true)
 	}
-	r.confirm()
+	r.confirmRounds()
 }
 
-// sendTo sends what a replica lacks. A heartbeat goes out even if there is
-// nothing, or if the window is full.
-func (r *Replica) sendTo(id ID, p *progress, beat bool) {
-	if p.snapshot != 0 && r.now-p.snapshot < snapshotPatience*r.cfg.Election {
-		if beat {
+// sendTo sends the entries that a replica lacks. A heartbeat is sent even if there are no
+// entries to send or the window is full.
+func (r *Replica) sendTo(id ID, p *progress, heartbeat bool) {
+	if p.snapshotSentAt != 0 && r.now-p.snapshotSentAt < snapshotRetryElections*r.cfg.Election {
+		if heartbeat {
 			r.sendAppend(id, r.log.Snapshot().Index, nil)
 		}
 		return
 	}
-	p.snapshot = 0
+	p.snapshotSentAt = 0
 	if _, ok := r.log.Term(p.next - 1); !ok {
-		p.snapshot = r.now
-		r.do(SendSnapshotCmd{To: id, Term: r.hard.Term, Round: r.round, Promise: r.wantPromise})
+		p.snapshotSentAt = r.now
+		r.emit(SendSnapshotCmd{To: id, Term: r.hard.Term, Round: r.round, Promise: r.requestedPromise})
 		return
 	}
 	if p.probing {
-		r.probe(id, p, beat)
+		r.probe(id, p, heartbeat)
 		return
 	}
 	var entries []Entry
 	if p.inflight < r.cfg.Window {
 		entries = r.log.Slice(p.next, r.log.Last(), r.cfg.Batch)
 	}
-	if len(entries) == 0 && !beat {
+	if len(entries) == 0 && !heartbeat {
 		return
 	}
 	r.sendAppend(id, p.next-1, entries)
@@ -127,10 +127,10 @@
 	}
 }
 
-// probe sends one message at a time until one matches: otherwise each of many
-// refused messages would call for another.
-func (r *Replica) probe(id ID, p *progress, beat bool) {
-	if p.inflight > 0 && !beat {
+// probe sends one message at a time until one matches. Otherwise each of several rejected
+// messages would cause a retransmission.
+func (r *Replica) probe(id ID, p *progress, heartbeat bool) {
+	if p.inflight > 0 && !heartbeat {
 		return
 	}
 	p.inflight = 1
@@ -149,76 +149,76 @@
 		Entries: entries,
 		Commit:  r.commit,
 		Round:   r.round,
-		Promise: r.promiseToSend(),
+		Promise: r.promiseInMessage(),
 	}
-	r.do(SendCmd{Message: m})
+	r.emit(SendCmd{Message: m})
 }
 
-func (r *Replica) appendReply(m Message) {
+func (r *Replica) handleAppendReply(m Message) {
 	p := r.peers[m.From]
 	if r.role != Leader || p == nil || m.Term != r.hard.Term {
 		return
 	}
-	p.heard = r.now
-	r.noteAnswer(m, p)
+	p.lastContact = r.now
+	r.recordRoundAnswer(m, p)
 	p.inflight = max(0, p.inflight-1)
 	if m.Reject {
-		r.rejected(m, p)
+		r.handleReject(m, p)
 	} else {
-		r.matched(m, p)
+		r.handleMatch(m, p)
 	}
-	r.confirm()
-	r.continueHandover()
+	r.confirmRounds()
+	r.advanceHandover()
 }
 
-// rejected goes back to where the logs may match. An answer to an older message
-// says nothing new.
-func (r *Replica) rejected(m Message, p *progress) {
+// handleReject moves back to where the logs may match. A reply to an older message is
+// ignored.
+func (r *Replica) handleReject(m Message, p *progress) {
 	if m.Rejected <= p.match || (p.probing && m.Rejected != p.next-1) {
 		return
 	}
 	p.probing = true
 	p.next = max(p.match, min(m.Index, r.log.Last())) + 1
-	p.inflight, p.snapshot = 0, 0
+	p.inflight, p.snapshotSentAt = 0, 0
 	r.sendTo(m.From, p, false)
 }
 
-// matched notes what is on the other's disk and sends on.
-func (r *Replica) matched(m Message, p *progress) {
+// handleMatch records what is on the other replica's disk and sends further entries.
+func (r *Replica) handleMatch(m Message, p *progress) {
 	if m.Index < p.match {
 		return
 	}
 	if p.probing {
 		p.probing, p.inflight, p.next = false, 0, m.Index+1
 	}
-	p.match, p.snapshot = m.Index, 0
+	p.match, p.snapshotSentAt = m.Index, 0
 	p.next = max(p.next, p.match+1)
-	r.advance()
+	r.advanceCommit()
 	if p.next <= r.log.Last() {
 		r.sendTo(m.From, p, false)
 	}
 }
 
-// advance commits what a quorum of voters has on disk. Only an entry of this
-// term commits those before it.
-func (r *Replica) advance() {
-	index := r.reached(r.copies(), r.stable, func(p *progress) uint64 { return p.match })
+// advanceCommit commits what enough voters have on disk. Entries of earlier terms are
+// committed only together with an entry of this term.
+func (r *Replica) advanceCommit() {
+	index := r.quorumValue(r.requiredCopies(), r.stable, func(p *progress) uint64 { return p.match })
 	if term, ok := r.log.Term(index); ok && term == r.hard.Term {
 		r.commitTo(index)
 	}
 }
 
-// copies is how many voters must have an entry on disk: a quorum, and as many
-// as were asked for. A group with fewer voters than that asks all of them.
-func (r *Replica) copies() int {
+// requiredCopies returns how many voters must have an entry on disk: a quorum, and at
+// least Config.Copies. A group with fewer voters than that needs all of them.
+func (r *Replica) requiredCopies() int {
 	members := r.log.Members()
 	return max(members.Quorum(), min(r.cfg.Copies, len(members.Voters)))
 }
 
-// reached returns the highest value that so many voters have reached: own is
-// this replica's, of the others what of tells. A voter without progress has
-// reached nothing.
-func (r *Replica) reached(voters int, own uint64, of func(*progress) uint64) uint64 {
+// quorumValue returns the highest value that the given number of voters have reached. own
+// is this replica's value; value returns that of another one. A voter without progress
+// counts as 0.
+func (r *Replica) quorumValue(voters int, own uint64, value func(*progress) uint64) uint64 {
 	members := r.log.Members()
 	values := make([]uint64, 0, len(members.Voters))
 	for _, id := range members.Voters {
@@ -226,7 +226,7 @@
 		case id == r.id:
 			values = append(values, own)
 		case r.peers[id] != nil:
-			values = append(values, of(r.peers[id]))
+			values = append(values, value(r.peers[id]))
 		default:
 			values = append(values, 0)
 		}
@@ -238,7 +238,7 @@
 	return values[len(values)-voters]
 }
 
-// commitTo applies what is newly committed.
+// commitTo commits entries up to an index and applies them.
 func (r *Replica) commitTo(index uint64) {
 	index = min(index, r.log.Last())
 	if index <= r.commit {
@@ -247,84 +247,85 @@
 	first := r.commit + 1
 	r.commit = index
 	const all = 1 << 62
-	r.do(ApplyCmd{Entries: r.log.Slice(first, index, all)})
-	if r.role == Leader && !r.log.Members().IsVoter(r.id) && r.log.Changed() <= r.commit {
+	r.emit(ApplyCmd{Entries: r.log.Slice(first, index, all)})
+	if r.role == Leader && !r.log.Members().IsVoter(r.id) && r.log.MembersIndex() <= r.commit {
 		r.becomeFollower(r.hard.Term, ID{}) // It has removed itself.
 	}
 }
 
-func (r *Replica) synced(m SyncedMsg) {
+func (r *Replica) handleSynced(m SyncedMsg) {
 	if term, ok := r.log.Term(m.Index); ok && term == m.Term {
 		r.stable = max(r.stable, m.Index)
 	}
 	r.stable = min(r.stable, r.log.Last())
 	switch r.role {
 	case Leader:
-		r.advance()
-		r.continueHandover()
+		r.advanceCommit()
+		r.advanceHandover()
 	case Candidate:
 		r.votes[r.id] = true
-		r.count()
+		r.tallyVotes()
 	case Follower, PreCandidate:
 	}
 }
 
-// leaderTick beats, checks the quorum and goes on with changes of members.
+// leaderTick sends heartbeats, checks the quorum and continues handovers and membership
+// changes.
 func (r *Replica) leaderTick() {
-	if r.now >= r.beatAt {
+	if r.now >= r.nextHeartbeatAt {
 		r.broadcast()
 	}
-	if !r.quorumHeard() {
+	if !r.quorumActive() {
 		r.stepDownWithoutQuorum()
 		return
 	}
-	r.continueHandover()
+	r.advanceHandover()
 	if !r.handover.active() {
-		r.reconcile()
-		r.choosePlace()
+		r.reconcileMembers()
+		r.improvePlacement()
 	}
 }
 
-func (r *Replica) quorumHeard() bool {
+func (r *Replica) quorumActive() bool {
 	members := r.log.Members()
-	heard := 0
+	active := 0
 	for _, id := range members.Voters {
-		if id == r.id || (r.peers[id] != nil && r.now-r.peers[id].heard < 2*r.wantPromise) {
-			heard++
+		if id == r.id || (r.peers[id] != nil && r.now-r.peers[id].lastContact < 2*r.requestedPromise) {
+			active++
 		}
 	}
-	return heard >= members.Quorum()
+	return active >= members.Quorum()
 }
 
-// confirm finds the latest round that a quorum has answered. It renews the
-// lease and answers the reads that waited for it.
-func (r *Replica) confirm() {
+// confirmRounds finds the latest round that a quorum has answered, extends the lease, and
+// answers the reads that waited for that round.
+func (r *Replica) confirmRounds() {
 	if r.role != Leader {
 		return
 	}
-	confirmed := r.reached(r.log.Members().Quorum(), r.round, func(p *progress) uint64 { return p.round })
-	r.lease = max(r.lease, r.promised())
-	r.sent.forget(confirmed, r.now)
+	confirmed := r.quorumValue(r.log.Members().Quorum(), r.round, func(p *progress) uint64 { return p.answeredRound })
+	r.leaseUntil = max(r.leaseUntil, r.quorumPromisedUntil())
+	r.sentRounds.prune(confirmed, r.now)
 	r.answerReads(confirmed)
 }
 
 func (r *Replica) answerReads(confirmed uint64) {
 	if term, _ := r.log.Term(r.commit); term != r.hard.Term {
-		return // Until an entry of this term is committed, the commit index may lag.
+		return // Until an entry of this term is committed, the commit index may lag behind.
 	}
-	rest := r.reads[:0]
+	waiting := r.reads[:0]
 	for _, rd := range r.reads {
 		if rd.round > confirmed {
-			rest = append(rest, rd)
+			waiting = append(waiting, rd)
 			continue
 		}
-		r.do(ReadCmd{Token: rd.token, Index: max(rd.index, r.termStart())})
+		r.emit(ReadCmd{Token: rd.token, Index: max(rd.index, r.termStart())})
 	}
-	r.reads = rest
+	r.reads = waiting
 }
 
-// termStart is the index up to which a new leader must have applied before a
-// read: everything that earlier leaders committed lies before it.
+// termStart returns the index that a new leader must have applied before a read:
+// everything that earlier leaders committed precedes it.
 func (r *Replica) termStart() uint64 {
 	index := r.commit
 	for index > r.log.Snapshot().Index {
@@ -338,7 +339,7 @@
 
 func (r *Replica) read(m ReadMsg) {
 	if r.role != Leader {
-		r.do(ReadCmd{Token: m.Token, Err: ErrNotLeader})
+		r.emit(ReadCmd{Token: m.Token, Err: ErrNotLeader})
 		return
 	}
 	if r.handover.active() {
--- a/coordination/replicate/log.go
+++ b/coordination/replicate/log.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// Log is the part of the log in memory: what follows the latest snapshot.
+// Log is the in-memory part of the log: the entries after the latest snapshot.
 type Log struct {
-	snapshot SnapshotMeta
-	entries  []Entry
-	members  Members
-	changed  uint64 // changed is the index of the latest change of members.
+	snapshot     SnapshotMeta
+	entries      []Entry
+	members      Members
+	membersIndex uint64 // membersIndex is the index of the latest membership change.
 }
 
-// NewLog returns a log of the entries that follow a snapshot.
+// NewLog returns a log of the entries after a snapshot.
 func NewLog(s SnapshotMeta, entries []Entry) Log {
 	l := Log{snapshot: s, entries: slices.Clone(entries)}
-	l.findMembers()
+	l.refreshMembers()
 	return l
 }
 
-// Snapshot returns what the log begins after.
+// Snapshot returns the snapshot that the log starts after.
 func (l *Log) Snapshot() SnapshotMeta { return l.snapshot }
 
 // Last returns the index of the last entry.
@@ -32,7 +32,8 @@
 	return term
 }
 
-// Term returns the term of an entry; ok is false when the log does not have it.
+// Term returns the term of the entry at an index; ok is false when the log does not have
+// it.
 func (l *Log) Term(index uint64) (term uint64, ok bool) {
 	if index == l.snapshot.Index {
 		return l.snapshot.Term, true
@@ -45,8 +46,8 @@
 
 func (l *Log) at(index uint64) *Entry { return &l.entries[index-l.snapshot.Index-1] }
 
-// Slice returns the entries from first on, up to last and to a number of bytes,
-// but at least one.
+// Slice returns the entries from first to last, limited to a number of bytes but at least
+// one entry.
 func (l *Log) Slice(first, last uint64, bytes int) []Entry {
 	last = min(last, l.Last())
 	if first > last || first <= l.snapshot.Index {
@@ -63,8 +64,8 @@
 	return slices.Clone(out)
 }
 
-// Append puts entries behind the entry before the first of them and drops what
-// was there.
+// Append replaces everything from the index of the first given entry on with the given
+// entries.
 func (l *Log) Append(entries []Entry) {
 	if len(entries) == 0 {
 		return
@@ -73,18 +74,18 @@
 	truncated := keep < uint64(len(l.entries))
 	l.entries = append(l.entries[:keep:keep], entries...)
 	if truncated || slices.ContainsFunc(entries, func(e Entry) bool { return e.Kind == EntryMembers }) {
-		l.findMembers()
+		l.refreshMembers()
 	}
 }
 
-// Members returns the members in force: the latest in the log, committed or not.
+// Members returns the current members: the latest in the log, committed or not.
 func (l *Log) Members() Members { return l.members }
 
-// Changed returns the index of the latest change of members.
-func (l *Log) Changed() uint64 { return l.changed }
+// MembersIndex returns the index of the latest membership change.
+func (l *Log) MembersIndex() uint64 { return l.membersIndex }
 
-func (l *Log) findMembers() {
-	l.members, l.changed = l.snapshot.Members, l.snapshot.Index
+func (l *Log) refreshMembers() {
+	l.members, l.membersIndex = l.snapshot.Members, l.snapshot.Index
 	for i := len(l.entries) - 1; i >= 0; i-- {
 		e := &l.entries[i]
 		if e.Kind != EntryMembers {
@@ -92,13 +93,13 @@
 		}
 		var m Members
 		if json.Unmarshal(e.Data, &m) == nil {
-			l.members, l.changed = m, e.Index
+			l.members, l.membersIndex = m, e.Index
 			return
 		}
 	}
 }
 
-// MembersAt returns the members in force at an index of the log.
+// MembersAt returns the members as of an index of the log.
 func (l *Log) MembersAt(index uint64) Members {
 	m := l.snapshot.Members
 	for i := range l.entries {
@@ -127,17 +128,17 @@
 		l.entries = slices.Clone(l.entries[s.Index-l.snapshot.Index:])
 	}
 	l.snapshot = s
-	l.findMembers()
+	l.refreshMembers()
 }
 
-// Reset replaces the whole log by a snapshot.
+// Reset replaces the whole log with a snapshot.
 func (l *Log) Reset(s SnapshotMeta) { *l = NewLog(s, nil) }
 
-// encodeMembers renders members as an entry's data.
+// encodeMembers encodes members as the data of an entry.
 func encodeMembers(m Members) []byte {
 	data, err := json.Marshal(m)
 	if err != nil {
-		panic(err) // Members hold only names and numbers.
+		panic(err) // Members hold only names and numbers, which can always be encoded.
 	}
 	return data
 }
--- a/coordination/replicate/members.go
+++ b/coordination/replicate/members.go
@@ -2,72 +2,72 @@
 
 import "slices"
 
-// catchUpSlack is how many entries a learner may lack and still be promoted.
-const catchUpSlack = 64
+// maxLearnerLag is how many entries a learner may lack and still be promoted.
+const maxLearnerLag = 64
 
-// join takes in a new incarnation as a learner. A learner that is not the
-// latest incarnation of its name gives way.
-func (r *Replica) join(m JoinMsg) {
+// handleJoin adds a new incarnation as a learner, in place of any learner of the same
+// name.
+func (r *Replica) handleJoin(m JoinMsg) {
 	members := r.log.Members()
 	if r.role != Leader || m.ID.Name == r.id.Name || members.IsVoter(m.ID) || members.IsLearner(m.ID) {
 		return
 	}
-	if !r.mayChange() {
-		return // The replica asks again.
+	if !r.canChangeMembers() {
+		return // The replica repeats its request.
 	}
 	next := members.Clone()
 	next.Learners = slices.DeleteFunc(next.Learners, func(id ID) bool { return id.Name == m.ID.Name })
 	next.Learners = append(next.Learners, m.ID)
-	r.change(next)
+	r.changeMembers(next)
 }
 
-// remove takes a name out.
-func (r *Replica) remove(m RemoveMsg) {
+// handleRemove removes all incarnations of a name.
+func (r *Replica) handleRemove(m RemoveMsg) {
 	if r.role != Leader {
-		r.do(RemoveCmd{Token: m.Token, Err: ErrNotLeader})
+		r.emit(RemoveCmd{Token: m.Token, Err: ErrNotLeader})
 		return
 	}
-	if !r.mayChange() {
-		r.do(RemoveCmd{Token: m.Token, Err: ErrBusy})
+	if !r.canChangeMembers() {
+		r.emit(RemoveCmd{Token: m.Token, Err: ErrBusy})
 		return
 	}
 	next := r.log.Members().Clone()
-	gone := func(id ID) bool { return id.Name == m.Name }
-	next.Learners = slices.DeleteFunc(next.Learners, gone)
-	if i := slices.IndexFunc(next.Voters, gone); i >= 0 && len(next.Voters) > 1 {
+	named := func(id ID) bool { return id.Name == m.Name }
+	next.Learners = slices.DeleteFunc(next.Learners, named)
+	if i := slices.IndexFunc(next.Voters, named); i >= 0 && len(next.Voters) > 1 {
 		next.Voters = slices.Delete(next.Voters, i, i+1)
 	}
-	r.change(next)
-	r.do(RemoveCmd{Token: m.Token})
+	r.changeMembers(next)
+	r.emit(RemoveCmd{Token: m.Token})
 }
 
-// mayChange reports whether the last change is committed, and an entry of this
-// term, without which two leaders could each make a change of their own.
-func (r *Replica) mayChange() bool {
+// canChangeMembers reports whether the previous change and an entry of this term are
+// committed. Without the latter, two leaders could each make a change of their own.
+func (r *Replica) canChangeMembers() bool {
 	term, _ := r.log.Term(r.commit)
-	return r.log.Changed() <= r.commit && term == r.hard.Term
+	return r.log.MembersIndex() <= r.commit && term == r.hard.Term
 }
 
-func (r *Replica) change(next Members) {
+func (r *Replica) changeMembers(next Members) {
 	r.appendEntries(Entry{Kind: EntryMembers, Data: encodeMembers(next)})
 	r.syncPeers()
-	r.lease = min(r.lease, r.promised()) // Those it rested on may be no quorum any more.
+	r.leaseUntil = min(r.leaseUntil, r.quorumPromisedUntil()) // The voters behind the lease may not be a quorum any more.
 	r.sendNew()
-	r.advance()
+	r.advanceCommit()
 }
 
-// reconcile promotes learners that have caught up, and takes out a voter that
-// is gone once there is one to take its place. One that replaces a former
-// incarnation first has that one taken out: exchanging them at once would
-// allow two quorums without a replica in common.
-func (r *Replica) reconcile() {
-	if !r.mayChange() {
+// reconcileMembers promotes learners that have caught up, and removes a silent voter once
+// a learner can replace it. Before a new incarnation is promoted, the old incarnation of
+// the same name is removed: exchanging them in one change would allow two quorums without
+// a replica in common.
+func (r *Replica) reconcileMembers() {
+	if !r.canChangeMembers() {
 		return
 	}
 	members := r.log.Members()
 	if r.cfg.Voters > 0 && len(members.Voters) > r.cfg.Voters {
-		if id, ok := r.longestGone(members); ok {
-			r.change(without(members, id))
+		if id, ok := r.longestSilentVoter(members); ok {
+			r.changeMembers(withoutVoter(members, id))
 			return
 		}
 	}
@@ -81,47 +81,49 @@
 // caughtUp reports whether a learner has nearly the whole log and still answers.
 func (r *Replica) caughtUp(id ID) bool {
 	p := r.peers[id]
-	if p == nil || p.match+catchUpSlack < r.log.Last() || p.match < r.log.Changed() {
+	if p == nil || p.match+maxLearnerLag < r.log.Last() || p.match < r.log.MembersIndex() {
 		return false
 	}
-	return r.now-p.heard < r.timeout()
+	return r.now-p.lastContact < r.electionTimeout()
 }
 
-// promote makes a learner a voter, or makes room for it, if there is a place.
+// promote makes a learner a voter or, if an old incarnation of it is still a voter,
+// removes that one first. It reports whether the members changed; they do not when there
+// are enough voters.
 func (r *Replica) promote(members Members, id ID) bool {
 	next := members.Clone()
 	former := slices.IndexFunc(next.Voters, func(v ID) bool { return v.Name == id.Name })
 	if former >= 0 {
 		next.Voters = slices.Delete(next.Voters, former, former+1)
-		r.change(next)
+		r.changeMembers(next)
 		return true
 	}
 	if r.cfg.Voters > 0 && len(members.Voters) >= r.cfg.Voters {
-		if _, gone := r.longestGone(members); !gone {
+		if _, found := r.longestSilentVoter(members); !found {
 			return false
 		}
 	}
 	next.Learners = slices.DeleteFunc(next.Learners, func(l ID) bool { return l == id })
 	next.Voters = append(next.Voters, id)
-	r.change(next)
+	r.changeMembers(next)
 	return true
 }
 
-// longestGone returns the voter that has been silent for longest, if that is
-// long enough.
-func (r *Replica) longestGone(members Members) (ID, bool) {
-	var gone ID
+// longestSilentVoter returns the voter that has been silent longest, if that exceeds
+// [Config.Gone].
+func (r *Replica) longestSilentVoter(members Members) (ID, bool) {
+	var silent ID
 	since := r.now - r.cfg.Gone
 	for _, id := range members.Voters {
-		if p := r.peers[id]; r.cfg.Gone > 0 && id != r.id && p != nil && p.heard <= since {
-			gone, since = id, p.heard
+		if p := r.peers[id]; r.cfg.Gone > 0 && id != r.id && p != nil && p.lastContact <= since {
+			silent, since = id, p.lastContact
 		}
 	}
-	return gone, !gone.IsZero()
+	return silent, !silent.IsZero()
 }
 
-// without returns the members less one voter.
-func without(members Members, id ID) Members {
+// withoutVoter returns the members without one voter.
+func withoutVoter(members Members, id ID) Members {
 	next := members.Clone()
 	next.Voters = slices.DeleteFunc(next.Voters, func(v ID) bool { return v == id })
 	return next
--- a/coordination/replicate/message.go
+++ b/coordination/replicate/message.go
@@ -6,7 +6,7 @@
 	"github.com/weldstream/weldstream/coordination/roundtrip"
 )
 
-// MessageKind tells messages between replicas apart.
+// MessageKind is the type of a message between replicas.
 type MessageKind uint8
 
 // The kinds of messages between replicas.
@@ -18,88 +18,86 @@
 	Append
 	AppendReply
 	Snapshot
-	Handover // Handover tells the receiver to campaign at once: the leader of the term leads no more.
-	Ping     // Ping is answered at once, with the same Round.
+	Handover // Handover tells the receiver to campaign at once: the sender has stopped leading the term.
+	Ping     // Ping is answered at once with a Pong of the same Round.
 	Pong
 )
 
-// Message is what replicas send each other. It is for exactly one incarnation. What is
-// zero is left out on the wire, which halves a heartbeat.
+// Message is a message between replicas, addressed to exactly one incarnation. Zero
+// fields are omitted when it is encoded, which halves the size of a heartbeat.
 type Message struct {
 	Kind     MessageKind
 	From     ID
 	To       ID
 	Term     uint64
-	Index    uint64           `cbor:",omitempty"` // Index is of the entry before Entries; in a reply, the last that matches.
+	Index    uint64           `cbor:",omitempty"` // Index is the index of the entry before Entries; in a reply, the last matching index.
 	LogTerm  uint64           `cbor:",omitempty"` // LogTerm is the term of the entry at Index.
 	Entries  []Entry          `cbor:",omitempty"`
 	Commit   uint64           `cbor:",omitempty"`
 	Reject   bool             `cbor:",omitempty"`
-	Rejected uint64           `cbor:",omitempty"` // Rejected is the Index of the message that is refused.
+	Rejected uint64           `cbor:",omitempty"` // Rejected is the Index of the rejected message.
 	Round    uint64           `cbor:",omitempty"` // Round pairs a leader's message with its answer.
-	Void     uint64           `cbor:",omitempty"` // Void is a term whose leader leads no more, 0 without one: no lease of that term runs.
-	Promise  time.Duration    `cbor:",omitempty"` // Promise is for how long the receiver is to elect no other; in a reply, for how long it will not.
-	Trips    []roundtrip.Trip `cbor:",omitempty"` // Trips are the sender's own round trips, in a Pong.
+	Void     uint64           `cbor:",omitempty"` // Void is a term whose leader has stopped leading, so that no lease of that term is valid; 0 if there is none.
+	Promise  time.Duration    `cbor:",omitempty"` // Promise is for how long the receiver is asked to vote for no other candidate; in a reply, for how long the sender will not.
+	Trips    []roundtrip.Trip `cbor:",omitempty"` // Trips are the sender's own round-trip times, in a Pong.
 	Snapshot SnapshotMeta     `cbor:",omitzero"`
 	Data     []byte           `cbor:",omitempty"` // Data is the state machine's snapshot.
 }
 
-// Msg is a message to [Replica.Update].
+// Msg is an input of [Replica.Update].
 type Msg interface{ msg() }
 
-// TickMsg is the passing of time, on a monotonic clock.
+// TickMsg advances the replica's monotonic clock.
 type TickMsg struct {
 	Now  time.Duration
 	Rand uint64
-	Busy bool // Busy says that an order is under way: the leader does not move meanwhile.
+	Busy bool // Busy says that an operation is in progress; the leader does not move meanwhile.
 }
 
-// StepMsg is a message from another replica.
+// StepMsg delivers a message from another replica.
 type StepMsg struct {
 	Message Message
 	Now     time.Duration
 }
 
-// ProposeMsg asks for a command to be committed. The answer is a [ProposedCmd].
+// ProposeMsg proposes a command. The answer is a [ProposedCmd].
 type ProposeMsg struct {
 	Token uint64
 	Data  []byte
 }
 
-// ReadMsg asks for an index at which a read sees everything committed before
-// it was asked. The answer is a [ReadCmd].
+// ReadMsg requests the index that a read must have applied to see everything committed
+// before the request. The answer is a [ReadCmd].
 type ReadMsg struct{ Token uint64 }
 
-// JoinMsg asks for a replica to be taken in, as a learner first. A former
-// incarnation of the same name is replaced.
+// JoinMsg asks to add a replica, initially as a learner. It replaces an earlier
+// incarnation of the same name.
 type JoinMsg struct{ ID ID }
 
-// RemoveMsg asks for all incarnations of a name to be taken out. The answer is
-// a [RemoveCmd].
+// RemoveMsg asks to remove all incarnations of a name. The answer is a [RemoveCmd].
 type RemoveMsg struct {
 	Token uint64
 	Name  string
 }
 
-// HandoverMsg asks the leader to hand over. The answer is a [HandoverCmd]; the next
-// leader is elected later.
+// HandoverMsg asks the leader to hand over leadership. The answer is a [HandoverCmd],
+// which precedes the election of the next leader.
 type HandoverMsg struct {
 	Token uint64
-	To    string // To is the name of the replica that is to lead; empty for the best one.
+	To    string // To is the name of the next leader; empty for the best candidate.
 }
 
-// SyncedMsg tells that every PersistCmd so far is on this replica's disk. Index
-// and Term are of the last entry there.
+// SyncedMsg reports that all previous PersistCmds are on this replica's disk. Index and
+// Term are those of the last entry on disk.
 type SyncedMsg struct {
 	Index uint64
-	Term  uint64 // Term is the entry's term: a later leader may have replaced it.
+	Term  uint64 // Term identifies the entry, which a later leader may have replaced.
 }
 
-// CompactedMsg tells that a snapshot is on disk and the log before it is not
-// needed any more.
+// CompactedMsg reports that a snapshot is on disk, so that the log before it can be dropped.
 type CompactedMsg struct{ Snapshot SnapshotMeta }
 
-// DiskFailedMsg tells that a write or a sync failed.
+// DiskFailedMsg reports that a write or a sync failed.
 type DiskFailedMsg struct{}
 
 func (TickMsg) msg()       {}
@@ -113,18 +111,18 @@
 func (CompactedMsg) msg()  {}
 func (DiskFailedMsg) msg() {}
 
-// Cmd is a command from [Replica.Update].
+// Cmd is a command returned by [Replica.Update].
 type Cmd interface{ cmd() }
 
-// PersistCmd writes the hard state and entries. An entry at an index that is
-// already there replaces it and everything behind it.
+// PersistCmd writes the hard state and entries. An entry at an existing index replaces
+// that entry and all entries after it.
 type PersistCmd struct {
 	Hard    HardState
 	Entries []Entry
 }
 
-// SendCmd sends a message. A durable one must wait for the sync of all
-// PersistCmds before it.
+// SendCmd sends a message. A durable message must not be sent before all previous
+// PersistCmds are synced.
 type SendCmd struct {
 	Message Message
 	Durable bool
@@ -135,10 +133,10 @@
 	To      ID
 	Term    uint64
 	Round   uint64
-	Promise time.Duration // Promise is as in [Message].
+	Promise time.Duration // Promise is the Promise of the [Message].
 }
 
-// RestoreCmd replaces the state machine, and the log on disk, by a snapshot.
+// RestoreCmd replaces the state machine and the log on disk with a snapshot.
 type RestoreCmd struct {
 	Snapshot SnapshotMeta
 	Data     []byte
@@ -147,8 +145,8 @@
 // ApplyCmd applies committed entries to the state machine.
 type ApplyCmd struct{ Entries []Entry }
 
-// ProposedCmd answers a [ProposeMsg]: the command is at Index if the entry that
-// is applied there has this term; else it was not committed.
+// ProposedCmd answers a [ProposeMsg]. The command is committed if the entry applied at
+// Index has this term; otherwise it was not committed.
 type ProposedCmd struct {
 	Token uint64
 	Index uint64
@@ -156,34 +154,34 @@
 	Err   error
 }
 
-// ReadCmd answers a [ReadMsg]: the read may be made once Index is applied.
+// ReadCmd answers a [ReadMsg]. The read may be served once Index is applied.
 type ReadCmd struct {
 	Token uint64
 	Index uint64
 	Err   error
 }
 
-// RemoveCmd answers a [RemoveMsg]; the change itself is committed later.
+// RemoveCmd answers a [RemoveMsg]. The change itself is committed later.
 type RemoveCmd struct {
 	Token uint64
 	Err   error
 }
 
-// HandoverCmd answers a [HandoverMsg]: this replica leads no more, and told To to
-// campaign; or the error says why not.
+// HandoverCmd answers a [HandoverMsg]: either this replica has stopped leading and told
+// To to campaign, or Err says why it has not.
 type HandoverCmd struct {
 	Token uint64
 	To    ID
 	Err   error
 }
 
-// MoveCmd tells that leadership is to move to a better place.
+// MoveCmd reports that the leader is about to hand over to a better placed replica.
 type MoveCmd struct{ Move roundtrip.Move }
 
-// SteppedDownCmd tells that the replica leads no more.
+// SteppedDownCmd reports that the replica has stopped leading.
 type SteppedDownCmd struct{ Term uint64 }
 
-// ElectedCmd tells that the replica leads.
+// ElectedCmd reports that the replica has become the leader.
 type ElectedCmd struct{ Term uint64 }
 
 func (PersistCmd) cmd()      {}
--- a/coordination/replicate/renew.go
+++ b/coordination/replicate/renew.go
@@ -2,49 +2,54 @@
 
 import "time"
 
-// A group whose processes were all killed comes back one replica after the other.
-// Each of them must wait out an election timeout before it votes, as it may have
-// promised a leader that no other is elected meanwhile. That leader knows better: its
-// lease ended with its process. So a replica that finds on its disk that it led the
-// latest term that it knows campaigns as soon as it is started, and says in its
-// messages that no lease of that term runs (Message.Void). A voter whose promise was
-// to a leader of that term, or of one before it, need not wait any more.
+// When all processes of a group were killed, its replicas restart one after the other, and
+// each must wait out an election timeout before it votes, since it may have promised a
+// leader not to elect another one meanwhile. That leader knows better: its lease ended with
+// its process. So a replica whose disk says that it led the latest term it knows campaigns
+// as soon as it starts, and its messages say that no lease of that term is valid
+// (Message.Void). A voter that made its promise to a leader of that term or an earlier one
+// need not wait any longer.
 //
-// Why that is safe. A voter in term T can owe a promise only to the leader of T: it
-// came into T by a vote, which it gave only once its promise to an earlier leader was
-// over; or by a message of the leader of T, who was elected by a quorum that shares a
-// voter with each lease, whose promise was over; or as a candidate, after an election
-// timeout without a leader. So if the leader of T says that its lease has ended, or
-// the leader of a later term does, the voter owes nothing.
-
-// renewShare of an election timeout is between two campaigns of a former leader:
-// the voters it needs may be started any moment.
-const renewShare = 10
-
-// renewTimes is for how many election timeouts after its start a former leader
-// campaigns at that pace.
-const renewTimes = 10
-
-// resume has a former leader begin without waiting.
-func (r *Replica) resume() {
+// Why this is safe: a voter in term T can be bound by a promise only to the leader of T.
+// It entered T in one of three ways. It granted a vote, which it did only after its promise
+// to an earlier leader had ended. Or it received a message from the leader of T, whose
+// electing quorum shares a voter with every earlier lease, and that voter's promise had
+// ended. Or it was a candidate, after an election timeout without a leader. So if the
+// leader of T, or of a later term, says that its lease has ended, the voter is bound by no
+// promise.
+
+// A restarted former leader campaigns every 1/reelectionIntervalDivisor of an election
+// timeout, since the voters that it needs may start at any moment.
+const reelectionIntervalDivisor = 10
+
+// reelectionElections is for how many election timeouts after its start a former leader
+// campaigns at that interval.
+const reelectionElections = 10
+
+// startReelection makes a former leader campaign without waiting.
+func (r *Replica) startReelection() {
 	if !r.hard.Led {
 		return
 	}
-	r.void = r.hard.Term
-	r.clearPromises() // It promised nothing to anybody else.
-	r.electionAt = r.now
-	r.renewUntil = r.now + renewTimes*r.timeout()
+	r.voidTerm = r.hard.Term
+	r.clearPromises() // As the leader, it promised nothing to any other replica.
+	r.electionDeadline = r.now
+	r.reelectionUntil = r.now + reelectionElections*r.electionTimeout()
 }
 
-// renews reports whether this replica led the latest term that it knows before it
-// was started anew, a short while ago.
-func (r *Replica) renews() bool { return r.void != 0 && r.void == r.hard.Term && r.now < r.renewUntil }
+// seeksReelection reports whether this replica was restarted recently and led the latest
+// term it knows.
+func (r *Replica) seeksReelection() bool {
+	return r.voidTerm != 0 && r.voidTerm == r.hard.Term && r.now < r.reelectionUntil
+}
 
-// renewPause is between two campaigns of a former leader.
-func (r *Replica) renewPause() time.Duration { return r.timeout() / renewShare }
+// reelectionInterval returns the time between two campaigns of a former leader.
+func (r *Replica) reelectionInterval() time.Duration {
+	return r.electionTimeout() / reelectionIntervalDivisor
+}
 
-// release ends the promise to a leader that says that its lease has ended.
-func (r *Replica) release(m Message) {
+// releasePromise ends the promise to a leader whose lease is reported as ended.
+func (r *Replica) releasePromise(m Message) {
 	if m.Void != 0 && m.Void >= r.hard.Term && r.role != Leader {
 		r.clearPromises()
 	}
--- a/coordination/replicate/renew_test.go
+++ b/coordination/replicate/renew_test.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// restarted returns a replica that has just been started from what is on its disk.
+// restarted returns a replica that has just restarted with the given hard state on disk.
 func restarted(id ID, hard HardState, now time.Duration) *Replica {
-	return New(testConfig, Start{ID: id, Hard: hard, Snapshot: SnapshotMeta{Members: abc}, Now: now})
+	return New(testConfig, Start{ID: id, Hard: hard, Snapshot: SnapshotMeta{Members: threeMembers}, Now: now})
 }
 
-// TestFormerLeaderIsElectedAtOnce checks that after all processes were killed the
-// former leader is elected as soon as a quorum is up, without an election timeout.
+// TestFormerLeaderIsElectedAtOnce checks that after all processes were killed, the former
+// leader is elected as soon as a quorum is up, without waiting for an election timeout.
 func TestFormerLeaderIsElectedAtOnce(t *testing.T) {
 	now := time.Second
 	a := restarted(idA, HardState{Term: 4, Vote: idA, Led: true}, now)
-	asked := sends(a.Update(TickMsg{Now: now}))
-	if len(asked) != 2 || asked[0].Message.Kind != PreVote || asked[0].Message.Void != 4 {
-		t.Fatalf("the former leader sent %+v", asked)
+	sent := sentMessages(a.Update(TickMsg{Now: now}))
+	if len(sent) != 2 || sent[0].Message.Kind != PreVote || sent[0].Message.Void != 4 {
+		t.Fatalf("the former leader sent %+v", sent)
 	}
-	// Nobody was up to hear that. It asks again soon.
+	// No other replica was up yet. It asks again soon.
 	now += testConfig.Election / 5
-	asked = sends(a.Update(TickMsg{Now: now}))
-	if len(asked) != 2 {
-		t.Fatalf("it did not ask again: %+v", asked)
+	sent = sentMessages(a.Update(TickMsg{Now: now}))
+	if len(sent) != 2 {
+		t.Fatalf("it did not ask again: %+v", sent)
 	}
 	b := restarted(idB, HardState{Term: 4, Vote: idA}, now)
-	for range 2 { // First whether the vote would be given, then in earnest.
-		for _, m := range asked {
+	for range 2 { // The pre-vote, then the vote.
+		for _, m := range sent {
 			if m.Message.To != idB {
 				continue
 			}
-			for _, r := range sends(b.Update(StepMsg{Message: m.Message, Now: now})) {
-				asked = sends(a.Update(StepMsg{Message: r.Message, Now: now}))
+			for _, r := range sentMessages(b.Update(StepMsg{Message: m.Message, Now: now})) {
+				sent = sentMessages(a.Update(StepMsg{Message: r.Message, Now: now}))
 			}
 		}
 		a.Update(SyncedMsg{})
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestPromiseToAnotherStands checks that a voter waits out its promise where the
-// leader whom it promised is not the one that says that its lease has ended.
+// TestPromiseToAnotherStands checks that a voter waits until its promise ends unless the
+// leader it made the promise to, or a later one, reports that its lease has ended.
 func TestPromiseToAnotherStands(t *testing.T) {
 	now := time.Second
 	for name, c := range map[string]struct {
@@ -59,24 +59,24 @@
 	} {
 		b := restarted(idB, c.hard, now)
 		m := Message{Kind: PreVote, From: idA, To: idB, Term: 6, Index: 9, LogTerm: 9, Void: c.void}
-		replies := sends(b.Update(StepMsg{Message: m, Now: now}))
+		replies := sentMessages(b.Update(StepMsg{Message: m, Now: now}))
 		if len(replies) != 1 || replies[0].Message.Reject == c.granted {
-			t.Errorf("%s: %+v", name, replies)
+			t.Errorf("%s: the pre-vote replies are %+v", name, replies)
 		}
 	}
 }
 
-// TestOnlyALeaderClaims checks that a replica that voted for itself and was not
-// elected waits like any other: whoever was elected may still lead.
-func TestOnlyALeaderClaims(t *testing.T) {
+// TestOnlyFormerLeaderCampaignsAtOnce checks that a replica that voted for itself and was
+// not elected waits like any other: whoever was elected may still be the leader.
+func TestOnlyFormerLeaderCampaignsAtOnce(t *testing.T) {
 	r := restarted(idA, HardState{Term: 4, Vote: idA}, time.Second)
-	if asked := sends(r.Update(TickMsg{Now: time.Second})); len(asked) > 0 {
-		t.Errorf("it campaigns at once: %+v", asked)
+	if sent := sentMessages(r.Update(TickMsg{Now: time.Second})); len(sent) > 0 {
+		t.Errorf("it campaigned at once: %+v", sent)
 	}
 }
 
-// TestLedIsOnDisk checks that a leader has written that it leads before it can
-// count its own entry.
+// TestLedIsOnDisk checks that a leader persists that it led the term no later than the
+// first entry of that term.
 func TestLedIsOnDisk(t *testing.T) {
 	r := replicaOf(idA, HardState{Term: 2})
 	r.Update(TickMsg{Now: time.Second})
@@ -89,13 +89,13 @@
 		}
 	}
 	if !led {
-		t.Error("the first entry of the term was written without it")
+		t.Error("the first entry of the term was written without the Led flag")
 	}
 }
 
-// TestStartedTogether checks that of replicas that were started together the first of
-// the members that are up is elected, one election timeout after the start, and that
-// no two campaign at once.
+// TestStartedTogether checks that of replicas that start together, the first running one
+// in the member list is elected after one election timeout, and that no two campaign at
+// once.
 func TestStartedTogether(t *testing.T) {
 	now := time.Second
 	replicas := map[ID]*Replica{}
@@ -105,22 +105,22 @@
 	campaigns := 0
 	for end := now + 2*testConfig.Election; now < end && replicas[idB].role != Leader; now += time.Millisecond {
 		for _, id := range []ID{idC, idB} {
-			asked := sends(replicas[id].Update(TickMsg{Now: now}))
-			if len(asked) > 0 {
+			queue := sentMessages(replicas[id].Update(TickMsg{Now: now}))
+			if len(queue) > 0 {
 				campaigns++
 			}
-			for len(asked) > 0 { // What is sent is answered at once.
-				m := asked[0].Message
-				asked = asked[1:]
+			for len(queue) > 0 { // Messages are delivered at once.
+				m := queue[0].Message
+				queue = queue[1:]
 				if to := replicas[m.To]; to != nil {
-					asked = append(asked, sends(to.Update(StepMsg{Message: m, Now: now}))...)
-					asked = append(asked, sends(to.Update(SyncedMsg{}))...)
+					queue = append(queue, sentMessages(to.Update(StepMsg{Message: m, Now: now}))...)
+					queue = append(queue, sentMessages(to.Update(SyncedMsg{}))...)
 				}
 			}
 		}
 	}
 	took := now - time.Second
-	if replicas[idB].role != Leader || campaigns != 1 || took > testConfig.Election+2*testConfig.Election/turnShare {
-		t.Errorf("%s after %v and %d campaigns", replicas[idB].role, took, campaigns)
+	if replicas[idB].role != Leader || campaigns != 1 || took > testConfig.Election+2*testConfig.Election/startStaggerDivisor {
+		t.Errorf("the first running member is %s after %v and %d campaigns", replicas[idB].role, took, campaigns)
 	}
 }
--- a/coordination/replicate/replicate.go
+++ b/coordination/replicate/replicate.go
@@ -1,29 +1,31 @@
-// Package replicate is the pure step of the replicated log.
+// Package replicate implements a Raft replica as a deterministic state machine without
+// I/O.
 //
-// A [Replica] follows Raft: a leader per term, elected by a quorum of voters,
-// appends entries; an entry is committed once a quorum has it on disk. Beyond
-// the basic protocol it has
+// A [Replica] follows Raft: a quorum of voters elects one leader per term, the leader
+// appends entries, and an entry is committed once a quorum has it on disk. On top of the
+// basic protocol it has
 //
-//   - a pre-vote, so that a replica that was cut off does not raise the term
-//     when it comes back;
-//   - a quorum check, so that a leader that was cut off steps down;
-//   - a lease: a voter grants no vote within the election timeout of hearing
-//     from a leader, so a leader that heard from a quorum knows for how long no
-//     other can have been elected; timing.go tells how long that is where round
-//     trips are long;
-//   - a leader that hands over to another replica, so that no time passes
-//     without one; see handover.go;
-//   - reads confirmed by a quorum;
-//   - members changed one at a time, through learners;
-//   - identities that do not outlive a disk. An [ID] is a name with the
-//     incarnation of its data folder. A message is for one incarnation, so a
-//     replica that lost its disk cannot vote, or count, for what it forgot. It
-//     joins as a learner, catches up, replaces its former self in two changes.
+//   - a pre-vote, so that a replica that was partitioned does not raise the term
+//     when it reconnects;
+//   - a quorum check, so that a partitioned leader steps down;
+//   - a leader lease: a voter grants no vote within the election timeout of hearing
+//     from a leader, so a leader that heard from a quorum knows how long no other
+//     leader can be elected; timing.go says how long that is when round trips are
+//     long;
+//   - leadership transfer (handover), so that a planned stop leaves no time
+//     without a leader; see handover.go;
+//   - linearizable reads confirmed by a quorum;
+//   - membership changes one replica at a time, with learners;
+//   - identities bound to a disk. An [ID] is a name with the incarnation of its
+//     data folder, and a message is addressed to one incarnation. A replica that
+//     lost its disk therefore cannot vote, or be counted, for what it no longer
+//     has. It joins as a learner, catches up, and replaces its old incarnation in
+//     two membership changes.
 //
-// [Replica.Update] does no I/O and reads no clock. It mutates the replica and
-// returns commands. The driver must carry out the commands of a batch in this
-// order: write the [PersistCmd]s and sync; only then send what is marked as
-// Durable, and tell the replica by [SyncedMsg].
+// [Replica.Update] does no I/O and reads no clock. It changes the replica and returns
+// commands. The driver must execute the commands of a batch in this order: write the
+// [PersistCmd]s and sync them; only then send the messages marked Durable and report the
+// sync with a [SyncedMsg].
 package replicate
 
 import (
@@ -38,21 +40,23 @@
 
 // Errors of proposals and reads.
 var (
-	// ErrNotLeader is returned when another replica leads, or none.
-	ErrNotLeader = eris.New("this replica does not lead")
-	// ErrBusy is returned when a change of members is still under way.
-	ErrBusy = eris.New("a change of members is under way")
+	// ErrNotLeader is returned by a replica that is not the leader.
+	ErrNotLeader = eris.New("this replica is not the leader")
+	// ErrBusy is returned while a membership change or a handover is in progress, and for
+	// a handover without a suitable successor.
+	ErrBusy = eris.New("a membership change or handover is in progress")
 )
 
-// The types that are also on disk and on the wire.
+// Types that are also stored on disk and sent over the network.
 type (
 	// ID is the identity of a replica.
 	ID = protocol.ReplicaID
 	// Members are the replicas of a group.
 	Members = protocol.ReplicaMembers
-	// HardState is what must be on disk before a vote or a term is made known.
+	// HardState is the state that must be on disk before a vote or a term is made known
+	// to other replicas.
 	HardState = protocol.HardState
-	// Entry is one position of the log.
+	// Entry is one entry of the log.
 	Entry = protocol.LogEntry
 	// SnapshotMeta describes a snapshot of the state machine.
 	SnapshotMeta = protocol.SnapshotMeta
@@ -64,7 +68,7 @@
 	EntryMembers = protocol.EntryMembers
 )
 
-// Role is what a replica does at the moment.
+// Role is the current Raft role of a replica.
 type Role uint8
 
 // The roles of a replica.
@@ -80,24 +84,25 @@
 // String returns the role's name.
 func (r Role) String() string { return roleNames[r] }
 
-// Config tunes a replica.
+// Config configures a replica.
 type Config struct {
-	Election  time.Duration // Election is the least election timeout; the most is twice that.
-	Heartbeat time.Duration // Heartbeat is between two messages of a leader to a replica.
-	Batch     int           // Batch is the most bytes of entries in one message.
-	Window    int           // Window is how many messages with entries may be on the way.
+	Election  time.Duration // Election is the minimum election timeout; the maximum is twice that.
+	Heartbeat time.Duration // Heartbeat is the interval of a leader's messages to each replica.
+	Batch     int           // Batch limits the bytes of entries in one message.
+	Window    int           // Window limits the unacknowledged messages with entries per replica.
 
-	// Copies is on how many disks an entry must be before it is committed, also
-	// while the group is smaller than it should be; 0 asks for a quorum only.
+	// Copies is how many disks must have an entry before it is committed, even while the
+	// group has fewer replicas than intended; 0 requires only a quorum.
 	Copies int
-	// Voters is how many replicas vote at the most; further ones stay learners and
-	// take the place of a voter that is gone. 0 means no such bound.
+	// Voters limits the number of voters. Further replicas stay learners and replace
+	// voters that fail. 0 means no limit.
 	Voters int
-	// Wide says that the replicas lie in several regions: times follow the round trips
-	// that are observed, and leadership moves to where a quorum's is least.
+	// Wide says that the replicas are in several regions: timeouts adapt to observed
+	// round-trip times, and leadership moves to the replica with the shortest round trip
+	// to a quorum.
 	Wide bool
-	// Gone is how long a voter may be silent before a learner that has caught up
-	// takes its place; 0 means never.
+	// Gone is how long a voter may be silent before a caught-up learner replaces it; 0
+	// means that it is never replaced.
 	Gone time.Duration
 }
 
@@ -107,20 +112,20 @@
 	DefaultWindow = 16
 )
 
-// progress is what a leader knows of another replica.
+// progress is the replication state that a leader keeps for another replica.
 type progress struct {
-	match         uint64        // match is the last index known to be on its disk.
-	next          uint64        // next is the index to send next.
-	probing       bool          // probing says that next is a guess after a refusal.
-	inflight      int           // inflight counts messages with entries on the way.
-	heard         time.Duration // heard is when it last answered.
-	round         uint64        // round is the last round that it answered.
-	tripAt        time.Duration // tripAt is when its round trip was observed last.
-	promisedUntil time.Duration // promisedUntil is until when it elects no other, by this replica's clock, as far as it answered.
-	snapshot      time.Duration // snapshot is when a snapshot was sent; 0 if none is on the way.
+	match             uint64        // match is the highest index known to be on its disk.
+	next              uint64        // next is the index of the next entry to send.
+	probing           bool          // probing says that next is a guess after a rejected append.
+	inflight          int           // inflight counts unacknowledged messages with entries.
+	lastContact       time.Duration // lastContact is when it last answered.
+	answeredRound     uint64        // answeredRound is the latest heartbeat round that it answered.
+	latencyObservedAt time.Duration // latencyObservedAt is when its round-trip time was last recorded.
+	promisedUntil     time.Duration // promisedUntil is until when, on this replica's clock, it will vote for no other candidate, according to its answers.
+	snapshotSentAt    time.Duration // snapshotSentAt is when the outstanding snapshot was sent; 0 if there is none.
 }
 
-// pendingRead waits for a quorum to confirm that this replica still leads.
+// pendingRead is a read that waits for a quorum to confirm this replica's leadership.
 type pendingRead struct {
 	token uint64
 	index uint64
@@ -139,69 +144,68 @@
 	commit uint64
 	stable uint64 // stable is the last index on this replica's disk.
 
-	now           time.Duration
-	heardAt       time.Duration // heardAt is when a leader was last heard from.
-	promisedUntil time.Duration // promisedUntil is the end of the longest promise to a leader.
-	electionAt    time.Duration
-	beatAt        time.Duration
-	spread        time.Duration // spread is the random part of the election timeout.
-
-	votes        map[ID]bool
-	peers        map[ID]*progress
-	round        uint64
-	sent         sentRounds
-	place        roundtrip.Place
-	placeCheckAt time.Duration        // placeCheckAt is when the leader looks for a better place next.
-	busy         bool                 // busy says that something is under way that a move would break off.
-	leadSince    time.Duration        // leadSince is when this replica began to lead, or last failed to hand over.
-	wantPromise  time.Duration        // wantPromise is the promise that this replica asks for as the leader.
-	trips        *roundtrip.Table     // trips are those of pings between any two replicas.
-	rounds       *roundtrip.Table     // rounds are those of a leader's rounds, with the syncs of the others.
-	pingAt       time.Duration        // pingAt is when the other voters are pinged next.
-	pings        map[ID]time.Duration // pings are those that wait for an answer.
-	handover     handover
-	reads        []pendingRead
-	renewUntil   time.Duration // renewUntil is how long a former leader campaigns often.
-	void         uint64        // void is the term whose leader leads no more, as this replica knows: its own before a start or a step down, or that of the leader that handed over.
-	lease        time.Duration // lease is until when no other leader can have been elected.
-	broken       bool          // broken says that the disk failed; nothing is promised any more.
+	now              time.Duration
+	leaderContactAt  time.Duration // leaderContactAt is when a leader was last heard from.
+	promisedUntil    time.Duration // promisedUntil is the end of the longest promise to a leader.
+	electionDeadline time.Duration
+	nextHeartbeatAt  time.Duration
+	electionJitter   time.Duration // electionJitter is the random part of the election timeout.
+
+	votes                map[ID]bool
+	peers                map[ID]*progress
+	round                uint64
+	sentRounds           sentRounds
+	placement            roundtrip.Place
+	nextPlacementCheckAt time.Duration        // nextPlacementCheckAt is when the leader next checks whether another replica is better placed to lead.
+	busy                 bool                 // busy says that an operation is in progress that a change of leader would abort.
+	leaderSince          time.Duration        // leaderSince is when this replica became the leader, or when its last handover failed.
+	requestedPromise     time.Duration        // requestedPromise is the promise that this replica requests as the leader.
+	pingTrips            *roundtrip.Table     // pingTrips are the ping round-trip times between any two replicas.
+	roundTrips           *roundtrip.Table     // roundTrips are the latencies of a leader's heartbeat rounds, including the followers' syncs.
+	nextPingAt           time.Duration        // nextPingAt is when the other voters are pinged next.
+	pendingPings         map[ID]time.Duration // pendingPings holds the send times of unanswered pings.
+	handover             handover
+	reads                []pendingRead
+	reelectionUntil      time.Duration // reelectionUntil is until when a restarted former leader campaigns at short intervals.
+	voidTerm             uint64        // voidTerm is a term whose leader is known to have stopped leading: this replica's own before a restart or step-down, or that of a leader that handed over.
+	leaseUntil           time.Duration // leaseUntil is until when no other leader can be elected.
+	diskFailed           bool          // diskFailed says that the disk failed; the replica makes no further promises.
 
 	cmds []Cmd
 }
 
-// Start is what a replica starts from.
+// Start is the state that a replica starts from.
 type Start struct {
 	ID       ID
 	Hard     HardState
 	Snapshot SnapshotMeta
-	Entries  []Entry // Entries follow the snapshot.
+	Entries  []Entry // Entries are the entries after the snapshot.
 	Now      time.Duration
 	Rand     uint64
 }
 
-// New returns a replica that continues from what is on its disk. Until it has
-// heard from a leader it waits out an election timeout before it votes, since
-// its former self may have promised that. One that led the term itself does not
-// wait; see renew.go.
+// New returns a replica that continues from its state on disk. It does not vote before an
+// election timeout has passed, since it may have promised that to a leader before the
+// restart. A replica that led the latest term itself does not wait; see renew.go.
 func New(cfg Config, s Start) *Replica {
 	r := &Replica{cfg: cfg, id: s.ID, hard: s.Hard, log: NewLog(s.Snapshot, s.Entries)}
 	r.commit = s.Snapshot.Index
 	r.stable = r.log.Last()
-	r.now, r.heardAt = s.Now, s.Now
-	r.trips, r.rounds = roundtrip.New(), roundtrip.New()
+	r.now, r.leaderContactAt = s.Now, s.Now
+	r.pingTrips, r.roundTrips = roundtrip.New(), roundtrip.New()
 	r.restorePromise()
-	r.spread = r.turn()
-	r.electionAt = r.now + r.timeout() + r.spread
-	r.resume()
+	r.electionJitter = r.startStagger()
+	r.electionDeadline = r.now + r.electionTimeout() + r.electionJitter
+	r.startReelection()
 	return r
 }
 
-// Update applies a message and returns what to do.
+// Update processes a message and returns the commands to execute.
 func (r *Replica) Update(m Msg) []Cmd {
 	r.cmds = nil
 	switch m := m.(type) {
 	case TickMsg:
-		r.tick(m)
+		r.handleTick(m)
 	case StepMsg:
 		r.now = max(r.now, m.Now)
 		r.step(m.Message)
@@ -210,33 +214,33 @@
 	case ReadMsg:
 		r.read(m)
 	case JoinMsg:
-		r.join(m)
+		r.handleJoin(m)
 	case RemoveMsg:
-		r.remove(m)
+		r.handleRemove(m)
 	case HandoverMsg:
-		r.handOver(m)
+		r.startHandover(m)
 	case SyncedMsg:
-		r.synced(m)
+		r.handleSynced(m)
 	case CompactedMsg:
 		r.log.Compact(m.Snapshot)
 	case DiskFailedMsg:
-		r.diskFailed()
+		r.handleDiskFailure()
 	}
 	return r.cmds
 }
 
-func (r *Replica) do(c Cmd) { r.cmds = append(r.cmds, c) }
+func (r *Replica) emit(c Cmd) { r.cmds = append(r.cmds, c) }
 
 func (r *Replica) persist(entries []Entry) {
-	r.do(PersistCmd{Hard: r.hard, Entries: entries})
+	r.emit(PersistCmd{Hard: r.hard, Entries: entries})
 }
 
-// tick lets time pass.
-func (r *Replica) tick(m TickMsg) {
+// handleTick advances the clock.
+func (r *Replica) handleTick(m TickMsg) {
 	r.now = max(r.now, m.Now)
 	r.busy = m.Busy
-	r.spread = time.Duration(m.Rand % uint64(r.timeout()))
-	if r.broken {
+	r.electionJitter = time.Duration(m.Rand % uint64(r.electionTimeout()))
+	if r.diskFailed {
 		return
 	}
 	r.ping()
@@ -244,25 +248,26 @@
 		r.leaderTick()
 		return
 	}
-	if r.now >= r.electionAt && r.log.Members().IsVoter(r.id) {
+	if r.now >= r.electionDeadline && r.log.Members().IsVoter(r.id) {
 		r.campaign(PreCandidate)
 	}
 }
 
-// turnShare of an election timeout is between the first campaigns of two replicas
-// that were started together: some round trips and syncs.
-const turnShare = 20
+// Replicas that start together make their first campaigns 1/startStaggerDivisor of an
+// election timeout apart, which is enough for a few round trips and syncs.
+const startStaggerDivisor = 20
 
-// turn is by how much the first campaign after a start is put off. Replicas that were
-// started together campaign in the order of the members, the first of them at once,
-// so that no time is left for chance and two seldom split the votes; later campaigns
-// are spread at random, as this order may be the reason why one failed.
-func (r *Replica) turn() time.Duration {
+// startStagger returns the delay of the first campaign after the election timeout of a
+// start. Replicas that start together campaign in the order of the member list, the first
+// one without delay, so that no time is spent on a random delay and votes are seldom
+// split. Later campaigns have a random delay, because this order may be the reason why
+// one failed.
+func (r *Replica) startStagger() time.Duration {
 	place := max(0, slices.Index(r.log.Members().Voters, r.id))
-	return min(r.timeout(), time.Duration(place)*r.timeout()/turnShare)
+	return min(r.electionTimeout(), time.Duration(place)*r.electionTimeout()/startStaggerDivisor)
 }
 
-// becomeFollower takes on a term. A new term has no vote yet.
+// becomeFollower becomes a follower in the given term. A new term starts without a vote.
 func (r *Replica) becomeFollower(term uint64, leader ID) {
 	if term > r.hard.Term {
 		r.hard = HardState{Term: term, Promise: r.hard.Promise}
@@ -273,33 +278,32 @@
 	}
 	r.role, r.leader = Follower, leader
 	r.votes = nil
-	r.electionAt = r.now + r.timeout() + r.spread
+	r.electionDeadline = r.now + r.electionTimeout() + r.electionJitter
 }
 
-// stepDown gives up what only a leader holds. Proposals that are not committed
-// have an unknown outcome.
+// stepDown discards the leader's state. The outcome of uncommitted proposals is unknown.
 func (r *Replica) stepDown() {
-	r.peers, r.sent = nil, sentRounds{}
-	r.lease = 0
-	r.refuseHeld()
+	r.peers, r.sentRounds = nil, sentRounds{}
+	r.leaseUntil = 0
+	r.rejectHeldRequests()
 	for _, rd := range r.reads {
-		r.do(ReadCmd{Token: rd.token, Err: ErrNotLeader})
+		r.emit(ReadCmd{Token: rd.token, Err: ErrNotLeader})
 	}
 	r.reads = nil
-	r.do(SteppedDownCmd{Term: r.hard.Term})
+	r.emit(SteppedDownCmd{Term: r.hard.Term})
 }
 
-// diskFailed stops everything that would need the disk. The replica still
-// learns who leads, but neither votes nor counts.
-func (r *Replica) diskFailed() {
-	r.broken = true
+// handleDiskFailure stops everything that needs the disk. The replica still learns who
+// leads, but does not vote and is not counted towards a quorum.
+func (r *Replica) handleDiskFailure() {
+	r.diskFailed = true
 	if r.role == Leader {
 		r.stepDown()
 	}
 	r.role, r.leader = Follower, ID{}
 }
 
-// Status is a replica's state for the dump.
+// Status is a snapshot of a replica's state for diagnostics.
 type Status struct {
 	ID       ID            `json:"id"`
 	Role     string        `json:"role"`
@@ -311,8 +315,8 @@
 	Snapshot uint64        `json:"snapshot"`
 	Members  Members       `json:"members"`
 	Broken   bool          `json:"broken"`  // Broken says that the disk failed.
-	Lease    time.Duration `json:"lease"`   // Lease is on the clock of TickMsg.Now.
-	Timeout  time.Duration `json:"timeout"` // Timeout is the least election timeout that this replica goes by.
+	Lease    time.Duration `json:"lease"`   // Lease is the end of the lease on the clock of TickMsg.Now.
+	Timeout  time.Duration `json:"timeout"` // Timeout is the current minimum election timeout.
 }
 
 // Status returns the replica's state.
@@ -327,29 +331,29 @@
 		Stable:   r.stable,
 		Snapshot: r.log.Snapshot().Index,
 		Members:  r.log.Members(),
-		Broken:   r.broken,
-		Lease:    r.lease,
-		Timeout:  r.timeout(),
+		Broken:   r.diskFailed,
+		Lease:    r.leaseUntil,
+		Timeout:  r.electionTimeout(),
 	}
 }
 
-// Lease returns until when no other leader can have been elected, on the clock of
-// TickMsg.Now; 0 for a replica that does not lead.
-func (r *Replica) Lease() time.Duration { return r.lease }
+// Lease returns the time until which no other leader can be elected, on the clock of
+// TickMsg.Now, or 0 if the replica is not the leader.
+func (r *Replica) Lease() time.Duration { return r.leaseUntil }
 
-// Leads reports whether the replica leads, and its term, the fence of its
-// orders.
+// Leads reports whether the replica is the leader, and its term, which serves as the
+// fencing token of its orders.
 func (r *Replica) Leads() (term uint64, ok bool) { return r.hard.Term, r.role == Leader }
 
-// Settled reports whether this replica leads and a state machine that has
-// applied up to an index has all that earlier leaders committed.
+// Settled reports whether this replica is the leader and a state machine that has applied
+// everything up to the given index has all that earlier leaders committed.
 func (r *Replica) Settled(applied uint64) bool {
 	term, ok := r.log.Term(applied)
 	return r.role == Leader && ok && term == r.hard.Term
 }
 
-// SnapshotMetaAt describes a snapshot of the state machine at an applied index;
-// ok is false when the log does not reach there.
+// SnapshotMetaAt returns the metadata of a snapshot of the state machine at an applied
+// index; ok is false when the log does not contain that index.
 func (r *Replica) SnapshotMetaAt(index uint64) (meta SnapshotMeta, ok bool) {
 	term, ok := r.log.Term(index)
 	if !ok || index > r.commit {
@@ -358,7 +362,7 @@
 	return SnapshotMeta{Index: index, Term: term, Members: r.log.MembersAt(index)}, true
 }
 
-// Tail returns the entries behind the snapshot.
+// Tail returns the entries after the snapshot.
 func (r *Replica) Tail() []Entry {
 	const all = 1 << 62
 	return r.log.Slice(r.log.Snapshot().Index+1, r.log.Last(), all)
--- a/coordination/replicate/replicate_test.go
+++ b/coordination/replicate/replicate_test.go
@@ -16,8 +16,8 @@
 
 var testConfig = Config{Election: 100 * time.Millisecond, Heartbeat: 20 * time.Millisecond, Batch: 64, Window: 4}
 
-// disk is what a replica wrote. What is pending was not synced: a crash keeps
-// any first part of it.
+// disk is what a replica has written. Pending commands are not synced; a crash keeps a
+// prefix of them.
 type disk struct {
 	hard     HardState
 	snapshot SnapshotMeta
@@ -41,64 +41,66 @@
 	}
 }
 
-// node is a replica with its disk, its state machine and the messages that
-// wait for a sync.
+// node is a replica with its disk, its state machine and the messages that wait for a
+// sync.
 type node struct {
-	r       *Replica
-	id      ID
-	disk    disk
-	held    []Message // held are durable messages that wait for the sync.
-	applied []string  // applied are the commands that the state machine saw.
-	index   uint64    // index is the last that was applied.
-	cfg     Config
-	rate    float64 // rate is by how much the replica's clock runs faster than time goes on; 0 means evenly.
-}
-
-// reporter is what the simulation needs of a test.
-type reporter interface {
+	r            *Replica
+	id           ID
+	disk         disk
+	awaitingSync []Message // awaitingSync are durable messages that wait for the sync.
+	applied      []string  // applied are the commands that the state machine has applied.
+	appliedIndex uint64    // appliedIndex is the index of the last applied entry.
+	cfg          Config
+	clockDrift   float64 // clockDrift is the relative error of the replica's clock: 0.01 runs 1 % fast.
+}
+
+// testReporter is the part of testing.TB and rapid.T that the simulation needs.
+type testReporter interface {
 	Fatalf(format string, args ...any)
 	Logf(format string, args ...any)
 }
 
-// sim is a group in a bad network. Its checks are the log's promises.
+// sim simulates a group on an unreliable network. It checks that a term has one leader,
+// that leaders have all committed entries, that all replicas apply the same entries, and
+// that at most one replica holds a lease.
 type sim struct {
-	t         reporter
-	pick      func(n int) int // pick chooses one of n.
-	nodes     map[string]*node
-	net       []Message
-	late      []Message       // late are messages that may still come, out of their time.
-	cut       map[string]bool // cut holds "from>to" links that lose everything.
-	now       time.Duration
-	seq       int
-	born      uint64
-	leaders   map[uint64]ID     // leaders are the elected, by term.
-	committed map[uint64]string // committed are the applied entries, by index.
-	lost      map[ID]bool       // lost are incarnations whose disk is gone.
-}
-
-func newSim(t reporter, size int, pick func(n int) int) *sim {
-	s := &sim{t: t, pick: pick, nodes: map[string]*node{}, cut: map[string]bool{}, leaders: map[uint64]ID{}, committed: map[uint64]string{}, lost: map[ID]bool{}}
+	t               testReporter
+	pick            func(n int) int // pick returns a random number below n.
+	nodes           map[string]*node
+	inFlight        []Message
+	delayed         []Message       // delayed are messages that may still be delivered, much later.
+	cutLinks        map[string]bool // cutLinks holds the "from>to" links that drop all messages.
+	now             time.Duration
+	seq             int
+	lastIncarnation uint64
+	leaders         map[uint64]ID     // leaders are the elected leaders by term.
+	committed       map[uint64]string // committed are the applied entries by index.
+	lostDisks       map[ID]bool       // lostDisks are the incarnations whose disk was lost.
+}
+
+func newSim(t testReporter, size int, pick func(n int) int) *sim {
+	s := &sim{t: t, pick: pick, nodes: map[string]*node{}, cutLinks: map[string]bool{}, leaders: map[uint64]ID{}, committed: map[uint64]string{}, lostDisks: map[ID]bool{}}
 	var m Members
 	for i := range size {
-		s.born++
-		m.Voters = append(m.Voters, ID{Name: string(rune('a' + i)), Incarnation: s.born})
+		s.lastIncarnation++
+		m.Voters = append(m.Voters, ID{Name: string(rune('a' + i)), Incarnation: s.lastIncarnation})
 	}
 	for _, id := range m.Voters {
 		n := &node{id: id, cfg: testConfig, disk: disk{snapshot: SnapshotMeta{Members: m}}}
 		s.nodes[id.Name] = n
-		s.boot(n)
+		s.start(n)
 	}
 	return s
 }
 
-func (s *sim) boot(n *node) {
-	n.disk.pending, n.held = nil, nil
-	n.applied, n.index = slices.Clone(n.disk.data), n.disk.snapshot.Index
+func (s *sim) start(n *node) {
+	n.disk.pending, n.awaitingSync = nil, nil
+	n.applied, n.appliedIndex = slices.Clone(n.disk.data), n.disk.snapshot.Index
 	n.r = New(n.cfg, Start{ID: n.id, Hard: n.disk.hard, Snapshot: n.disk.snapshot, Entries: n.disk.entries, Now: s.clock(n), Rand: s.rand()})
 }
 
-// clock is what a replica's clock shows.
-func (s *sim) clock(n *node) time.Duration { return s.now + time.Duration(n.rate*float64(s.now)) }
+// clock returns the reading of a replica's clock.
+func (s *sim) clock(n *node) time.Duration { return s.now + time.Duration(n.clockDrift*float64(s.now)) }
 
 func (s *sim) rand() uint64 { return uint64(s.pick(1 << 30)) }
 
@@ -111,7 +113,7 @@
 	return names
 }
 
-func (s *sim) draw() *node { return s.nodes[s.names()[s.pick(len(s.nodes))]] }
+func (s *sim) randomNode() *node { return s.nodes[s.names()[s.pick(len(s.nodes))]] }
 
 func (s *sim) update(n *node, m Msg) {
 	for _, c := range n.r.Update(m) {
@@ -125,25 +127,25 @@
 		n.disk.pending = append(n.disk.pending, c)
 	case RestoreCmd:
 		n.disk.pending = append(n.disk.pending, c)
-		n.applied, n.index = nil, c.Snapshot.Index
+		n.applied, n.appliedIndex = nil, c.Snapshot.Index
 		_ = json.Unmarshal(c.Data, &n.applied)
 	case SendCmd:
 		if c.Durable {
-			n.held = append(n.held, c.Message)
+			n.awaitingSync = append(n.awaitingSync, c.Message)
 		} else {
-			s.net = append(s.net, c.Message)
+			s.inFlight = append(s.inFlight, c.Message)
 		}
 	case SendSnapshotCmd:
 		data, _ := json.Marshal(n.disk.data)
-		s.net = append(s.net, Message{Kind: Snapshot, From: n.id, To: c.To, Term: c.Term, Round: c.Round, Promise: c.Promise, Snapshot: n.disk.snapshot, Data: data})
+		s.inFlight = append(s.inFlight, Message{Kind: Snapshot, From: n.id, To: c.To, Term: c.Term, Round: c.Round, Promise: c.Promise, Snapshot: n.disk.snapshot, Data: data})
 	case ElectedCmd:
-		s.elected(n, c.Term)
+		s.recordElection(n, c.Term)
 	case ApplyCmd:
 		s.apply(n, c.Entries)
 	}
 }
 
-func (s *sim) elected(n *node, term uint64) {
+func (s *sim) recordElection(n *node, term uint64) {
 	if other, ok := s.leaders[term]; ok {
 		s.t.Fatalf("two leaders in term %d: %v and %v", term, other, n.id)
 	}
@@ -161,13 +163,13 @@
 
 func (s *sim) apply(n *node, entries []Entry) {
 	for _, e := range entries {
-		if e.Index != n.index+1 {
-			s.t.Fatalf("%v applies %d after %d", n.id, e.Index, n.index)
+		if e.Index != n.appliedIndex+1 {
+			s.t.Fatalf("%v applied index %d after %d", n.id, e.Index, n.appliedIndex)
 		}
-		n.index = e.Index
+		n.appliedIndex = e.Index
 		got := fmt.Sprintf("%d:%s", e.Term, e.Data)
 		if want, ok := s.committed[e.Index]; ok && got != want {
-			s.t.Fatalf("%v applies %q at %d, others %q", n.id, got, e.Index, want)
+			s.t.Fatalf("%v applied %q at index %d, others %q", n.id, got, e.Index, want)
 		}
 		s.committed[e.Index] = got
 		if e.Kind == EntryCommand {
@@ -176,14 +178,14 @@
 	}
 }
 
-// sync writes what is pending and releases what waited for it.
+// sync writes the pending commands and sends the messages that waited for them.
 func (s *sim) sync(n *node) {
 	for _, c := range n.disk.pending {
 		n.disk.write(c)
 	}
 	n.disk.pending = nil
-	s.net = append(s.net, n.held...)
-	n.held = nil
+	s.inFlight = append(s.inFlight, n.awaitingSync...)
+	n.awaitingSync = nil
 	last := n.disk.snapshot.Index + uint64(len(n.disk.entries))
 	term := n.disk.snapshot.Term
 	if len(n.disk.entries) > 0 {
@@ -192,33 +194,34 @@
 	s.update(n, SyncedMsg{Index: last, Term: term})
 }
 
-// crash ends a process: any first part of what was not synced is on disk.
+// crash restarts a process with a random prefix of the unsynced commands on its disk.
 func (s *sim) crash(n *node) {
 	keep := s.pick(len(n.disk.pending) + 1)
 	for _, c := range n.disk.pending[:keep] {
 		n.disk.write(c)
 	}
-	s.boot(n)
+	s.start(n)
 }
 
 func (s *sim) deliver(m Message) {
 	n := s.nodes[m.To.Name]
-	if !s.cut[m.From.Name+">"+m.To.Name] && n != nil {
+	if !s.cutLinks[m.From.Name+">"+m.To.Name] && n != nil {
 		s.update(n, StepMsg{Message: m, Now: s.clock(n)})
 	}
 }
 
-func (s *sim) take(i int) { s.net = slices.Delete(s.net, i, i+1) }
+func (s *sim) removeInFlight(i int) { s.inFlight = slices.Delete(s.inFlight, i, i+1) }
 
-// loseDisk replaces a replica by a new incarnation with an empty disk. One at a
-// time: not while a lost incarnation is still a voter anywhere.
+// loseDisk replaces a replica with a new incarnation that has an empty disk. It does
+// nothing while a lost incarnation is still a voter anywhere, since the group tolerates
+// one lost disk at a time, or while another replica sees fewer than three voters.
 func (s *sim) loseDisk(n *node) {
 	if len(s.nodes) == 1 {
 		return
 	}
 	for _, o := range s.nodes {
 		for _, v := range o.r.log.Members().Voters {
-			if s.lost[v] {
+			if s.lostDisks[v] {
 				return
 			}
 		}
@@ -226,11 +229,11 @@
 			return
 		}
 	}
-	s.lost[n.id] = true
-	s.born++
-	fresh := &node{id: ID{Name: n.id.Name, Incarnation: s.born}, cfg: n.cfg, rate: n.rate}
+	s.lostDisks[n.id] = true
+	s.lastIncarnation++
+	fresh := &node{id: ID{Name: n.id.Name, Incarnation: s.lastIncarnation}, cfg: n.cfg, clockDrift: n.clockDrift}
 	s.nodes[n.id.Name] = fresh
-	s.boot(fresh)
+	s.start(fresh)
 }
 
 func (s *sim) joinAll() {
@@ -241,11 +244,11 @@
 	}
 }
 
-// check holds after every action: no two replicas may both act on a lease.
-func (s *sim) check() {
+// checkLeases runs after every action and fails if two replicas hold a lease at once.
+func (s *sim) checkLeases() {
 	holders := 0
 	for _, n := range s.nodes {
-		if _, leads := n.r.Leads(); leads && n.r.lease > s.clock(n) {
+		if _, leads := n.r.Leads(); leads && n.r.leaseUntil > s.clock(n) {
 			holders++
 		}
 	}
@@ -256,84 +259,84 @@
 
 func (s *sim) tick() {
 	s.now += time.Duration(1+s.pick(12)) * time.Millisecond
-	n := s.draw()
+	n := s.randomNode()
 	s.update(n, TickMsg{Now: s.clock(n), Rand: s.rand()})
 }
 
-// deliverAny delivers a message on the way: mostly the oldest, so that the
-// group makes progress, else any. Some come again, much later.
+// deliverAny delivers a message that is in flight: usually the oldest, so that the group
+// makes progress, otherwise any. Some messages are kept to be delivered again much later.
 func (s *sim) deliverAny() {
-	if len(s.net) == 0 {
+	if len(s.inFlight) == 0 {
 		return
 	}
 	i := 0
 	if s.pick(3) == 0 {
-		i = s.pick(len(s.net))
+		i = s.pick(len(s.inFlight))
 	}
 	if s.pick(8) == 0 {
-		s.late = append(s.late, s.net[i])
+		s.delayed = append(s.delayed, s.inFlight[i])
 	}
-	s.deliver(s.net[i])
-	s.take(i)
+	s.deliver(s.inFlight[i])
+	s.removeInFlight(i)
 }
 
-// deliverLate delivers a message that was delivered, or lost, long ago.
-func (s *sim) deliverLate() {
-	if len(s.late) == 0 {
+// deliverDelayed delivers a message that was delivered or lost long ago.
+func (s *sim) deliverDelayed() {
+	if len(s.delayed) == 0 {
 		return
 	}
-	i := s.pick(len(s.late))
-	s.deliver(s.late[i])
-	s.late = slices.Delete(s.late, i, i+1)
+	i := s.pick(len(s.delayed))
+	s.deliver(s.delayed[i])
+	s.delayed = slices.Delete(s.delayed, i, i+1)
 }
 
 func (s *sim) drop() {
-	if len(s.net) > 0 {
-		i := s.pick(len(s.net))
-		s.late = append(s.late, s.net[i])
-		s.take(i)
+	if len(s.inFlight) > 0 {
+		i := s.pick(len(s.inFlight))
+		s.delayed = append(s.delayed, s.inFlight[i])
+		s.removeInFlight(i)
 	}
 }
 
 func (s *sim) propose() {
 	s.seq++
-	s.update(s.draw(), ProposeMsg{Token: uint64(s.seq), Data: fmt.Appendf(nil, "command %d", s.seq)})
+	s.update(s.randomNode(), ProposeMsg{Token: uint64(s.seq), Data: fmt.Appendf(nil, "command %d", s.seq)})
 }
 
 func (s *sim) cutLink() {
-	from, to := s.draw(), s.draw()
+	from, to := s.randomNode(), s.randomNode()
 	link := from.id.Name + ">" + to.id.Name
-	s.cut[link] = !s.cut[link]
+	s.cutLinks[link] = !s.cutLinks[link]
 }
 
-// bereave has all replicas but one crash at once, that one cut off from the rest for
-// as long as cuts last, and lets the rest try to go on: a leader that was spared
-// still has its lease.
-func (s *sim) bereave() {
-	spared := s.draw()
+// crashAllButOne crashes all replicas but one at once, cuts that one off from the others
+// until the links are healed, and lets the others try to continue. If the remaining
+// replica is the leader, it still has its lease.
+func (s *sim) crashAllButOne() {
+	survivor := s.randomNode()
 	for _, name := range s.names() {
-		if n := s.nodes[name]; n != spared {
-			s.cut[spared.id.Name+">"+name], s.cut[name+">"+spared.id.Name] = true, true
+		if n := s.nodes[name]; n != survivor {
+			s.cutLinks[survivor.id.Name+">"+name], s.cutLinks[name+">"+survivor.id.Name] = true, true
 			s.crash(n)
 		}
 	}
 	for range 4 {
 		s.now += time.Duration(1+s.pick(4)) * time.Millisecond
 		for _, name := range s.names() {
-			if n := s.nodes[name]; n != spared {
+			if n := s.nodes[name]; n != survivor {
 				s.update(n, TickMsg{Now: s.clock(n), Rand: s.rand()})
 				s.sync(n)
 			}
 		}
 		for range 40 {
 			s.deliverAny()
-			s.sync(s.draw())
+			s.sync(s.randomNode())
 		}
-		s.check()
+		s.checkLeases()
 	}
 }
 
-// action is something that happens, with its weight in the long runs.
+// action is a simulated event with its weight in the long runs.
 type action struct {
 	name   string
 	weight int
@@ -343,39 +346,39 @@
 func (s *sim) actions() []action {
 	return []action{
 		{"deliver", 300, s.deliverAny},
-		{"late", 20, s.deliverLate},
-		{"sync", 150, func() { s.sync(s.draw()) }},
+		{"late", 20, s.deliverDelayed},
+		{"sync", 150, func() { s.sync(s.randomNode()) }},
 		{"tick", 200, s.tick},
 		{"propose", 30, s.propose},
 		{"drop", 6, s.drop},
-		{"crash", 3, func() { s.crash(s.draw()) }},
-		{"lose", 1, func() { s.loseDisk(s.draw()) }},
+		{"crash", 3, func() { s.crash(s.randomNode()) }},
+		{"lose", 1, func() { s.loseDisk(s.randomNode()) }},
 		{"join", 10, s.joinAll},
 		{"cut", 3, s.cutLink},
-		{"heal", 3, func() { clear(s.cut) }},
-		{"compact", 3, func() { s.compact(s.draw()) }},
-		{"run", 1, func() { s.run(1 + s.pick(12)) }},
-		{"bereave", 2, s.bereave},
+		{"heal", 3, func() { clear(s.cutLinks) }},
+		{"compact", 3, func() { s.compact(s.randomNode()) }},
+		{"run", 1, func() { s.runHealthy(1 + s.pick(12)) }},
+		{"all but one crash", 2, s.crashAllButOne},
 	}
 }
 
-// compact takes a snapshot of what is applied and on disk.
+// compact takes a snapshot of the entries that are applied and on disk.
 func (s *sim) compact(n *node) {
-	if n.index > n.disk.snapshot.Index+uint64(len(n.disk.entries)) || n.index <= n.disk.snapshot.Index || len(n.disk.pending) > 0 {
+	if n.appliedIndex > n.disk.snapshot.Index+uint64(len(n.disk.entries)) || n.appliedIndex <= n.disk.snapshot.Index || len(n.disk.pending) > 0 {
 		return
 	}
-	term, ok := n.r.log.Term(n.index)
+	term, ok := n.r.log.Term(n.appliedIndex)
 	if !ok {
 		return
 	}
-	meta := SnapshotMeta{Index: n.index, Term: term, Members: n.r.log.MembersAt(n.index)}
-	n.disk.entries = slices.Clone(n.disk.entries[n.index-n.disk.snapshot.Index:])
+	meta := SnapshotMeta{Index: n.appliedIndex, Term: term, Members: n.r.log.MembersAt(n.appliedIndex)}
+	n.disk.entries = slices.Clone(n.disk.entries[n.appliedIndex-n.disk.snapshot.Index:])
 	n.disk.snapshot, n.disk.data = meta, slices.Clone(n.applied)
 	s.update(n, CompactedMsg{Snapshot: meta})
 }
 
-// run lets the group work well for some rounds.
-func (s *sim) run(rounds int) {
+// runHealthy runs the group without faults for some rounds.
+func (s *sim) runHealthy(rounds int) {
 	for range rounds {
 		s.now += 10 * time.Millisecond
 		for _, name := range s.names() {
@@ -383,10 +386,10 @@
 			s.sync(s.nodes[name])
 		}
 		for range 2 {
-			batch := s.net
-			s.net = nil
+			batch := s.inFlight
+			s.inFlight = nil
 			for _, m := range batch {
-				if n := s.nodes[m.To.Name]; n != nil && !s.cut[m.From.Name+">"+m.To.Name] {
+				if n := s.nodes[m.To.Name]; n != nil && !s.cutLinks[m.From.Name+">"+m.To.Name] {
 					s.update(n, StepMsg{Message: m, Now: s.clock(n)})
 				}
 			}
@@ -397,39 +400,39 @@
 	}
 }
 
-// TestPromises drives groups through everything at once, in any order.
-func TestPromises(t *testing.T) {
+// TestSafety checks the invariants of [sim] under random faults in any order.
+func TestSafety(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }
 		s := newSim(t, []int{1, 3, 5}[pick(3)], pick)
-		steps := map[string]func(*rapid.T){"": func(*rapid.T) { s.check() }}
+		steps := map[string]func(*rapid.T){"": func(*rapid.T) { s.checkLeases() }}
 		for _, a := range s.actions() {
 			steps[a.name] = func(*rapid.T) { a.do() }
 		}
 		t.Repeat(steps)
-		s.recovers()
+		s.requireRecovery()
 	})
 }
 
-// Long runs weigh the actions so that elections, changes of members and
-// crashes meet each other often.
+// The weights of the actions in long runs are chosen so that elections, membership
+// changes and crashes often coincide.
 const (
 	longSeeds = 600
 	longSteps = 6000
 )
 
-// TestPromisesLong is TestPromises over fixed seeds and long runs.
-func TestPromisesLong(t *testing.T) {
+// TestSafetyLong is TestSafety with fixed seeds and long runs.
+func TestSafetyLong(t *testing.T) {
 	for seed := range uint64(longSeeds) {
 		rnd := rand.New(rand.NewPCG(seed, 0))
 		s := newSim(seedTB{TB: t, seed: seed}, []int{3, 5, 3, 1}[seed%4], rnd.IntN)
-		s.long(rnd, s.actions())
-		s.recovers()
+		s.runRandom(rnd, s.actions())
+		s.requireRecovery()
 	}
 }
 
-// long has the actions happen in turns drawn by their weights.
-func (s *sim) long(rnd *rand.Rand, actions []action) {
+// runRandom performs random actions according to their weights.
+func (s *sim) runRandom(rnd *rand.Rand, actions []action) {
 	total := 0
 	for _, a := range actions {
 		total += a.weight
@@ -442,11 +445,11 @@
 				break
 			}
 		}
-		s.check()
+		s.checkLeases()
 	}
 }
 
-// seedTB prints the seed with a failure.
+// seedTB reports the seed with a failure.
 type seedTB struct {
 	testing.TB
 	seed uint64
@@ -458,25 +461,25 @@
 	t.TB.Fatalf("seed %d: "+format, append([]any{t.seed}, args...)...)
 }
 
-// recovers heals everything: the group must elect a leader, take in the
-// replicas whose disk was lost, commit, and agree.
-func (s *sim) recovers() {
-	clear(s.cut)
+// requireRecovery heals all links. The group must then elect a leader, admit the replicas
+// whose disk was lost, commit, and agree.
+func (s *sim) requireRecovery() {
+	clear(s.cutLinks)
 	for range 60 {
 		s.joinAll()
-		s.run(10)
-		if s.settled() {
+		s.runHealthy(10)
+		if s.converged() {
 			return
 		}
 	}
 	for _, name := range s.names() {
 		s.t.Logf("%s: %+v", name, s.nodes[name].r.Status())
 	}
-	s.t.Fatalf("the group does not recover")
+	s.t.Fatalf("the group did not recover")
 }
 
-// settled reports whether one command more reaches every replica, all of which vote.
-func (s *sim) settled() bool {
+// converged reports whether one more command reaches every replica and all of them vote.
+func (s *sim) converged() bool {
 	for _, n := range s.nodes {
 		if _, leads := n.r.Leads(); !leads {
 			continue
@@ -484,13 +487,13 @@
 		s.seq++
 		last := fmt.Sprintf("command %d", s.seq)
 		s.update(n, ProposeMsg{Token: uint64(s.seq), Data: []byte(last)})
-		s.run(15)
-		return s.agree(last)
+		s.runHealthy(15)
+		return s.allApplied(last)
 	}
 	return false
 }
 
-func (s *sim) agree(last string) bool {
+func (s *sim) allApplied(last string) bool {
 	var first []string
 	for _, name := range s.names() {
 		n := s.nodes[name]
@@ -501,41 +504,42 @@
 			first = n.applied
 		}
 		if !slices.Equal(first, n.applied) {
-			s.t.Fatalf("%s applied %v, another %v", name, n.applied, first)
+			s.t.Fatalf("%s applied %v, another replica applied %v", name, n.applied, first)
 		}
 	}
 	return true
 }
 
-// TestOldIncarnationDoesNotVote is the trap of a lost disk: a replica comes
-// back empty under its old name. It must not help to elect a leader that lacks
-// what it had promised.
+// TestOldIncarnationDoesNotVote checks that a replica that returns under its old name
+// with an empty disk does not answer messages for its old incarnation. Otherwise it could
+// help to elect a leader that lacks entries the replica had acknowledged.
 func TestOldIncarnationDoesNotVote(t *testing.T) {
 	fresh := New(testConfig, Start{ID: ID{Name: "b", Incarnation: 9}})
 	old := ID{Name: "b", Incarnation: 2}
 	cmds := fresh.Update(StepMsg{Now: time.Hour, Message: Message{Kind: Vote, From: ID{Name: "c", Incarnation: 3}, To: old, Term: 7}})
 	if len(cmds) > 0 {
-		t.Errorf("an empty replica answered a message for its former self: %v", cmds)
+		t.Errorf("an empty replica answered a message for its old incarnation: %v", cmds)
 	}
 	if cmds := fresh.Update(TickMsg{Now: 2 * time.Hour}); len(cmds) > 0 {
 		t.Errorf("an empty replica campaigned: %v", cmds)
 	}
 }
 
-// TestBrokenDiskStopsVoting fails the disk of a leader and of a follower.
+// TestBrokenDiskStopsVoting checks that a leader or follower whose disk failed neither
+// leads nor votes.
 func TestBrokenDiskStopsVoting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(t, 3, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") })
-		s.run(60)
-		n := s.draw()
+		s.runHealthy(60)
+		n := s.randomNode()
 		s.update(n, DiskFailedMsg{})
 		if _, leads := n.r.Leads(); leads {
 			t.Fatal("a replica with a broken disk leads")
 		}
-		n.held = nil
+		n.awaitingSync = nil
 		s.update(n, StepMsg{Now: s.now + time.Hour, Message: Message{Kind: Vote, From: ID{Name: "z"}, To: n.id, Term: 99, Index: 99, LogTerm: 99}})
-		if len(n.held) > 0 {
-			t.Fatalf("a replica with a broken disk answered %v", n.held)
+		if len(n.awaitingSync) > 0 {
+			t.Fatalf("a replica with a broken disk answered %v", n.awaitingSync)
 		}
 	})
 }
--- a/coordination/replicate/rules_test.go
+++ b/coordination/replicate/rules_test.go
@@ -6,20 +6,21 @@
 )
 
 var (
-	idA = ID{Name: "a", Incarnation: 1}
-	idB = ID{Name: "b", Incarnation: 2}
-	idC = ID{Name: "c", Incarnation: 3}
-	abc = Members{Voters: []ID{idA, idB, idC}}
+	idA          = ID{Name: "a", Incarnation: 1}
+	idB          = ID{Name: "b", Incarnation: 2}
+	idC          = ID{Name: "c", Incarnation: 3}
+	threeMembers = Members{Voters: []ID{idA, idB, idC}}
 )
 
-// replicaOf returns a replica of a group of three, long after its start.
+// replicaOf returns a replica of a group of three that started so long ago that it may
+// vote at once.
 func replicaOf(id ID, hard HardState, entries ...Entry) *Replica {
-	r := New(testConfig, Start{ID: id, Hard: hard, Snapshot: SnapshotMeta{Members: abc}, Entries: entries})
-	r.heardAt = -time.Hour
+	r := New(testConfig, Start{ID: id, Hard: hard, Snapshot: SnapshotMeta{Members: threeMembers}, Entries: entries})
+	r.leaderContactAt = -time.Hour
 	return r
 }
 
-func sends(cmds []Cmd) []SendCmd {
+func sentMessages(cmds []Cmd) []SendCmd {
 	var out []SendCmd
 	for _, c := range cmds {
 		if s, ok := c.(SendCmd); ok {
@@ -29,7 +30,7 @@
 	return out
 }
 
-// elect makes a replica the leader by the votes of b.
+// elect makes a replica the leader with the vote of b.
 func elect(t *testing.T, r *Replica) {
 	t.Helper()
 	r.Update(TickMsg{Now: time.Second})
@@ -41,8 +42,8 @@
 	}
 }
 
-// TestVoteIsOnDiskFirst checks that a granted vote is written before it is
-// told, and is the only one of its term.
+// TestVoteIsOnDiskFirst checks that a granted vote is persisted before it is sent, and
+// that only one vote is granted per term.
 func TestVoteIsOnDiskFirst(t *testing.T) {
 	r := replicaOf(idB, HardState{Term: 4})
 	cmds := r.Update(StepMsg{Message: Message{Kind: Vote, From: idA, To: idB, Term: 5}})
@@ -53,49 +54,49 @@
 			written = c.Hard == HardState{Term: 5, Vote: idA}
 		case SendCmd:
 			if c.Message.Reject || !c.Durable || !written {
-				t.Errorf("the vote was told as %+v, written before: %v", c, written)
+				t.Errorf("the vote was sent as %+v, written before: %v", c, written)
 			}
 		}
 	}
-	second := sends(r.Update(StepMsg{Message: Message{Kind: Vote, From: idC, To: idB, Term: 5}}))
+	second := sentMessages(r.Update(StepMsg{Message: Message{Kind: Vote, From: idC, To: idB, Term: 5}}))
 	if len(second) != 1 || !second[0].Message.Reject {
 		t.Errorf("a second candidate of the term got %+v", second)
 	}
 }
 
-// TestNoVoteWithinLease checks that a replica that heard from a leader, or may
-// have before its restart, helps no other within the election timeout.
+// TestNoVoteWithinLease checks that a replica that heard from a leader, or may have heard
+// from one before its restart, grants no vote within the election timeout.
 func TestNoVoteWithinLease(t *testing.T) {
 	heard := replicaOf(idB, HardState{Term: 4})
 	heard.Update(StepMsg{Message: Message{Kind: Append, From: idA, To: idB, Term: 4}, Now: time.Second})
-	restarted := New(testConfig, Start{ID: idB, Hard: HardState{Term: 4}, Snapshot: SnapshotMeta{Members: abc}, Now: time.Second})
+	restarted := New(testConfig, Start{ID: idB, Hard: HardState{Term: 4}, Snapshot: SnapshotMeta{Members: threeMembers}, Now: time.Second})
 	for name, r := range map[string]*Replica{"heard": heard, "restarted": restarted} {
 		for _, kind := range []MessageKind{PreVote, Vote} {
 			at := time.Second + testConfig.Election - time.Millisecond
-			for _, s := range sends(r.Update(StepMsg{Message: Message{Kind: kind, From: idC, To: idB, Term: 5, Index: 9, LogTerm: 9}, Now: at})) {
+			for _, s := range sentMessages(r.Update(StepMsg{Message: Message{Kind: kind, From: idC, To: idB, Term: 5, Index: 9, LogTerm: 9}, Now: at})) {
 				if !s.Message.Reject {
 					t.Errorf("%s: granted %+v within the lease", name, s.Message)
 				}
 			}
 		}
 		after := time.Second + testConfig.Election
-		late := sends(r.Update(StepMsg{Message: Message{Kind: Vote, From: idC, To: idB, Term: 6, Index: 9, LogTerm: 9}, Now: after}))
+		late := sentMessages(r.Update(StepMsg{Message: Message{Kind: Vote, From: idC, To: idB, Term: 6, Index: 9, LogTerm: 9}, Now: after}))
 		if len(late) != 1 || late[0].Message.Reject {
 			t.Errorf("%s: after the lease the vote is %+v", name, late)
 		}
 	}
 }
 
-// TestOldTermCommitsNothing checks that an entry of an earlier term is not
-// committed by its copies alone: a replica with a later term's entry could
-// still be elected and replace it.
+// TestOldTermCommitsNothing checks that an entry of an earlier term is not committed
+// because a quorum has it: a replica with an entry of a later term could still be elected
+// and replace it.
 func TestOldTermCommitsNothing(t *testing.T) {
 	r := replicaOf(idA, HardState{Term: 2}, Entry{Index: 1, Term: 2, Kind: EntryCommand})
 	elect(t, r)
 	r.Update(SyncedMsg{Index: 1, Term: 2})
 	r.Update(StepMsg{Message: Message{Kind: AppendReply, From: idB, To: idA, Term: r.hard.Term, Index: 1}, Now: time.Second})
 	if r.commit != 0 {
-		t.Fatalf("committed up to %d by copies of an old term", r.commit)
+		t.Fatalf("committed up to %d with an entry of an old term", r.commit)
 	}
 	r.Update(SyncedMsg{Index: 2, Term: r.hard.Term})
 	r.Update(StepMsg{Message: Message{Kind: AppendReply, From: idB, To: idA, Term: r.hard.Term, Index: 2}, Now: time.Second})
@@ -104,9 +105,9 @@
 	}
 }
 
-// TestReplacementTakesTwoChanges checks that a replica whose disk was lost
-// first goes as its former self and then comes as its new one, each change
-// committed before the next, and none before an entry of the term is.
+// TestReplacementTakesTwoChanges checks that after a lost disk the old incarnation is
+// removed before the new one is promoted, that each change is committed before the next,
+// and that no change is made before an entry of the term is committed.
 func TestReplacementTakesTwoChanges(t *testing.T) {
 	r := replicaOf(idA, HardState{Term: 2})
 	elect(t, r)
@@ -139,20 +140,20 @@
 	}
 }
 
-// TestLateSnapshotKeepsPromises is a fault that the long runs found: a snapshot
-// that came late took away entries behind it that were promised already.
-func TestLateSnapshotKeepsPromises(t *testing.T) {
+// TestLateSnapshotKeepsAcknowledgedEntries guards against a fault found by the long runs:
+// a delayed snapshot removed later entries that the replica had already acknowledged.
+func TestLateSnapshotKeepsAcknowledgedEntries(t *testing.T) {
 	r := replicaOf(idB, HardState{Term: 1})
 	entries := []Entry{{Index: 1, Term: 1}, {Index: 2, Term: 1}, {Index: 3, Term: 1}}
 	r.Update(StepMsg{Message: Message{Kind: Append, From: idA, To: idB, Term: 1, Entries: entries}})
-	r.Update(StepMsg{Message: Message{Kind: Snapshot, From: idA, To: idB, Term: 1, Snapshot: SnapshotMeta{Index: 2, Term: 1, Members: abc}}})
+	r.Update(StepMsg{Message: Message{Kind: Snapshot, From: idA, To: idB, Term: 1, Snapshot: SnapshotMeta{Index: 2, Term: 1, Members: threeMembers}}})
 	if r.log.Last() != 3 {
 		t.Errorf("the log ends at %d, want 3", r.log.Last())
 	}
 }
 
-// TestConfirmedRead checks that a read waits for a quorum's answer to a message
-// that was sent after the read was asked.
+// TestConfirmedRead checks that a read waits until a quorum answers a message that was
+// sent after the read was requested.
 func TestConfirmedRead(t *testing.T) {
 	r := replicaOf(idA, HardState{Term: 2})
 	elect(t, r)
@@ -178,21 +179,21 @@
 	}
 }
 
-// TestOldRoundRenewsNoLease is a fault that the long runs found: a message of a
-// leader's former life, answered in the term that it leads now, counted as the
-// answer to a round that it had not sent yet, and renewed its lease from then on.
+// TestOldRoundRenewsNoLease guards against a fault found by the long runs: a leader sent
+// a message, restarted and was elected again, and the answer to the old message counted
+// for a round that it had not sent yet, and extended its lease from then on.
 func TestOldRoundRenewsNoLease(t *testing.T) {
 	a, b := replicaOf(idA, HardState{Term: 5}), replicaOf(idB, HardState{Term: 6})
 	elect(t, a)
-	lease := a.lease
+	lease := a.leaseUntil
 	late := Message{Kind: Append, From: idA, To: idB, Term: 5, Round: 14}
-	for _, reply := range sends(b.Update(StepMsg{Message: late, Now: time.Second})) {
+	for _, reply := range sentMessages(b.Update(StepMsg{Message: late, Now: time.Second})) {
 		a.Update(StepMsg{Message: reply.Message, Now: time.Second})
 	}
 	for i := range time.Duration(5) {
 		a.Update(TickMsg{Now: time.Second + i*testConfig.Heartbeat})
 	}
-	if a.hard.Term != 6 || a.lease != lease {
-		t.Errorf("in term %d the lease went from %v to %v without an answer", a.hard.Term, lease, a.lease)
+	if a.hard.Term != 6 || a.leaseUntil != lease {
+		t.Errorf("in term %d the lease was extended from %v to %v without an answer", a.hard.Term, lease, a.leaseUntil)
 	}
 }
--- a/coordination/replicate/wide_test.go
+++ b/coordination/replicate/wide_test.go
@@ -11,107 +11,107 @@
 	"pgregory.net/rapid"
 )
 
-// wideSim is a [sim] whose replicas each have settings and a clock of their own, which
-// estimate round trips as they like, and hand leadership over.
-func wideSim(t reporter, size int, pick func(n int) int) *sim {
+// newWideSim returns a [sim] in which each replica has its own settings and clock rate
+// and leaders request arbitrary promises and hand over.
+func newWideSim(t testReporter, size int, pick func(n int) int) *sim {
 	s := newSim(t, size, pick)
 	for _, name := range s.names() {
 		n := s.nodes[name]
-		n.rate = float64(pick(101)-50) / 1000 // Any two differ by a tenth at the most.
+		n.clockDrift = float64(pick(101)-50) / 1000 // Any two clocks differ by a tenth at most.
 		n.cfg.Wide = pick(2) == 0
 		n.cfg.Election = testConfig.Election * time.Duration(1+pick(3)) / 2
 		n.cfg.Heartbeat = n.cfg.Election / 5
-		s.boot(n)
+		s.start(n)
 	}
 	return s
 }
 
-// estimate has a leader ask for any promise.
-func (s *sim) estimate() {
-	n := s.draw()
+// randomizePromise makes a leader request an arbitrary promise.
+func (s *sim) randomizePromise() {
+	n := s.randomNode()
 	if _, leads := n.r.Leads(); leads {
-		n.r.wantPromise = time.Duration(1+s.pick(1000)) * time.Millisecond
+		n.r.requestedPromise = time.Duration(1+s.pick(1000)) * time.Millisecond
 	}
 }
 
-func (s *sim) handOver() {
+func (s *sim) handOverAtRandom() {
 	s.seq++
-	s.update(s.draw(), HandoverMsg{Token: uint64(s.seq), To: s.draw().id.Name})
+	s.update(s.randomNode(), HandoverMsg{Token: uint64(s.seq), To: s.randomNode().id.Name})
 }
 
-// abandon cuts a leader off for as long as a promise may run, has the others start
-// again, and lets them elect another as soon as they may.
-func (s *sim) abandon() {
-	spared := s.draw()
-	if _, leads := spared.r.Leads(); !leads {
+// isolateLeader cuts a leader off for as long as a promise may last, restarts some of the
+// other replicas, and lets them elect another leader as soon as they may.
+func (s *sim) isolateLeader() {
+	isolated := s.randomNode()
+	if _, leads := isolated.r.Leads(); !leads {
 		return
 	}
 	for _, name := range s.names() {
-		if n := s.nodes[name]; n != spared {
-			s.cut[spared.id.Name+">"+name], s.cut[name+">"+spared.id.Name] = true, true
+		if n := s.nodes[name]; n != isolated {
+			s.cutLinks[isolated.id.Name+">"+name], s.cutLinks[name+">"+isolated.id.Name] = true, true
 			if s.pick(2) == 0 {
 				s.crash(n)
 			}
 		}
 	}
 	for range 30 {
-		s.run(3)
-		s.check()
+		s.runHealthy(3)
+		s.checkLeases()
 	}
-	clear(s.cut)
+	clear(s.cutLinks)
 }
 
 func (s *sim) wideActions() []action {
-	return append(s.actions(), action{"estimate", 20, s.estimate}, action{"handover", 20, s.handOver}, action{"abandon", 3, s.abandon})
+	return append(s.actions(), action{"estimate", 20, s.randomizePromise}, action{"handover", 20, s.handOverAtRandom}, action{"abandon", 3, s.isolateLeader})
 }
 
-// TestPromisesWide is TestPromises where leaders ask for any promise, settings and
-// clocks differ, and leadership is handed over.
-func TestPromisesWide(t *testing.T) {
+// TestSafetyWide is TestSafety with arbitrary promises, different settings and clock
+// rates, and handovers.
+func TestSafetyWide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }
-		s := wideSim(t, []int{1, 3, 5}[pick(3)], pick)
-		steps := map[string]func(*rapid.T){"": func(*rapid.T) { s.check() }}
+		s := newWideSim(t, []int{1, 3, 5}[pick(3)], pick)
+		steps := map[string]func(*rapid.T){"": func(*rapid.T) { s.checkLeases() }}
 		for _, a := range s.wideActions() {
 			steps[a.name] = func(*rapid.T) { a.do() }
 		}
 		t.Repeat(steps)
-		s.recovers()
+		s.requireRecovery()
 	})
 }
 
-// TestPromisesWideLong is TestPromisesWide over fixed seeds and long runs.
-func TestPromisesWideLong(t *testing.T) {
+// TestSafetyWideLong is TestSafetyWide with fixed seeds and long runs.
+func TestSafetyWideLong(t *testing.T) {
 	for seed := range uint64(longSeeds / 4) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		s := wideSim(seedTB{TB: t, seed: seed}, []int{3, 5}[seed%2], rnd.IntN)
-		s.long(rnd, s.wideActions())
-		s.recovers()
+		s := newWideSim(seedTB{TB: t, seed: seed}, []int{3, 5}[seed%2], rnd.IntN)
+		s.runRandom(rnd, s.wideActions())
+		s.requireRecovery()
 	}
 }
 
-// TestLeaseIsWhatVotersPromised checks that a leader relies on what its voters say
-// that they promised, whatever it asked for.
+// TestLeaseIsWhatVotersPromised checks that a lease follows the promises that the voters
+// report, whatever the leader requested.
 func TestLeaseIsWhatVotersPromised(t *testing.T) {
-	for name, tt := range map[string]struct{ asked, told, want time.Duration }{
-		"as asked":               {400 * time.Millisecond, 400 * time.Millisecond, 360 * time.Millisecond},
-		"less than asked":        {400 * time.Millisecond, 150 * time.Millisecond, 135 * time.Millisecond},
-		"an earlier version's":   {400 * time.Millisecond, 0, 90 * time.Millisecond},
-		"more than it relies on": {0, 900 * time.Millisecond, 90 * time.Millisecond},
+	for name, tt := range map[string]struct{ requested, reported, want time.Duration }{
+		"as requested":                           {400 * time.Millisecond, 400 * time.Millisecond, 360 * time.Millisecond},
+		"less than requested":                    {400 * time.Millisecond, 150 * time.Millisecond, 135 * time.Millisecond},
+		"not reported, as by an earlier version": {400 * time.Millisecond, 0, 90 * time.Millisecond},
+		"more than the leader requested":         {0, 900 * time.Millisecond, 90 * time.Millisecond},
 	} {
 		r := replicaOf(idA, HardState{Term: 2})
 		elect(t, r)
-		r.wantPromise = max(tt.asked, testConfig.Election)
+		r.requestedPromise = max(tt.requested, testConfig.Election)
 		r.broadcast()
-		r.Update(StepMsg{Message: Message{Kind: AppendReply, From: idB, To: idA, Term: r.hard.Term, Round: r.round, Promise: tt.told}, Now: r.now})
-		if got := r.lease - r.now; got != tt.want {
-			t.Errorf("%s: the lease runs %v, want %v", name, got, tt.want)
+		r.Update(StepMsg{Message: Message{Kind: AppendReply, From: idB, To: idA, Term: r.hard.Term, Round: r.round, Promise: tt.reported}, Now: r.now})
+		if got := r.leaseUntil - r.now; got != tt.want {
+			t.Errorf("%s: the lease lasts %v, want %v", name, got, tt.want)
 		}
 	}
 }
 
-// TestPromiseOutlivesARestart checks that a voter that was started again waits out the
-// longest promise of its former self.
+// TestPromiseOutlivesARestart checks that a restarted voter waits for the end of the
+// longest promise it may have made before the restart.
 func TestPromiseOutlivesARestart(t *testing.T) {
 	b := replicaOf(idB, HardState{Term: 4})
 	long := 4 * testConfig.Election
@@ -124,28 +124,28 @@
 	b = restarted(idB, hard, time.Second)
 	for at, want := range map[time.Duration]bool{long - time.Millisecond: false, long: true} {
 		fresh := restarted(idB, b.hard, time.Second)
-		for _, s := range sends(fresh.Update(StepMsg{Message: Message{Kind: Vote, From: idC, To: idB, Term: 5, Index: 9, LogTerm: 9}, Now: time.Second + at})) {
+		for _, s := range sentMessages(fresh.Update(StepMsg{Message: Message{Kind: Vote, From: idC, To: idB, Term: 5, Index: 9, LogTerm: 9}, Now: time.Second + at})) {
 			if !s.Message.Reject != want {
-				t.Errorf("%v behind the restart the vote is %+v", at, s.Message)
+				t.Errorf("%v after the restart the vote is %+v", at, s.Message)
 			}
 		}
 	}
 }
 
-// wide is a group over paths with delays, in time of its own: what happens is ordered
-// by when it does. Its replicas have disks that take a while.
-type wide struct {
+// timedSim is a discrete-event simulation of a group with network delays and disks whose
+// syncs take time.
+type timedSim struct {
 	*sim
-	events  eventQueue
-	seq     int
-	delay   func(from, to string) time.Duration
-	loss    float64
-	rnd     *rand.Rand
-	syncing map[string]bool
-	down    map[string]bool
-	reads   map[uint64]uint64 // reads are the indexes committed when each was asked.
-	refused int               // refused are reads that were not confirmed.
-	read    int               // read are those that were.
+	events          eventQueue
+	seq             int
+	delay           func(from, to string) time.Duration
+	loss            float64
+	rnd             *rand.Rand
+	syncing         map[string]bool
+	down            map[string]bool
+	committedAtRead map[uint64]uint64 // committedAtRead holds the committed index at the time of each read, by token.
+	readsRefused    int               // readsRefused counts the reads refused with ErrNotLeader.
+	readsConfirmed  int               // readsConfirmed counts the other reads.
 }
 
 type event struct {
@@ -175,53 +175,53 @@
 }
 
 const (
-	wideTick = 10 * time.Millisecond
-	wideSync = 2 * time.Millisecond
+	tickInterval = 10 * time.Millisecond
+	syncDuration = 2 * time.Millisecond
 )
 
-// wideConfig is as the settings have it by default.
+// wideConfig has the default settings.
 var wideConfig = Config{Election: 200 * time.Millisecond, Heartbeat: 40 * time.Millisecond, Batch: 1 << 16, Window: 16, Wide: true}
 
-func newWide(t reporter, seed uint64, cfg Config, size int, delay func(from, to string) time.Duration) *wide {
+func newTimedSim(t testReporter, seed uint64, cfg Config, size int, delay func(from, to string) time.Duration) *timedSim {
 	rnd := rand.New(rand.NewPCG(seed, 2))
-	w := &wide{sim: newSim(t, size, rnd.IntN), delay: delay, rnd: rnd, syncing: map[string]bool{}, down: map[string]bool{}, reads: map[uint64]uint64{}}
+	w := &timedSim{sim: newSim(t, size, rnd.IntN), delay: delay, rnd: rnd, syncing: map[string]bool{}, down: map[string]bool{}, committedAtRead: map[uint64]uint64{}}
 	for _, name := range w.names() {
 		n := w.nodes[name]
-		n.cfg, n.rate = cfg, (rnd.Float64()-0.5)/10
-		w.boot(n)
-		w.tickLater(name)
+		n.cfg, n.clockDrift = cfg, (rnd.Float64()-0.5)/10
+		w.start(n)
+		w.scheduleTick(name)
 	}
 	return w
 }
 
-func (w *wide) later(after time.Duration, do func()) {
+func (w *timedSim) schedule(after time.Duration, do func()) {
 	w.seq++
 	heap.Push(&w.events, event{at: w.now + after, seq: w.seq, do: do})
 }
 
-func (w *wide) tickLater(name string) {
-	w.later(wideTick, func() {
+func (w *timedSim) scheduleTick(name string) {
+	w.schedule(tickInterval, func() {
 		if n := w.nodes[name]; !w.down[name] {
 			w.step(n, TickMsg{Now: w.clock(n), Rand: w.rand()})
 		}
-		w.tickLater(name)
+		w.scheduleTick(name)
 	})
 }
 
-// step has a replica take a message, and sends what it says.
-func (w *wide) step(n *node, m Msg) {
+// step delivers a message to a replica and executes the commands that it returns.
+func (w *timedSim) step(n *node, m Msg) {
 	for _, c := range n.r.Update(m) {
-		w.note(c)
+		w.checkRead(c)
 		w.execute(n, c)
 	}
 	name := n.id.Name
 	switch {
 	case len(n.disk.pending) == 0:
-		w.net = append(w.net, n.held...)
-		n.held = nil
+		w.inFlight = append(w.inFlight, n.awaitingSync...)
+		n.awaitingSync = nil
 	case !w.syncing[name]:
 		w.syncing[name] = true
-		w.later(wideSync, func() {
+		w.schedule(syncDuration, func() {
 			w.syncing[name] = false
 			if !w.down[name] && w.nodes[name] == n {
 				w.sync(n)
@@ -230,41 +230,41 @@
 		})
 	}
 	w.sendAll()
-	w.check()
+	w.checkLeases()
 }
 
-func (w *wide) sendAll() {
-	batch := w.net
-	w.net = nil
+func (w *timedSim) sendAll() {
+	batch := w.inFlight
+	w.inFlight = nil
 	for _, m := range batch {
-		if w.rnd.Float64() < w.loss || w.cut[m.From.Name+">"+m.To.Name] {
+		if w.rnd.Float64() < w.loss || w.cutLinks[m.From.Name+">"+m.To.Name] {
 			continue
 		}
-		w.later(w.delay(m.From.Name, m.To.Name), func() {
-			if n := w.nodes[m.To.Name]; n != nil && !w.down[m.To.Name] && !w.cut[m.From.Name+">"+m.To.Name] {
+		w.schedule(w.delay(m.From.Name, m.To.Name), func() {
+			if n := w.nodes[m.To.Name]; n != nil && !w.down[m.To.Name] && !w.cutLinks[m.From.Name+">"+m.To.Name] {
 				w.step(n, StepMsg{Message: m, Now: w.clock(n)})
 			}
 		})
 	}
 }
 
-// note holds the promise of reads: all that was committed when they were asked.
-func (w *wide) note(c Cmd) {
+// checkRead checks that a read sees everything that was committed when it was requested.
+func (w *timedSim) checkRead(c Cmd) {
 	r, ok := c.(ReadCmd)
 	if !ok {
 		return
 	}
 	switch {
 	case errors.Is(r.Err, ErrNotLeader):
-		w.refused++
-	case r.Err == nil && r.Index < w.reads[r.Token]:
-		w.t.Fatalf("a read saw up to %d, %d were committed when it was asked", r.Index, w.reads[r.Token])
+		w.readsRefused++
+	case r.Err == nil && r.Index < w.committedAtRead[r.Token]:
+		w.t.Fatalf("a read saw entries up to %d, but %d was committed when it was requested", r.Index, w.committedAtRead[r.Token])
 	default:
-		w.read++
+		w.readsConfirmed++
 	}
 }
 
-func (w *wide) run(d time.Duration) {
+func (w *timedSim) run(d time.Duration) {
 	end := w.now + d
 	for len(w.events) > 0 && w.events[0].at <= end {
 		e, _ := heap.Pop(&w.events).(event)
@@ -274,51 +274,52 @@
 	w.now = end
 }
 
-// until runs until something is true, and returns how long that took.
-func (w *wide) until(what string, most time.Duration, done func() bool) time.Duration {
+// runUntil runs until a condition holds, and returns how long that took.
+func (w *timedSim) runUntil(what string, most time.Duration, done func() bool) time.Duration {
 	began := w.now
 	for !done() {
 		if w.now-began > most {
 			for _, name := range w.names() {
 				w.t.Logf("%s: %+v", name, w.nodes[name].r.Status())
 			}
-			w.t.Fatalf("%s: not within %v", what, most)
+			w.t.Fatalf("%s took longer than %v", what, most)
 		}
 		w.run(time.Millisecond)
 	}
 	return w.now - began
 }
 
-// leader returns the replica that leads by a lease that runs, if one does.
-func (w *wide) leader() *node {
+// leader returns the replica that leads with a valid lease and has applied everything
+// that earlier leaders committed, if there is one.
+func (w *timedSim) leader() *node {
 	for _, name := range w.names() {
 		n := w.nodes[name]
-		if _, leads := n.r.Leads(); leads && n.r.lease > w.clock(n) && n.r.Settled(n.index) && !w.down[name] {
+		if _, leads := n.r.Leads(); leads && n.r.leaseUntil > w.clock(n) && n.r.Settled(n.appliedIndex) && !w.down[name] {
 			return n
 		}
 	}
 	return nil
 }
 
-func (w *wide) led() bool { return w.leader() != nil }
+func (w *timedSim) hasLeader() bool { return w.leader() != nil }
 
-// cutNodes cuts or heals all paths from some replicas to others.
-func (w *wide) cutNodes(cut bool, from, to []string) {
+// setCut cuts or heals all links from some replicas to others.
+func (w *timedSim) setCut(cut bool, from, to []string) {
 	for _, a := range from {
 		for _, b := range to {
 			if a != b {
-				w.cut[a+">"+b] = cut
+				w.cutLinks[a+">"+b] = cut
 			}
 		}
 	}
 }
 
-func (w *wide) askAll() {
+func (w *timedSim) readFromAll() {
 	for _, name := range w.names() {
 		w.seq++
 		token := uint64(w.seq)
 		for index := range w.committed {
-			w.reads[token] = max(w.reads[token], index)
+			w.committedAtRead[token] = max(w.committedAtRead[token], index)
 		}
 		if !w.down[name] {
 			w.step(w.nodes[name], ReadMsg{Token: token})
@@ -326,20 +327,21 @@
 	}
 }
 
-func even(d time.Duration) func(string, string) time.Duration {
+func uniformDelay(d time.Duration) func(string, string) time.Duration {
 	return func(string, string) time.Duration { return d }
 }
 
-// oneWays are the delays at which the timing must be right and quick.
-var oneWays = []time.Duration{time.Millisecond, 8 * time.Millisecond, 40 * time.Millisecond, 80 * time.Millisecond}
+// oneWayDelays are the network delays at which lease and election times are checked.
+var oneWayDelays = []time.Duration{time.Millisecond, 8 * time.Millisecond, 40 * time.Millisecond, 80 * time.Millisecond}
 
-// TestLeaseOutlastsRoundTrips checks that a calm leader's lease never ends, that it is
-// followed soon when it dies, and that it hands over within some round trips.
+// TestLeaseOutlastsRoundTrips checks that the lease of an undisturbed leader never ends,
+// that a failed leader is replaced soon, and that a handover takes only a few round
+// trips.
 func TestLeaseOutlastsRoundTrips(t *testing.T) {
-	for _, oneWay := range oneWays {
+	for _, oneWay := range oneWayDelays {
 		for seed := range uint64(5) {
-			w := newWide(t, seed, wideConfig, 5, even(oneWay))
-			first := w.until("a first leader", 5*time.Second, w.led)
+			w := newTimedSim(t, seed, wideConfig, 5, uniformDelay(oneWay))
+			first := w.runUntil("a first leader", 5*time.Second, w.hasLeader)
 			w.run(5 * time.Second)
 			n := w.leader()
 			if n == nil {
@@ -347,38 +349,38 @@
 			}
 			for range 2000 {
 				w.run(10 * time.Millisecond)
-				if _, leads := n.r.Leads(); !leads || n.r.lease <= w.clock(n) {
-					t.Fatalf("%v, seed %d: the lease of a calm leader ended; promise %v", oneWay, seed, n.r.wantPromise)
+				if _, leads := n.r.Leads(); !leads || n.r.leaseUntil <= w.clock(n) {
+					t.Fatalf("%v, seed %d: the lease of an undisturbed leader ended; promise %v", oneWay, seed, n.r.requestedPromise)
 				}
 			}
-			timeout := n.r.timeout()
+			timeout := n.r.electionTimeout()
 			w.step(n, HandoverMsg{Token: 1})
-			handed := w.until("a leader by hand-over", 5*time.Second, func() bool { return w.led() && w.leader() != n })
-			if most := 8*oneWay + 8*wideSync + 4*wideTick; handed > most {
+			handed := w.runUntil("a leader after the handover", 5*time.Second, func() bool { return w.hasLeader() && w.leader() != n })
+			if most := 8*oneWay + 8*syncDuration + 4*tickInterval; handed > most {
 				t.Errorf("%v, seed %d: handing over took %v, more than %v", oneWay, seed, handed, most)
 			}
 			w.run(5 * time.Second)
 			w.down[w.leader().id.Name] = true
-			died := w.until("a leader behind one that died", 10*time.Second, w.led)
+			died := w.runUntil("a leader after one that failed", 10*time.Second, w.hasLeader)
 			if most := 6*timeout + 12*oneWay; died > most {
 				t.Errorf("%v, seed %d: %v without a leader, more than %v", oneWay, seed, died, most)
 			}
-			t.Logf("one way %v, seed %d: first leader %v, promise %v, handed over in %v, replaced in %v", oneWay, seed, first, timeout, handed, died)
+			t.Logf("one-way delay %v, seed %d: first leader after %v, promise %v, handed over in %v, replaced in %v", oneWay, seed, first, timeout, handed, died)
 		}
 	}
 }
 
-// regions are five replicas in three regions: a and b, c and d, e.
+// regions places five replicas in three regions: a and b, c and d, e.
 var regions = map[string]int{"a": 0, "b": 0, "c": 1, "d": 1, "e": 2}
 
-func far(from, to string) time.Duration {
+func regionDelay(from, to string) time.Duration {
 	if regions[from] == regions[to] {
 		return time.Millisecond
 	}
 	return 8 * time.Millisecond
 }
 
-func of(region int) (inside, outside []string) {
+func splitByRegion(region int) (inside, outside []string) {
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
 		if regions[name] == region {
 			inside = append(inside, name)
@@ -389,15 +391,15 @@
 	return inside, outside
 }
 
-// TestRegionCutOff cuts regions off in each way, at all times holding that no two
-// leases run, that what is committed stays and that reads see it. What is left with a
-// quorum has a leader; behind the heal one is at work soon, with all replicas.
+// TestRegionCutOff cuts the links of a region in each direction. At all times at most one
+// lease is valid, committed entries remain and reads see them. If a quorum is connected
+// it has a leader, and after the links are healed all replicas soon follow one leader.
 func TestRegionCutOff(t *testing.T) {
 	type cut struct {
-		name    string
-		with    bool // with says that the leader is inside.
-		in, out bool
-		stays   bool // stays says that the leader goes on.
+		name        string
+		withLeader  bool // withLeader says that the leader is in the region.
+		in, out     bool
+		leaderStays bool // leaderStays says that the leader remains in office.
 	}
 	for _, c := range []cut{
 		{"whole, with the leader", true, true, true, false},
@@ -408,52 +410,52 @@
 		{"into another", false, true, false, true},
 	} {
 		for seed := range uint64(20) {
-			w := newWide(seedTB{TB: t, seed: seed}, seed, wideConfig, 5, far)
-			w.until(c.name, 5*time.Second, w.led)
+			w := newTimedSim(seedTB{TB: t, seed: seed}, seed, wideConfig, 5, regionDelay)
+			w.runUntil(c.name, 5*time.Second, w.hasLeader)
 			w.run(2 * time.Second)
 			leader := w.leader()
 			region := regions[leader.id.Name]
-			if !c.with {
+			if !c.withLeader {
 				region = (region + 1) % 3
 			}
-			inside, outside := of(region)
-			w.cutNodes(c.in, outside, inside)
-			w.cutNodes(c.out, inside, outside)
-			without := w.play(leader, c.stays)
-			clear(w.cut)
-			healed := w.until("behind the heal", 5*time.Second, w.whole)
+			inside, outside := splitByRegion(region)
+			w.setCut(c.in, outside, inside)
+			w.setCut(c.out, inside, outside)
+			without := w.runPartitioned(leader, c.leaderStays)
+			clear(w.cutLinks)
+			healed := w.runUntil("recovery after the heal", 5*time.Second, w.allFollowLeader)
 			if most := 4 * wideConfig.Election; without > most {
 				t.Errorf("%s, seed %d: %v without a leader, more than %v", c.name, seed, without, most)
 			}
 			if seed == 0 {
-				t.Logf("%s: %v without a leader, whole again %v behind the heal, %d reads, %d refused", c.name, without, healed, w.read, w.refused)
+				t.Logf("%s: %v without a leader, recovered %v after the heal, %d reads, %d refused", c.name, without, healed, w.readsConfirmed, w.readsRefused)
 			}
 		}
 	}
 }
 
-// play lets the cut work, with reads and proposals everywhere, and returns how long
-// there was no leader.
-func (w *wide) play(leader *node, stays bool) time.Duration {
+// runPartitioned runs during a partition, with reads and proposals at all replicas, and
+// returns how long there was no leader.
+func (w *timedSim) runPartitioned(leader *node, leaderStays bool) time.Duration {
 	term, _ := leader.r.Leads()
 	var without time.Duration
 	for range 600 {
 		w.run(5 * time.Millisecond)
-		w.askAll()
+		w.readFromAll()
 		w.propose()
-		if !w.led() {
+		if !w.hasLeader() {
 			without += 5 * time.Millisecond
 		}
 	}
 	now := w.leader()
 	switch {
 	case now == nil:
-		w.t.Fatalf("no leader 3 s behind the cut")
-	case stays && now != leader:
-		w.t.Fatalf("%v took over from a leader with a quorum", now.id)
-	case stays:
+		w.t.Fatalf("no leader 3 s after the cut")
+	case leaderStays && now != leader:
+		w.t.Fatalf("%v replaced a leader that had a quorum", now.id)
+	case leaderStays:
 		if after, _ := now.r.Leads(); after != term {
-			w.t.Fatalf("the term went from %d to %d under a leader with a quorum", term, after)
+			w.t.Fatalf("the term went from %d to %d although the leader had a quorum", term, after)
 		}
 	case now == leader:
 		w.t.Fatalf("a leader without a quorum still leads")
@@ -461,8 +463,8 @@
 	return without
 }
 
-// whole reports whether one leads whom all others follow, with all of its log.
-func (w *wide) whole() bool {
+// allFollowLeader reports whether all replicas follow one leader and have its whole log.
+func (w *timedSim) allFollowLeader() bool {
 	leader := w.leader()
 	if leader == nil {
 		return false
@@ -476,35 +478,34 @@
 	return true
 }
 
-// TestRegionsLoseEachOther has two regions lose each other while both reach the third:
-// one leader goes on or is found, and no term is churned through.
-func TestRegionsLoseEachOther(t *testing.T) {
+// TestPartitionBetweenTwoRegions cuts the links between two regions that both reach the
+// third one. One leader must remain or be found, without repeated elections.
+func TestPartitionBetweenTwoRegions(t *testing.T) {
 	for seed := range uint64(40) {
-		w := newWide(seedTB{TB: t, seed: seed}, seed, wideConfig, 5, far)
-		w.until("a first leader", 5*time.Second, w.led)
+		w := newTimedSim(seedTB{TB: t, seed: seed}, seed, wideConfig, 5, regionDelay)
+		w.runUntil("a first leader", 5*time.Second, w.hasLeader)
 		w.run(2 * time.Second)
 		leader := w.leader()
 		one, other := regions[leader.id.Name], (regions[leader.id.Name]+1)%3
 		if regions[leader.id.Name] == 2 || seed%2 == 0 {
 			one, other = 0, 1
 		}
-		left, _ := of(one)
-		right, _ := of(other)
-		w.cutNodes(true, left, right)
-		w.cutNodes(true, right, left)
-		w.play(leader, true)
-		clear(w.cut)
-		w.until("behind the heal", 5*time.Second, w.whole)
+		left, _ := splitByRegion(one)
+		right, _ := splitByRegion(other)
+		w.setCut(true, left, right)
+		w.setCut(true, right, left)
+		w.runPartitioned(leader, true)
+		clear(w.cutLinks)
+		w.runUntil("recovery after the heal", 5*time.Second, w.allFollowLeader)
 		if w.leader() != leader {
 			t.Errorf("seed %d: the heal changed the leader", seed)
 		}
 	}
 }
 
-// TestLeaderMovesToItsPlace checks that leadership moves to where a quorum is near,
-// once, and stays; and that it does not move where all are alike, or while an order is
-// under way.
-func TestLeaderMovesToItsPlace(t *testing.T) {
+// TestLeadershipMovesNearQuorum checks that leadership moves once to a replica near a
+// quorum and stays there, and that it does not move when all replicas are placed alike.
+func TestLeadershipMovesNearQuorum(t *testing.T) {
 	near := map[string]bool{"a": true, "b": true, "c": true}
 	delays := func(from, to string) time.Duration {
 		if near[from] && near[to] {
@@ -514,8 +515,8 @@
 	}
 	moved := 0
 	for seed := range uint64(12) {
-		w := newWide(seedTB{TB: t, seed: seed}, seed, wideConfig, 5, delays)
-		w.until("a first leader", 5*time.Second, w.led)
+		w := newTimedSim(seedTB{TB: t, seed: seed}, seed, wideConfig, 5, delays)
+		w.runUntil("a first leader", 5*time.Second, w.hasLeader)
 		if near[w.leader().id.Name] {
 			w.step(w.leader(), HandoverMsg{Token: 1, To: "e"})
 			w.run(2 * time.Second)
@@ -524,7 +525,7 @@
 			continue
 		}
 		moved++
-		w.until("a move", 60*time.Second, func() bool { return w.led() && near[w.leader().id.Name] })
+		w.runUntil("a move", 60*time.Second, func() bool { return w.hasLeader() && near[w.leader().id.Name] })
 		to := w.leader()
 		term, _ := to.r.Leads()
 		w.run(3 * time.Minute)
@@ -533,34 +534,35 @@
 		}
 	}
 	if moved < 6 {
-		t.Errorf("only %d runs began with a leader in the wrong place", moved)
+		t.Errorf("only %d runs started with a badly placed leader", moved)
 	}
 	for seed := range uint64(6) {
-		w := newWide(seedTB{TB: t, seed: seed}, seed, wideConfig, 5, far)
-		w.until("a first leader", 5*time.Second, w.led)
+		w := newTimedSim(seedTB{TB: t, seed: seed}, seed, wideConfig, 5, regionDelay)
+		w.runUntil("a first leader", 5*time.Second, w.hasLeader)
 		w.run(time.Second)
 		first := w.leader()
 		w.run(3 * time.Minute)
 		if w.leader() != first {
-			t.Errorf("seed %d: leadership moved from %v where all places are alike", seed, first.id)
+			t.Errorf("seed %d: leadership moved from %v although all replicas are placed alike", seed, first.id)
 		}
 	}
 }
 
-// TestNoMoveDuringAnOrder checks that a move waits while an order is under way.
+// TestNoMoveDuringAnOrder checks that a move of leadership waits while an operation is in
+// progress (TickMsg.Busy).
 func TestNoMoveDuringAnOrder(t *testing.T) {
 	for busy, want := range map[bool]int{true: 0, false: 1} {
-		r := New(wideConfig, Start{ID: idA, Hard: HardState{Term: 2}, Snapshot: SnapshotMeta{Members: abc}})
-		r.heardAt = -time.Hour
+		r := New(wideConfig, Start{ID: idA, Hard: HardState{Term: 2}, Snapshot: SnapshotMeta{Members: threeMembers}})
+		r.leaderContactAt = -time.Hour
 		elect(t, r)
 		r.Update(SyncedMsg{Index: 1, Term: r.hard.Term})
 		moves := 0
 		for at := r.now; at < 50*time.Second; at += 100 * time.Millisecond {
 			for _, id := range []ID{idB, idC} {
 				r.Update(StepMsg{Message: Message{Kind: AppendReply, From: id, To: idA, Term: r.hard.Term, Index: 1, Round: r.round}, Now: at})
-				r.trips.Observe("a", id.Name, 80*time.Millisecond, at)
+				r.pingTrips.Observe("a", id.Name, 80*time.Millisecond, at)
 			}
-			r.trips.Observe("b", "c", 2*time.Millisecond, at)
+			r.pingTrips.Observe("b", "c", 2*time.Millisecond, at)
 			for _, c := range r.Update(TickMsg{Now: at, Busy: busy}) {
 				if m, ok := c.(MoveCmd); ok && slices.Contains([]string{"b", "c"}, m.Move.To) {
 					moves++
