--- a/e2e/history_test.go
+++ b/e2e/history_test.go
@@ -252,7 +252,7 @@
 		if in.read {
 			err = links.Call(address, "Group.Confirm", true, &reply, time.Second)
 		} else {
-			err = links.Call(address, "Group.Propose", protocol.Command{Apply: &protocol.ApplyMsg{Number: in.number, Config: []byte(in.content)}}, &reply, time.Second)
+			err = links.Call(address, "Group.Propose", protocol.Command{Apply: &protocol.ApplyConfigMsg{Number: in.number, Config: []byte(in.content)}}, &reply, time.Second)
 		}
 		switch {
 		case err == nil && reply.Failed == transport.GroupElsewhere:
--- a/protocol/claim.go
+++ b/protocol/claim.go
@@ -79,9 +79,9 @@
 	return len(a.Body) + len(a.Text) + len(a.ContentType) + 4*len(a.Ends) + 64
 }
 
-// FinishMsg records the outcome of a claimed request. The verdict not-run releases the
+// FinishClaimMsg records the outcome of a claimed request. The verdict not-run releases the
 // claim.
-type FinishMsg struct {
+type FinishClaimMsg struct {
 	Key      Key         `json:"key"`
 	Owner    Owner       `json:"owner"`
 	Verdict  Verdict     `json:"verdict"`
@@ -90,15 +90,15 @@
 	Limits   ClaimLimits `json:"limits"`
 }
 
-// ApplyMsg proposes a configuration.
-type ApplyMsg struct {
+// ApplyConfigMsg proposes a configuration.
+type ApplyConfigMsg struct {
 	Number uint64 `json:"number"`
 	Config []byte `json:"config"` // canonical form
 }
 
-// ApplyReplyMsg answers an [ApplyMsg]: the proposal was accepted, or another
+// ApplyConfigReplyMsg answers an [ApplyConfigMsg]: the proposal was accepted, or another
 // configuration is in force.
-type ApplyReplyMsg struct {
+type ApplyConfigReplyMsg struct {
 	Accepted bool   `json:"accepted"`
 	Number   uint64 `json:"number"` // number of the configuration in force
 	Digest   Digest `json:"digest"`
@@ -106,16 +106,16 @@
 
 // Command is a command in the replicated log. Exactly one of its pointer fields is set.
 type Command struct {
-	At       int64           `json:"at"` // leader's time, in ms since 1970
-	Apply    *ApplyMsg       `json:"apply,omitempty"`
-	Claim    *ClaimMsg       `json:"claim,omitempty"`
-	Finish   *FinishMsg      `json:"finish,omitempty"`
-	Transfer *TransferMsg    `json:"transfer,omitempty"`
-	Put      *PutDocumentMsg `json:"put,omitempty"`
-	Settle   *SettleUsageMsg `json:"settle,omitempty"`
-	Base     *BaselineMsg    `json:"base,omitempty"`
-	Hold     *DutyHolderMsg  `json:"hold,omitempty"`
-	Tally    *TallyMsg       `json:"tally,omitempty"`
+	At       int64             `json:"at"` // leader's time, in ms since 1970
+	Apply    *ApplyConfigMsg   `json:"apply,omitempty"`
+	Claim    *ClaimMsg         `json:"claim,omitempty"`
+	Finish   *FinishClaimMsg   `json:"finish,omitempty"`
+	Transfer *TransferClaimMsg `json:"transfer,omitempty"`
+	Put      *PutDocumentMsg   `json:"put,omitempty"`
+	Settle   *SettleUsageMsg   `json:"settle,omitempty"`
+	Base     *BaselineMsg      `json:"base,omitempty"`
+	Hold     *DutyHolderMsg    `json:"hold,omitempty"`
+	Tally    *TallyMsg         `json:"tally,omitempty"`
 
 	BeginRollout *BeginRolloutMsg `json:"begin_rollout,omitempty"`
 	StageRollout *StageRolloutMsg `json:"stage_rollout,omitempty"`
@@ -125,9 +125,9 @@
 
 // Result is the result of applying a [Command].
 type Result struct {
-	Apply *ApplyReplyMsg    `json:"apply,omitempty"`
-	Claim *ClaimReply       `json:"claim,omitempty"`
-	Put   *PutDocumentReply `json:"put,omitempty"`
+	Apply *ApplyConfigReplyMsg `json:"apply,omitempty"`
+	Claim *ClaimReply          `json:"claim,omitempty"`
+	Put   *PutDocumentReply    `json:"put,omitempty"`
 
 	Settle *SettleUsageReply `json:"settle,omitempty"`
 	Base   *BaselineReply    `json:"base,omitempty"`
--- a/protocol/handover.go
+++ b/protocol/handover.go
@@ -26,8 +26,8 @@
 	HandOver HandOver
 }
 
-// TransferMsg transfers a claim to another owner.
-type TransferMsg struct {
+// TransferClaimMsg transfers a claim to another owner.
+type TransferClaimMsg struct {
 	Key  Key   `json:"key"`
 	From Owner `json:"from"`
 	To   Owner `json:"to"`
--- a/state/backends.go
+++ b/state/backends.go
@@ -80,24 +80,24 @@
 // the leaving marks each update separate parts of a row, so that an outdated list
 // cannot revert a leaving mark.
 type Backends struct {
-	mu      sync.Mutex
-	rows    map[string]*Server
-	leaving map[string]protocol.Leaving
-	joined  map[string]protocol.Joined // servers announced by other instances
-	view    atomic.Pointer[View]
-	left    chan string // receives the ID of each server that starts leaving
+	mu           sync.Mutex
+	rows         map[string]*Server
+	leaving      map[string]protocol.Leaving
+	joined       map[string]protocol.Joined // servers announced by other instances
+	view         atomic.Pointer[View]
+	newlyLeaving chan string // receives the ID of each server that starts leaving
 }
 
-// leavingQueueSize bounds the server IDs that are queued for the reader of Changed.
+// leavingQueueSize bounds the server IDs that are queued for the reader of NewlyLeaving.
 const leavingQueueSize = 1024
 
 // NewBackends returns an empty table.
 func NewBackends() *Backends {
 	b := &Backends{
-		rows:    map[string]*Server{},
-		leaving: map[string]protocol.Leaving{},
-		joined:  map[string]protocol.Joined{},
-		left:    make(chan string, leavingQueueSize),
+		rows:         map[string]*Server{},
+		leaving:      map[string]protocol.Leaving{},
+		joined:       map[string]protocol.Joined{},
+		newlyLeaving: make(chan string, leavingQueueSize),
 	}
 	b.view.Store(NewView(nil))
 	return b
@@ -253,14 +253,14 @@
 	}
 	b.leaving[l.Server] = l
 	select {
-	case b.left <- l.Server:
+	case b.newlyLeaving <- l.Server:
 	default:
 	}
 	return true
 }
 
-// Changed returns a channel that receives the ID of each server that starts leaving.
-func (b *Backends) Changed() <-chan string { return b.left }
+// NewlyLeaving returns a channel that receives the ID of each server that starts leaving.
+func (b *Backends) NewlyLeaving() <-chan string { return b.newlyLeaving }
 
 // Leaving returns all leaving marks, sorted by server ID.
 func (b *Backends) Leaving() []protocol.Leaving {
--- a/state/claims.go
+++ b/state/claims.go
@@ -103,7 +103,7 @@
 
 // Finish records the outcome of a request. A release without an existing claim is
 // recorded too, since the claim itself may still be in transit.
-func (c *Claims) Finish(m *protocol.FinishMsg, now int64) *protocol.ClaimReply {
+func (c *Claims) Finish(m *protocol.FinishClaimMsg, now int64) *protocol.ClaimReply {
 	c.expire(now)
 	row := c.rows[m.Key]
 	if row != nil && (row.Owner != m.Owner || row.State != protocol.ClaimRunning) {
@@ -128,7 +128,7 @@
 
 // Transfer moves a running claim to another owner. The reply is ClaimGranted if the new
 // owner holds the claim.
-func (c *Claims) Transfer(m *protocol.TransferMsg) *protocol.ClaimReply {
+func (c *Claims) Transfer(m *protocol.TransferClaimMsg) *protocol.ClaimReply {
 	row := c.rows[m.Key]
 	if row == nil || row.State != protocol.ClaimRunning || (row.Owner != m.From && row.Owner != m.To) {
 		return &protocol.ClaimReply{State: protocol.ClaimMayHaveRun}
--- a/state/claims_test.go
+++ b/state/claims_test.go
@@ -63,7 +63,7 @@
 			"finish": func(t *rapid.T) {
 				key, owner, at := draw(t)
 				verdict := rapid.SampledFrom([]protocol.Verdict{protocol.NotRun, protocol.MayHaveRun, protocol.Ran}).Draw(t, "verdict")
-				f := &protocol.FinishMsg{Key: key, Owner: owner, Verdict: verdict, IssuedAt: at, Limits: testLimits}
+				f := &protocol.FinishClaimMsg{Key: key, Owner: owner, Verdict: verdict, IssuedAt: at, Limits: testLimits}
 				if verdict == protocol.Ran {
 					f.Answer = &protocol.Answer{Text: key.ID}
 				}
@@ -76,7 +76,7 @@
 			"transfer": func(t *rapid.T) {
 				key, owner, _ := draw(t)
 				to := protocol.Owner{Instance: "new"}
-				reply := m.Apply(&protocol.Command{At: now, Transfer: &protocol.TransferMsg{Key: key, From: owner, To: to}}).Claim
+				reply := m.Apply(&protocol.Command{At: now, Transfer: &protocol.TransferClaimMsg{Key: key, From: owner, To: to}}).Claim
 				if reply.State == protocol.ClaimGranted {
 					model.running[key] = to
 				}
@@ -114,7 +114,7 @@
 func TestReleaseBeforeClaim(t *testing.T) {
 	m := NewMachine()
 	key, owner := protocol.Key{Workspace: "w", ID: "k"}, protocol.Owner{Instance: "a"}
-	m.Apply(&protocol.Command{At: 5000, Finish: &protocol.FinishMsg{Key: key, Owner: owner, Verdict: protocol.NotRun, IssuedAt: 5000, Limits: testLimits}})
+	m.Apply(&protocol.Command{At: 5000, Finish: &protocol.FinishClaimMsg{Key: key, Owner: owner, Verdict: protocol.NotRun, IssuedAt: 5000, Limits: testLimits}})
 	late := m.Apply(&protocol.Command{At: 5001, Claim: &protocol.ClaimMsg{Key: key, Owner: owner, IssuedAt: 5000, Limits: testLimits}})
 	if late.Claim.State != protocol.ClaimReleased {
 		t.Errorf("late claim: got state %v, want released", late.Claim.State)
@@ -142,7 +142,7 @@
 		{2, `{"a":2}`, true, 2},
 		{1, `{"a":1}`, false, 2},
 	} {
-		got := m.Apply(&protocol.Command{Apply: &protocol.ApplyMsg{Number: tt.number, Config: []byte(tt.config)}}).Apply
+		got := m.Apply(&protocol.Command{Apply: &protocol.ApplyConfigMsg{Number: tt.number, Config: []byte(tt.config)}}).Apply
 		if got.Accepted != tt.accepted || got.Number != tt.inForce {
 			t.Errorf("step %d: got %+v, want %+v", i, got, tt)
 		}
--- a/state/machine.go
+++ b/state/machine.go
@@ -71,13 +71,13 @@
 
 // apply accepts a configuration with number n+1 on top of n. Number n is accepted again
 // if the digest is the same, since that is a resend.
-func (m *Machine) apply(a *protocol.ApplyMsg) *protocol.ApplyReplyMsg {
+func (m *Machine) apply(a *protocol.ApplyConfigMsg) *protocol.ApplyConfigReplyMsg {
 	digest := protocol.DigestOf(a.Config)
 	if a.Number == m.number+1 {
 		m.number, m.digest, m.config = a.Number, digest, a.Config
 	}
 	accepted := a.Number == m.number && digest == m.digest
-	return &protocol.ApplyReplyMsg{Accepted: accepted, Number: m.number, Digest: m.digest}
+	return &protocol.ApplyConfigReplyMsg{Accepted: accepted, Number: m.number, Digest: m.digest}
 }
 
 // Now returns the latest time of any command, in ms since 1970; 0 before the first.
--- a/state/state_test.go
+++ b/state/state_test.go
@@ -62,8 +62,8 @@
 	if s := b.View().Find("e2"); s.Leaving {
 		t.Error("another server was marked as leaving")
 	}
-	if got := <-b.Changed(); got != "e1" {
-		t.Errorf("Changed delivered %s, want e1", got)
+	if got := <-b.NewlyLeaving(); got != "e1" {
+		t.Errorf("NewlyLeaving delivered %s, want e1", got)
 	}
 	b.SetList(list, now.Add(2*protocol.LeavingRetention))
 	if len(b.Leaving()) != 1 {
--- a/transport/claim.go
+++ b/transport/claim.go
@@ -21,7 +21,7 @@
 	// granted or not.
 	Claim(ctx context.Context, m protocol.ClaimMsg) (protocol.ClaimReply, error)
 	// Finish records an outcome; not-run releases the claim.
-	Finish(ctx context.Context, m protocol.FinishMsg) error
+	Finish(ctx context.Context, m protocol.FinishClaimMsg) error
 }
 
 // NoClaims is the [Claimer] of an instance without a replication group. It
@@ -34,10 +34,10 @@
 }
 
 // Finish implements [Claimer].
-func (NoClaims) Finish(context.Context, protocol.FinishMsg) error { return ErrNoQuorum }
+func (NoClaims) Finish(context.Context, protocol.FinishClaimMsg) error { return ErrNoQuorum }
 
 // Transfer implements [Transferrer].
-func (NoClaims) Transfer(context.Context, protocol.TransferMsg) (bool, error) {
+func (NoClaims) Transfer(context.Context, protocol.TransferClaimMsg) (bool, error) {
 	return false, ErrNoQuorum
 }
 
@@ -204,8 +204,8 @@
 	return protocol.Ran, answer
 }
 
-func (x *exchange) finishOf(v protocol.Verdict, a *protocol.Answer) protocol.FinishMsg {
-	return protocol.FinishMsg{
+func (x *exchange) finishOf(v protocol.Verdict, a *protocol.Answer) protocol.FinishClaimMsg {
+	return protocol.FinishClaimMsg{
 		Key:      x.request.Key,
 		Owner:    x.owner,
 		Verdict:  v,
@@ -234,7 +234,7 @@
 }
 
 // record records an outcome, trying again for a while.
-func (g *Gateway) record(m protocol.FinishMsg) (done <-chan struct{}) {
+func (g *Gateway) record(m protocol.FinishClaimMsg) (done <-chan struct{}) {
 	recorded := make(chan struct{})
 	g.recording.Add(1)
 	go func() {
--- a/transport/gateway.go
+++ b/transport/gateway.go
@@ -198,7 +198,7 @@
 func (g *Gateway) FollowLeaving(ctx context.Context) error {
 	for {
 		select {
-		case server := <-g.tables.Backends.Changed():
+		case server := <-g.tables.Backends.NewlyLeaving():
 			g.log.Info().Str("server", server).Msg("backend server is leaving")
 			g.notifyLeaving(server)
 		case <-ctx.Done():
--- a/transport/groupclient.go
+++ b/transport/groupclient.go
@@ -127,7 +127,7 @@
 
 // Apply implements [ConfigStore].
 func (c *GroupClient) Apply(ctx context.Context, number uint64, canonical []byte) (protocol.Revision, *protocol.Refusal) {
-	reply, err := c.call(ctx, "Group.Propose", protocol.Command{Apply: &protocol.ApplyMsg{Number: number, Config: canonical}})
+	reply, err := c.call(ctx, "Group.Propose", protocol.Command{Apply: &protocol.ApplyConfigMsg{Number: number, Config: canonical}})
 	if err != nil {
 		r := protocol.NewRefusal(http.StatusServiceUnavailable, protocol.CodeNoQuorum, "%v: the configuration may be accepted or not; send the same again", err)
 		return protocol.Revision{}, r.WithVerdict(protocol.MayHaveRun).WithRetryAfter(time.Second)
@@ -154,13 +154,13 @@
 }
 
 // Finish records what became of a claimed request.
-func (c *GroupClient) Finish(ctx context.Context, m protocol.FinishMsg) error {
+func (c *GroupClient) Finish(ctx context.Context, m protocol.FinishClaimMsg) error {
 	_, err := c.claim(ctx, protocol.Command{Finish: &m})
 	return err
 }
 
 // Transfer implements [Transferrer].
-func (c *GroupClient) Transfer(ctx context.Context, m protocol.TransferMsg) (bool, error) {
+func (c *GroupClient) Transfer(ctx context.Context, m protocol.TransferClaimMsg) (bool, error) {
 	reply, err := c.claim(ctx, protocol.Command{Transfer: &m})
 	return err == nil && reply.State == protocol.ClaimGranted, err
 }
--- a/transport/handover.go
+++ b/transport/handover.go
@@ -21,7 +21,7 @@
 
 // Transferrer gives a claim to another owner; the claims group can.
 type Transferrer interface {
-	Transfer(ctx context.Context, m protocol.TransferMsg) (bool, error)
+	Transfer(ctx context.Context, m protocol.TransferClaimMsg) (bool, error)
 }
 
 // handOvers keeps what leaving instances gave to this one.
@@ -172,7 +172,7 @@
 	x.newOwner()
 	ctx, cancel := context.WithTimeout(context.Background(), claimWait)
 	defer cancel()
-	ok, err := g.transfer.Transfer(ctx, protocol.TransferMsg{Key: r.Request.Key, From: r.Owner, To: x.owner})
+	ok, err := g.transfer.Transfer(ctx, protocol.TransferClaimMsg{Key: r.Request.Key, From: r.Owner, To: x.owner})
 	if err != nil || !ok {
 		g.log.Error().Err(err).Str("key", r.Request.Key.String()).Msg("a claim could not be taken over")
 		g.record(x.finishOf(protocol.MayHaveRun, nil))
