--- a/protocol/claim.go
+++ b/protocol/claim.go
@@ -79,8 +79,8 @@
 	return len(a.Body) + len(a.Text) + len(a.ContentType) + 4*len(a.Ends) + 64
 }
 
-// FinishClaimMsg records the outcome of a claimed request. The verdict not-run releases the
-// claim.
+// FinishClaimMsg records the outcome of a claimed request. The verdict not-run releases
+// the claim.
 type FinishClaimMsg struct {
 	Key      Key         `json:"key"`
 	Owner    Owner       `json:"owner"`
@@ -96,8 +96,8 @@
 	Config []byte `json:"config"` // canonical form
 }
 
-// ApplyConfigReplyMsg answers an [ApplyConfigMsg]: the proposal was accepted, or another
-// configuration is in force.
+// ApplyConfigReplyMsg answers an [ApplyConfigMsg]: the proposal was accepted, or
+// another configuration is in force.
 type ApplyConfigReplyMsg struct {
 	Accepted bool   `json:"accepted"`
 	Number   uint64 `json:"number"` // number of the configuration in force
--- a/protocol/feature.go
+++ b/protocol/feature.go
@@ -12,8 +12,8 @@
 	// FeatureIncarnations means that servers are identified by their starts; see
 	// [Incarnation].
 	FeatureIncarnations Features = 1 << iota
-	// FeatureLocalRelays means that, in a deployment with one region, the gateway can use a
-	// relay if the leader has more gateways than it can answer at the usual rate.
+	// FeatureLocalRelays means that, in a deployment with one region, the gateway can
+	// use a relay if the leader has more gateways than it can answer at the usual rate.
 	FeatureLocalRelays
 )
 
