--- a/coordination/rollout/answers.go
+++ b/coordination/rollout/answers.go
@@ -7,12 +7,12 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Buckets is how many classes of durations are counted: half octaves from 1 ms to
-// 46 s. A service that has become several times slower moves by three of them or
-// more. Histograms of a library would be far larger on the way to the leader.
+// Buckets is the number of duration buckets: half octaves from 1 ms to 46 s. A service that
+// has become several times slower moves by three buckets or more. The histograms of common
+// libraries would make the reports to the leader far larger.
 const Buckets = 32
 
-// Bucket returns the class of a duration.
+// Bucket returns the index of the bucket that holds a duration.
 func Bucket(d time.Duration) int {
 	ms := float64(d) / float64(time.Millisecond)
 	if ms <= 1 {
@@ -21,49 +21,49 @@
 	return min(Buckets-1, int(math.Round(2*math.Log2(ms))))
 }
 
-// Answer is how one answer went.
+// Answer is the outcome and the timing of one answer.
 type Answer struct {
 	Failed bool
-	// FirstEvent is the time to the first event, or to a whole answer; 0 where none came and
-	// no time is known.
+	// FirstEvent is the time to the first event, or to the complete answer if it is not
+	// streamed; 0 if neither arrived.
 	FirstEvent    time.Duration
-	EventInterval time.Duration // Pace is the mean time between events; 0 with fewer than two.
+	EventInterval time.Duration // EventInterval is the mean time between events; 0 with fewer than two.
 }
 
-// RecordAnswer counts an answer.
-func RecordAnswer(a *protocol.Answers, one Answer) {
-	if one.Failed {
+// RecordAnswer adds an answer to a gateway's counts.
+func RecordAnswer(a *protocol.Answers, answer Answer) {
+	if answer.Failed {
 		a.Bad++
 	} else {
 		a.Good++
 	}
-	a.First = count(a.First, one.FirstEvent)
-	a.Pace = count(a.Pace, one.EventInterval)
+	a.First = countDuration(a.First, answer.FirstEvent)
+	a.Pace = countDuration(a.Pace, answer.EventInterval)
 }
 
-func count(h []int64, d time.Duration) []int64 {
+func countDuration(histogram []int64, d time.Duration) []int64 {
 	if d <= 0 {
-		return h
+		return histogram
 	}
 	i := Bucket(d)
-	for len(h) <= i {
-		h = append(h, 0)
+	for len(histogram) <= i {
+		histogram = append(histogram, 0)
 	}
-	h[i]++
-	return h
+	histogram[i]++
+	return histogram
 }
 
-// since returns what was counted behind an earlier state of the same counts.
-func since(a, before protocol.Answers) protocol.Answers {
+// answersSince returns the difference between two states of the same counts.
+func answersSince(a, before protocol.Answers) protocol.Answers {
 	return protocol.Answers{
 		Good:  a.Good - before.Good,
 		Bad:   a.Bad - before.Bad,
-		First: sinceEach(a.First, before.First),
-		Pace:  sinceEach(a.Pace, before.Pace),
+		First: countsSince(a.First, before.First),
+		Pace:  countsSince(a.Pace, before.Pace),
 	}
 }
 
-func sinceEach(a, before []int64) []int64 {
+func countsSince(a, before []int64) []int64 {
 	diff := make([]int64, len(a))
 	for i := range a {
 		diff[i] = a[i]
@@ -74,12 +74,13 @@
 	return diff
 }
 
-// Counters adds up the reports of all gateways, whose counts only rise.
+// Counters turns the cumulative counts that gateways report into increments.
 type Counters struct {
-	known map[counterKey]protocol.Answers
+	last map[counterKey]protocol.Answers
 }
 
-// counterKey names one row of one life of a gateway.
+// counterKey identifies a row of a report. The life tells apart the counts before and after
+// a restart of the gateway.
 type counterKey struct {
 	gateway string
 	life    uint64
@@ -88,22 +89,22 @@
 	isNew   bool
 }
 
-// NewCounters returns an empty book.
-func NewCounters() *Counters { return &Counters{known: map[counterKey]protocol.Answers{}} }
+// NewCounters returns an empty set of counters.
+func NewCounters() *Counters { return &Counters{last: map[counterKey]protocol.Answers{}} }
 
-// Update returns what a report holds that the ones before did not. A report that comes
-// twice, or behind a later one, holds nothing new.
+// Update returns the increments of a report over the previous ones. Duplicate and reordered
+// reports add nothing.
 func (b *Counters) Update(gateway string, life uint64, rows []protocol.EvidenceRow) []protocol.EvidenceRow {
-	var news []protocol.EvidenceRow
+	var increments []protocol.EvidenceRow
 	for _, row := range rows {
 		key := counterKey{gateway: gateway, life: life, route: row.Route, server: row.Server, isNew: row.New}
-		before := b.known[key]
+		before := b.last[key]
 		if row.Answers.Good+row.Answers.Bad <= before.Good+before.Bad {
 			continue
 		}
-		b.known[key] = row.Answers
-		row.Answers = since(row.Answers, before)
-		news = append(news, row)
+		b.last[key] = row.Answers
+		row.Answers = answersSince(row.Answers, before)
+		increments = append(increments, row)
 	}
-	return news
+	return increments
 }
--- a/coordination/rollout/failures.go
+++ b/coordination/rollout/failures.go
@@ -9,118 +9,121 @@
 )
 
 const (
-	// leastFailures is the lowest part that is compared with, so that one failure in a
-	// calm time weighs no more than 2.3.
-	leastFailures = 0.02
-	// moreFailures is how many more in a hundred a bad version fails.
-	moreFailures = 0.18
-	mostFailures = 0.95
-	// certain is the evidence by which a version is turned back from: once in ten
-	// thousand answers of a good one. A version that fails 0.3 of its answers is found by
-	// the fifth failure or so.
-	certain = 9.2
-	// oneServer is the part of it that one server can give, where there are others: a
-	// server that dies breaks off all that it runs.
-	oneServer = 0.6
-	// likely keeps a roll-out waiting.
-	likely = 3.0
-	// worseBy is the difference in failures, in standard deviations, with which nothing
-	// is completed, and worseLeast the least difference that matters.
-	worseBy    = 3.0
-	worseLeast = 0.01
+	// minBaselineRate is the lowest failure rate to compare with. It limits the weight of a
+	// single failure to 2.3 when the other versions do not fail at all.
+	minBaselineRate = 0.02
+	// rateIncrease is by how much the failure rate of a bad version is assumed to exceed
+	// the baseline.
+	rateIncrease   = 0.18
+	maxFailureRate = 0.95
+	// rollbackFailures is the evidence that triggers a rollback: a good version reaches it
+	// about once in ten thousand answers. A version that fails 0.3 of its answers is
+	// detected at about the fifth failure.
+	rollbackFailures = 9.2
+	// maxServerShare is the part of rollbackFailures that a single server can contribute if
+	// there are others: a server that crashes breaks off every answer it is running.
+	maxServerShare = 0.6
+	// inconclusiveFailures is the evidence that keeps a roll-out from moving on.
+	inconclusiveFailures = 3.0
+	// degradedDeviations is the excess of failures, in standard deviations, that rules out
+	// completion. Differences in the failure rate up to degradedDifference are ignored.
+	degradedDeviations = 3.0
+	degradedDifference = 0.01
 )
 
-// cusum is a cumulative sum that starts anew at zero, and what each server has added
-// to it since.
+// cusum is a cumulative sum that is clamped at zero, with the contribution of each server
+// since the last reset.
 type cusum struct {
 	sum     float64
 	servers map[string]float64
 }
 
-// tally counts one server's answers, and the failures that are expected of one that is
-// as good as the others were at the time.
-type tally struct {
-	all, bad, expected, variance float64
+// serverTally counts one server's answers, and the failures to be expected at the baseline
+// failure rate of the time.
+type serverTally struct {
+	total, failed, expected, variance float64
 }
 
-// weighFailures takes the failures of one server of the new version.
-func (seq *Sequential) weighFailures(row *protocol.EvidenceRow) {
+// addFailures adds the failures of one server of the new version.
+func (seq *Sequential) addFailures(row *protocol.EvidenceRow) {
 	a := &row.Answers
-	others := max(seq.route(row.Route).others.slow.failures(), seq.route(allRoutes).others.fast.failures())
-	usual := max(leastFailures, others)
-	worse := min(mostFailures, usual+moreFailures)
-	step := float64(a.Bad)*math.Log(worse/usual) + float64(a.Good)*math.Log((1-worse)/(1-usual))
+	baselineRate := max(seq.route(row.Route).baseline.slow.failureRate(), seq.route(allRoutes).baseline.fast.failureRate())
+	baseRate := max(minBaselineRate, baselineRate)
+	badRate := min(maxFailureRate, baseRate+rateIncrease)
+	logRatio := float64(a.Bad)*math.Log(badRate/baseRate) + float64(a.Good)*math.Log((1-badRate)/(1-baseRate))
 	for _, route := range []string{row.Route, allRoutes} {
-		if seq.sums[route] == nil {
-			seq.sums[route] = &cusum{servers: map[string]float64{}}
+		if seq.cusums[route] == nil {
+			seq.cusums[route] = &cusum{servers: map[string]float64{}}
 		}
-		seq.sums[route].add(row.Server, step)
+		seq.cusums[route].add(row.Server, logRatio)
 	}
-	if seq.sides[row.Server] == nil {
-		seq.sides[row.Server] = &tally{}
+	if seq.servers[row.Server] == nil {
+		seq.servers[row.Server] = &serverTally{}
 	}
-	seq.sides[row.Server].add(float64(a.Good+a.Bad), float64(a.Bad), others)
+	seq.servers[row.Server].add(float64(a.Good+a.Bad), float64(a.Bad), baselineRate)
 }
 
-// failures returns the strongest evidence for failures, on which route.
+// failures returns the strongest evidence for failures and its route.
 func (seq *Sequential) failures() (evidence float64, route string) {
-	for name, c := range seq.sums {
-		if e := c.evidence(len(seq.sides)); e > evidence || (e == evidence && name < route) {
+	for name, c := range seq.cusums {
+		if e := c.evidence(len(seq.servers)); e > evidence || (e == evidence && name < route) {
 			evidence, route = e, name
 		}
 	}
 	return evidence, route
 }
 
-// add takes what one server's answers say.
-func (c *cusum) add(server string, step float64) {
-	c.sum += step
-	c.servers[server] += step
+// add adds a server's log-likelihood ratio.
+func (c *cusum) add(server string, logRatio float64) {
+	c.sum += logRatio
+	c.servers[server] += logRatio
 	if c.sum <= 0 {
 		c.sum = 0
 		clear(c.servers)
 	}
 }
 
-// evidence is the sum, of which one server gives no more than its part where there
-// are others.
+// evidence returns the sum, with the largest contribution capped by maxServerShare if there
+// are several servers.
 func (c *cusum) evidence(servers int) float64 {
 	if servers < 2 {
 		return c.sum
 	}
-	most := 0.0
-	for _, part := range c.servers {
-		most = max(most, part)
+	largest := 0.0
+	for _, sum := range c.servers {
+		largest = max(largest, sum)
 	}
-	return c.sum - max(0, most-oneServer*certain)
+	return c.sum - max(0, largest-maxServerShare*rollbackFailures)
 }
 
-// add counts answers, while of the others' a part failed.
-func (t *tally) add(all, bad, usual float64) {
-	t.all += all
-	t.bad += bad
-	t.expected += all * usual
-	t.variance += all * usual * (1 - usual)
+// add counts answers given while the baseline failure rate was rate.
+func (t *serverTally) add(total, failed, rate float64) {
+	t.total += total
+	t.failed += failed
+	t.expected += total * rate
+	t.variance += total * rate * (1 - rate)
 }
 
-// more is how many more failures there are than expected, in standard deviations.
-func (t *tally) more() float64 { return (t.bad - t.expected) / math.Sqrt(max(1, t.variance)) }
+// zScore returns the excess of failures over the expected number, in standard deviations.
+func (t *serverTally) zScore() float64 {
+	return (t.failed - t.expected) / math.Sqrt(max(1, t.variance))
+}
 
-// worse compares the failures over the whole trial with what is expected, without the
-// server that fails most where there are others. The others' failures count as they
-// were at the time of each answer: a trial does not take the same part of the requests
-// all the time, and whole fleets fail for seconds.
-func (seq *Sequential) worse() bool {
-	sum, worst := tally{}, tally{}
-	for _, name := range slices.Sorted(maps.Keys(seq.sides)) {
-		t := seq.sides[name]
-		sum = tally{all: sum.all + t.all, bad: sum.bad + t.bad, expected: sum.expected + t.expected, variance: sum.variance + t.variance}
-		if t.more() > worst.more() {
+// degraded compares the failures of the whole trial with the expected number, leaving out
+// the server with the largest excess if there are others. The expected number follows the
+// baseline at the time of each answer, because a trial does not take a constant share of
+// the requests, and whole fleets fail for seconds at a time.
+func (seq *Sequential) degraded() bool {
+	sum, worst := serverTally{}, serverTally{}
+	for _, name := range slices.Sorted(maps.Keys(seq.servers)) {
+		t := seq.servers[name]
+		sum = serverTally{total: sum.total + t.total, failed: sum.failed + t.failed, expected: sum.expected + t.expected, variance: sum.variance + t.variance}
+		if t.zScore() > worst.zScore() {
 			worst = *t
 		}
 	}
-	if len(seq.sides) > 1 {
-		sum = tally{all: sum.all - worst.all, bad: sum.bad - worst.bad, expected: sum.expected - worst.expected, variance: sum.variance - worst.variance}
+	if len(seq.servers) > 1 {
+		sum = serverTally{total: sum.total - worst.total, failed: sum.failed - worst.failed, expected: sum.expected - worst.expected, variance: sum.variance - worst.variance}
 	}
-	return sum.all > 0 && (sum.bad-sum.expected)/sum.all > worseLeast && sum.more() > worseBy
+	return sum.total > 0 && (sum.failed-sum.expected)/sum.total > degradedDifference && sum.zScore() > degradedDeviations
 }
--- a/coordination/rollout/load_test.go
+++ b/coordination/rollout/load_test.go
@@ -11,20 +11,20 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// day is a made load on a service during a roll-out, tick by tick.
-type day struct {
-	name    string
-	rate    float64 // rate is in requests a second.
-	routes  int
-	servers int // servers of the new version that the trial goes to.
-	fails   func(d *moment) float64
-	slows   func(d *moment) float64 // slows is by how many times an answer takes longer.
-	streams bool
-	good    bool // good says that the version must be completed.
+// scenario is a synthetic load on a service during a roll-out.
+type scenario struct {
+	name         string
+	rate         float64 // rate is in requests a second.
+	routes       int
+	servers      int // servers is the number of canaries.
+	failureRate  func(d *requestState) float64
+	slowdown     func(d *requestState) float64 // slowdown multiplies the time of an answer.
+	streams      bool
+	mustComplete bool // mustComplete is set for good versions.
 }
 
-// moment is what an answer's fate may hang on.
-type moment struct {
+// requestState is the state that the outcome of an answer can depend on.
+type requestState struct {
 	at     time.Duration
 	isNew  bool
 	route  int
@@ -33,77 +33,77 @@
 }
 
 const (
-	dayLimit = 12 * time.Second
-	dayTick  = 100 * time.Millisecond
+	scenarioLimit = 12 * time.Second
+	scenarioTick  = 100 * time.Millisecond
 )
 
-func never(*moment) float64 { return 0 }
-func once(*moment) float64  { return 1 }
+func noFailures(*requestState) float64  { return 0 }
+func normalSpeed(*requestState) float64 { return 1 }
 
-// days are versions that are bad in each way that is known, and good ones beside
-// whatever ails both sides.
-func days() []day {
-	when := func(cond func(m *moment) bool, yes, no float64) func(*moment) float64 {
-		return func(m *moment) float64 {
+// scenarios returns bad versions with every known kind of fault, and good versions, some of
+// them under faults that affect all versions.
+func scenarios() []scenario {
+	conditional := func(cond func(m *requestState) bool, yes, no float64) func(*requestState) float64 {
+		return func(m *requestState) float64 {
 			if cond(m) {
 				return yes
 			}
 			return no
 		}
 	}
-	bad := func(m *moment) bool { return m.isNew }
-	late := func(m *moment) bool { return m.isNew && m.at > 5*time.Second }
-	loaded := func(m *moment) bool { return m.isNew && m.share > 0.1 }
-	oneRoute := func(m *moment) bool { return m.isNew && m.route == 1 }
-	burst := func(m *moment) bool { return m.at > 2*time.Second && m.at < 5*time.Second }
-	oneServer := func(m *moment) bool { return m.isNew && m.server == 0 }
-	return []day{
-		{name: "good", rate: 300, routes: 5, servers: 6, fails: never, slows: once, streams: true, good: true},
-		{name: "good, few requests", rate: 12, routes: 2, servers: 2, fails: never, slows: once, good: true},
-		{name: "good, both fail 0.1", rate: 300, routes: 5, servers: 6, fails: when(func(*moment) bool { return true }, 0.1, 0), slows: once, streams: true, good: true},
-		{name: "good, both fail 0.4 for 3 s", rate: 300, routes: 5, servers: 6, fails: when(burst, 0.4, 0), slows: once, streams: true, good: true},
-		{name: "good, both 5 times slower for 3 s", rate: 300, routes: 5, servers: 6, fails: never, slows: when(burst, 5, 1), streams: true, good: true},
-		{name: "good, first events 1.6 times later", rate: 300, routes: 5, servers: 6, fails: never, slows: when(bad, 1.6, 1), streams: true, good: true},
-		{name: "good, one of two servers fails 0.5", rate: 160, routes: 2, servers: 2, fails: when(oneServer, 0.5, 0), slows: once, good: true},
-		{name: "fails 0.3 at once", rate: 300, routes: 5, servers: 6, fails: when(bad, 0.3, 0), slows: once, streams: true},
-		{name: "fails 0.3 at once, few requests", rate: 12, routes: 2, servers: 2, fails: when(bad, 0.3, 0), slows: once},
-		{name: "fails 0.3, both 0.1", rate: 300, routes: 5, servers: 6, fails: when(bad, 0.3, 0.1), slows: once, streams: true},
-		{name: "fails 0.3 from 5 s on", rate: 300, routes: 5, servers: 6, fails: when(late, 0.3, 0), slows: once, streams: true},
-		{name: "fails 0.3 under load", rate: 300, routes: 5, servers: 6, fails: when(loaded, 0.3, 0), slows: once, streams: true},
-		{name: "fails 0.3 on one of 5 routes", rate: 300, routes: 5, servers: 6, fails: when(oneRoute, 0.3, 0), slows: once, streams: true},
-		{name: "fails 0.08 at once", rate: 300, routes: 5, servers: 6, fails: when(bad, 0.08, 0), slows: once, streams: true},
-		{name: "4 times slower at once", rate: 300, routes: 5, servers: 6, fails: never, slows: when(bad, 4, 1), streams: true},
-		{name: "4 times slower, plain answers", rate: 160, routes: 2, servers: 2, fails: never, slows: when(bad, 4, 1)},
-		{name: "4 times slower from 5 s on", rate: 300, routes: 5, servers: 6, fails: never, slows: when(late, 4, 1), streams: true},
-		{name: "4 times slower on one of 5 routes", rate: 300, routes: 5, servers: 6, fails: never, slows: when(oneRoute, 4, 1), streams: true},
+	newVersion := func(m *requestState) bool { return m.isNew }
+	newVersionLate := func(m *requestState) bool { return m.isNew && m.at > 5*time.Second }
+	newVersionLoaded := func(m *requestState) bool { return m.isNew && m.share > 0.1 }
+	oneRoute := func(m *requestState) bool { return m.isNew && m.route == 1 }
+	burst := func(m *requestState) bool { return m.at > 2*time.Second && m.at < 5*time.Second }
+	oneServer := func(m *requestState) bool { return m.isNew && m.server == 0 }
+	return []scenario{
+		{name: "good", rate: 300, routes: 5, servers: 6, failureRate: noFailures, slowdown: normalSpeed, streams: true, mustComplete: true},
+		{name: "good, few requests", rate: 12, routes: 2, servers: 2, failureRate: noFailures, slowdown: normalSpeed, mustComplete: true},
+		{name: "good, both fail 0.1", rate: 300, routes: 5, servers: 6, failureRate: conditional(func(*requestState) bool { return true }, 0.1, 0), slowdown: normalSpeed, streams: true, mustComplete: true},
+		{name: "good, both fail 0.4 for 3 s", rate: 300, routes: 5, servers: 6, failureRate: conditional(burst, 0.4, 0), slowdown: normalSpeed, streams: true, mustComplete: true},
+		{name: "good, both 5 times slower for 3 s", rate: 300, routes: 5, servers: 6, failureRate: noFailures, slowdown: conditional(burst, 5, 1), streams: true, mustComplete: true},
+		{name: "good, first events 1.6 times later", rate: 300, routes: 5, servers: 6, failureRate: noFailures, slowdown: conditional(newVersion, 1.6, 1), streams: true, mustComplete: true},
+		{name: "good, one of two servers fails 0.5", rate: 160, routes: 2, servers: 2, failureRate: conditional(oneServer, 0.5, 0), slowdown: normalSpeed, mustComplete: true},
+		{name: "fails 0.3 at once", rate: 300, routes: 5, servers: 6, failureRate: conditional(newVersion, 0.3, 0), slowdown: normalSpeed, streams: true},
+		{name: "fails 0.3 at once, few requests", rate: 12, routes: 2, servers: 2, failureRate: conditional(newVersion, 0.3, 0), slowdown: normalSpeed},
+		{name: "fails 0.3, both 0.1", rate: 300, routes: 5, servers: 6, failureRate: conditional(newVersion, 0.3, 0.1), slowdown: normalSpeed, streams: true},
+		{name: "fails 0.3 from 5 s on", rate: 300, routes: 5, servers: 6, failureRate: conditional(newVersionLate, 0.3, 0), slowdown: normalSpeed, streams: true},
+		{name: "fails 0.3 under load", rate: 300, routes: 5, servers: 6, failureRate: conditional(newVersionLoaded, 0.3, 0), slowdown: normalSpeed, streams: true},
+		{name: "fails 0.3 on one of 5 routes", rate: 300, routes: 5, servers: 6, failureRate: conditional(oneRoute, 0.3, 0), slowdown: normalSpeed, streams: true},
+		{name: "fails 0.08 at once", rate: 300, routes: 5, servers: 6, failureRate: conditional(newVersion, 0.08, 0), slowdown: normalSpeed, streams: true},
+		{name: "4 times slower at once", rate: 300, routes: 5, servers: 6, failureRate: noFailures, slowdown: conditional(newVersion, 4, 1), streams: true},
+		{name: "4 times slower, plain answers", rate: 160, routes: 2, servers: 2, failureRate: noFailures, slowdown: conditional(newVersion, 4, 1)},
+		{name: "4 times slower from 5 s on", rate: 300, routes: 5, servers: 6, failureRate: noFailures, slowdown: conditional(newVersionLate, 4, 1), streams: true},
+		{name: "4 times slower on one of 5 routes", rate: 300, routes: 5, servers: 6, failureRate: noFailures, slowdown: conditional(oneRoute, 4, 1), streams: true},
 	}
 }
 
-// outcome is how a roll-out of a day went.
+// outcome is the result of a simulated roll-out.
 type outcome struct {
-	stage  protocol.RolloutStage
-	at     time.Duration
-	bad    int64   // bad answers that callers got from the new version.
-	share  float64 // share is the part of all requests that went to it until the end.
-	reason string
+	stage   protocol.RolloutStage
+	endedAt time.Duration
+	bad     int64   // bad counts failed answers that callers got from the new version.
+	share   float64 // share is the fraction of all requests that went to the new version.
+	reason  string
 }
 
-// play runs a roll-out on a day with an analyzer. The reports of gateways and the orders
-// to them take one tick each way.
-func (d day) play(seed uint64, j Analyzer) outcome {
+// simulate runs a roll-out in a scenario. Reports from the gateways and grants to them take
+// one tick each way.
+func (d scenario) simulate(seed uint64, analyzer Analyzer) outcome {
 	rnd := rand.New(rand.NewPCG(seed, seed))
-	r := protocol.Rollout{Number: 1, Service: "s", Version: "v2", LimitMS: dayLimit.Milliseconds()}
+	r := protocol.Rollout{Number: 1, Service: "s", Version: "v2", LimitMS: scenarioLimit.Milliseconds()}
 	pool := NewPool(0.1, 50)
 	var start time.Time
 	var out outcome
 	var arrived, tried, granted int64
 	moved := time.Duration(0)
-	for at := time.Duration(0); at < 2*dayLimit; at += dayTick {
+	for at := time.Duration(0); at < 2*scenarioLimit; at += scenarioTick {
 		share := TrialShare(&r, at)
 		rows := map[string]*protocol.EvidenceRow{}
-		for range poisson(rnd, d.rate*dayTick.Seconds()) {
+		for range poisson(rnd, d.rate*scenarioTick.Seconds()) {
 			arrived++
-			m := moment{at: at, route: rnd.IntN(d.routes), server: rnd.IntN(d.servers), share: share}
+			m := requestState{at: at, route: rnd.IntN(d.routes), server: rnd.IntN(d.servers), share: share}
 			m.isNew = r.Stage == protocol.RolloutMoving || (r.Stage == protocol.RolloutTrial && tried < granted)
 			if m.isNew {
 				tried++
@@ -112,12 +112,12 @@
 			if m.isNew && a.Failed {
 				out.bad++
 			}
-			row := rowOf(rows, &m)
+			row := rowFor(rows, &m)
 			RecordAnswer(&row.Answers, a)
 		}
-		j.Observe(list(rows), start.Add(at))
+		analyzer.Observe(sortedRows(rows), start.Add(at))
 		granted = pool.Grant(ReportMsg{Gateway: "g", Arrived: arrived, Tried: tried, Wants: int(d.rate), Share: share, Progress: TrialProgress(&r, at), CanGrant: true})
-		tick := TickMsg{Elapsed: at, LeadingFor: at, Assessment: j.Assessment(), Slots: 1000, InSync: true, IdleFor: at - moved - time.Second, MaxAnswerTime: 15 * time.Second, MovingFor: at - moved, OtherVersions: []string{"v1"}}
+		tick := TickMsg{Elapsed: at, LeadingFor: at, Assessment: analyzer.Assessment(), Slots: 1000, InSync: true, IdleFor: at - moved - time.Second, MaxAnswerTime: 15 * time.Second, MovingFor: at - moved, OtherVersions: []string{"v1"}}
 		step, ok := Next(&r, tick)
 		if !ok {
 			continue
@@ -127,7 +127,7 @@
 			moved = at
 		}
 		if r.Stage.Over() {
-			out.stage, out.at, out.reason, out.share = r.Stage, at, step.Reason, float64(tried)/float64(arrived)
+			out.stage, out.endedAt, out.reason, out.share = r.Stage, at, step.Reason, float64(tried)/float64(arrived)
 			return out
 		}
 	}
@@ -135,13 +135,13 @@
 	return out
 }
 
-// answer draws an answer: times are log-normal, those of streams by their first event
-// and, with less spread, their pace.
-func (d day) answer(rnd *rand.Rand, m *moment) Answer {
-	if rnd.Float64() < d.fails(m) {
+// answer draws an answer. Times are log-normal, with less variance between the events of a
+// stream than up to the first event.
+func (d scenario) answer(rnd *rand.Rand, m *requestState) Answer {
+	if rnd.Float64() < d.failureRate(m) {
 		return Answer{Failed: true}
 	}
-	x := d.slows(m)
+	x := d.slowdown(m)
 	a := Answer{FirstEvent: time.Duration(x * 80 * math.Exp(0.8*rnd.NormFloat64()) * float64(time.Millisecond))}
 	if d.streams {
 		a.EventInterval = time.Duration(x * 35 * math.Exp(0.25*rnd.NormFloat64()) * float64(time.Millisecond))
@@ -149,7 +149,7 @@
 	return a
 }
 
-func rowOf(rows map[string]*protocol.EvidenceRow, m *moment) *protocol.EvidenceRow {
+func rowFor(rows map[string]*protocol.EvidenceRow, m *requestState) *protocol.EvidenceRow {
 	row := protocol.EvidenceRow{Route: fmt.Sprint("r", m.route), New: m.isNew}
 	if m.isNew {
 		row.Server = fmt.Sprint("i", m.server)
@@ -161,7 +161,7 @@
 	return rows[key]
 }
 
-func list(rows map[string]*protocol.EvidenceRow) []protocol.EvidenceRow {
+func sortedRows(rows map[string]*protocol.EvidenceRow) []protocol.EvidenceRow {
 	var all []protocol.EvidenceRow
 	for _, key := range slices.Sorted(maps.Keys(rows)) {
 		all = append(all, *rows[key])
--- a/coordination/rollout/reference.go
+++ b/coordination/rollout/reference.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// usualFailures is taken for the part of answers that fail before more is known, with
-	// the weight of usualWeight answers.
-	usualFailures = 0.01
-	usualWeight   = 20
-	// oldHalf is how long it takes for the others' answers to count half: bursts and
-	// lost domains last for seconds.
-	oldHalf = 2 * time.Second
-	// fastHalf is the same for the failures that began just now, on all routes together.
-	// Without it 14 of 40 good versions were condemned where all servers failed 0.4 of
-	// their answers for 3 s, with 500 ms three, with 200 ms none.
-	fastHalf = 200 * time.Millisecond
+	// priorFailureRate is the failure rate assumed before any answers are known, with the
+	// weight of priorWeight answers.
+	priorFailureRate = 0.01
+	priorWeight      = 20
+	// slowHalfLife is the half-life of baseline answers. Bursts and the loss of a failure
+	// domain last for seconds.
+	slowHalfLife = 2 * time.Second
+	// fastHalfLife is the half-life of the baseline over all routes that detects a sudden
+	// rise of failures. When all servers failed 0.4 of their answers for 3 s, 14 of 40 good
+	// versions were rolled back without it, three at 500 ms, none at 200 ms.
+	fastHalfLife = 200 * time.Millisecond
 )
 
-// reference are the answers of the other servers, of which older ones count less.
-type reference struct {
+// baseline holds the answers of the other versions' servers, weighted by age.
+type baseline struct {
 	at         time.Time
-	slow, fast mix
+	slow, fast decayingCounts
 	first      [Buckets]float64
 	pace       [Buckets]float64
 }
 
-// mix counts good and bad answers that fade.
-type mix struct{ good, bad float64 }
+// decayingCounts counts good and bad answers with exponential decay.
+type decayingCounts struct{ good, bad float64 }
 
-// add takes answers, and fades those before.
-func (r *reference) add(a *protocol.Answers, now time.Time) {
+// add decays the answers so far and adds new ones.
+func (r *baseline) add(a *protocol.Answers, now time.Time) {
 	if !r.at.IsZero() {
-		r.fade(now.Sub(r.at))
+		r.decay(now.Sub(r.at))
 	}
 	r.at = now
 	r.slow.add(a)
@@ -48,24 +48,24 @@
 	}
 }
 
-func (r *reference) fade(age time.Duration) {
-	part := math.Exp2(-float64(age) / float64(oldHalf))
-	r.slow.fade(part)
-	r.fast.fade(math.Exp2(-float64(age) / float64(fastHalf)))
+func (r *baseline) decay(age time.Duration) {
+	factor := math.Exp2(-float64(age) / float64(slowHalfLife))
+	r.slow.scale(factor)
+	r.fast.scale(math.Exp2(-float64(age) / float64(fastHalfLife)))
 	for i := range r.first {
-		r.first[i] *= part
-		r.pace[i] *= part
+		r.first[i] *= factor
+		r.pace[i] *= factor
 	}
 }
 
-func (m *mix) add(a *protocol.Answers) {
+func (m *decayingCounts) add(a *protocol.Answers) {
 	m.good += float64(a.Good)
 	m.bad += float64(a.Bad)
 }
 
-func (m *mix) fade(part float64) { m.good, m.bad = part*m.good, part*m.bad }
+func (m *decayingCounts) scale(factor float64) { m.good, m.bad = factor*m.good, factor*m.bad }
 
-// failures is the part of the answers that fail.
-func (m *mix) failures() float64 {
-	return (m.bad + usualFailures*usualWeight) / (m.good + m.bad + usualWeight)
+// failureRate estimates the fraction of answers that fail, including the prior.
+func (m *decayingCounts) failureRate() float64 {
+	return (m.bad + priorFailureRate*priorWeight) / (m.good + m.bad + priorWeight)
 }
--- a/coordination/rollout/rollout_test.go
+++ b/coordination/rollout/rollout_test.go
@@ -13,23 +13,23 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// gateway is one gateway of the exposure's model.
+// gateway simulates a gateway for the test of the exposure.
 type gateway struct {
 	life           uint64
 	arrived, tried int64
 	credits        Credits
 }
 
-// leader is one leader's pool, from when on it grants.
+// leader is the leader of a term, with the time from which it may grant credits.
 type leader struct {
 	term uint64
 	pool *Pool
 	from time.Time
 }
 
-// TestExposureIsBounded checks over drawn loads, lost answers, leaders that come and
-// go and gateways that start anew that a version never gets more than its share of
-// all requests so far and the slack, at any moment.
+// TestExposureIsBounded checks that a version never receives more than its share of all
+// requests so far plus the slack, at any moment, for random loads, lost replies, leader
+// changes and gateway restarts.
 func TestExposureIsBounded(t *testing.T) {
 	const share, slack = 0.1, 50
 	rapid.Check(t, func(t *rapid.T) {
@@ -54,7 +54,7 @@
 					Gateway: fmt.Sprint("g", i), Life: g.life, Arrived: g.arrived, Tried: g.tried,
 					Wants: rnd.IntN(40), Share: lateShare, Progress: min(1, now.Sub(began).Seconds()/4), CanGrant: !now.Before(l.from),
 				})
-				if rnd.IntN(4) > 0 { // Else the answer is lost.
+				if rnd.IntN(4) > 0 { // Otherwise the reply is lost.
 					g.credits.Renew(l.term, credits, now)
 				}
 			default:
@@ -68,35 +68,35 @@
 				}
 			}
 			if limit := share*float64(arrived) + slack; float64(tried) > limit {
-				t.Fatalf("%d of %d requests were tried, %.1f are allowed", tried, arrived, limit)
+				t.Fatalf("sent %d of %d requests to the version on trial, want at most %.1f", tried, arrived, limit)
 			}
 		}
 	})
 }
 
-// TestCreditsEnd checks that a gateway that hears nothing sends nothing more to a
-// version on trial, and that credits of a former leader are gone.
+// TestCreditsEnd checks that a gateway without contact to a leader stops sending to a
+// version on trial, and that the credits of a previous leader expire.
 func TestCreditsEnd(t *testing.T) {
 	at := time.Unix(0, 0)
 	var p Credits
 	if p.Spend(at) {
-		t.Error("a gateway without a word of a leader has a credit")
+		t.Error("a gateway that has not heard from a leader has a credit")
 	}
 	p.Renew(1, 2, at)
 	if !p.Spend(at.Add(CreditLease-1)) || p.Spend(at.Add(CreditLease)) {
-		t.Error("credits last for the lease, and no longer")
+		t.Error("credits do not expire with their lease")
 	}
 	p.Renew(1, 2, at.Add(CreditLease))
 	if p.Available(at.Add(CreditLease)) != 1 {
-		t.Error("the answer renews what was not spent")
+		t.Error("a reply did not renew the unspent credits")
 	}
 	p.Renew(2, 0, at.Add(CreditLease))
 	if p.Available(at.Add(CreditLease)) != 0 {
-		t.Error("another leader's credits hold on")
+		t.Error("credits of another leader are still valid")
 	}
 }
 
-// TestSteps checks when a roll-out takes which step.
+// TestSteps checks which stage change each state of a roll-out leads to.
 func TestSteps(t *testing.T) {
 	good := Assessment{New: 40, Old: 400}
 	trial := TickMsg{Elapsed: 8500 * time.Millisecond, LeadingFor: time.Minute, Assessment: good, Slots: 100, Running: 20, OtherVersions: []string{"v1"}}
@@ -131,18 +131,18 @@
 		"enough answers, many to come":     {protocol.RolloutTrial, with(func(m *TickMsg) { m.ExpectedRequests, m.Headroom = 200, 40 }), protocol.RolloutMoving, true},
 		"no answer, late":                  {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.New, m.Elapsed = 0, 11*time.Second }), 0, false},
 		"no answer, past all":              {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.New, m.Elapsed = 0, 18*time.Second }), protocol.RolloutRolledBack, true},
-		"in doubt":                         {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.Doubtful = true }), 0, false},
-		"in doubt, late":                   {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.Doubtful, m.Elapsed = true, 11*time.Second }), protocol.RolloutRolledBack, true},
-		"worse":                            {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.Worse = true }), protocol.RolloutRolledBack, true},
-		"bad, at once":                     {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.Bad, m.Elapsed, m.LeadingFor = true, 0, 0 }), protocol.RolloutRolledBack, true},
+		"in doubt":                         {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.Inconclusive = true }), 0, false},
+		"in doubt, late":                   {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.Inconclusive, m.Elapsed = true, 11*time.Second }), protocol.RolloutRolledBack, true},
+		"worse":                            {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.Degraded = true }), protocol.RolloutRolledBack, true},
+		"bad, at once":                     {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.RollBack, m.Elapsed, m.LeadingFor = true, 0, 0 }), protocol.RolloutRolledBack, true},
 		"no room":                          {protocol.RolloutTrial, with(func(m *TickMsg) { m.Slots = 20 }), 0, false},
 		"moving, quiet":                    {protocol.RolloutMoving, moving, protocol.RolloutCompleted, true},
 		"moving, early":                    {protocol.RolloutMoving, TickMsg{Elapsed: 10 * time.Second, Assessment: good, InSync: true, IdleFor: time.Second, MaxAnswerTime: 15 * time.Second}, 0, false},
 		"moving, answers run":              {protocol.RolloutMoving, TickMsg{Elapsed: 11 * time.Second, Assessment: good, InSync: true, MaxAnswerTime: 15 * time.Second, MovingFor: 14 * time.Second}, 0, false},
 		"moving, one has not heard":        {protocol.RolloutMoving, TickMsg{Elapsed: 11 * time.Second, Assessment: good, IdleFor: time.Second, MaxAnswerTime: 15 * time.Second}, 0, false},
 		"moving, an answer past all limit": {protocol.RolloutMoving, TickMsg{Elapsed: 11 * time.Second, Assessment: good, MaxAnswerTime: 15 * time.Second, MovingFor: 16 * time.Second}, protocol.RolloutCompleted, true},
-		"moving, bad":                      {protocol.RolloutMoving, TickMsg{Assessment: Assessment{Bad: true}}, protocol.RolloutRolledBack, true},
-		"completed, bad":                   {protocol.RolloutCompleted, TickMsg{Assessment: Assessment{Bad: true}}, 0, false},
+		"moving, bad":                      {protocol.RolloutMoving, TickMsg{Assessment: Assessment{RollBack: true}}, protocol.RolloutRolledBack, true},
+		"completed, bad":                   {protocol.RolloutCompleted, TickMsg{Assessment: Assessment{RollBack: true}}, 0, false},
 		"rolled back, good":                {protocol.RolloutRolledBack, trial, 0, false},
 	} {
 		r := &protocol.Rollout{Service: "s", Number: 3, Version: "v2", LimitMS: 12_000, Stage: c.stage}
@@ -153,8 +153,8 @@
 	}
 }
 
-// TestReportsAreCountedOnce checks that reports which come twice, late or from another
-// life of a gateway add up to what was counted.
+// TestReportsAreCountedOnce checks that duplicate and late reports, and reports from before
+// a restart of the gateway, count each answer once.
 func TestReportsAreCountedOnce(t *testing.T) {
 	b := NewCounters()
 	row := func(good, bad int64) []protocol.EvidenceRow {
@@ -172,20 +172,20 @@
 	take(1, row(3, 1))
 	take(2, row(2, 0))
 	if sum != 8 {
-		t.Errorf("%d answers were counted for 8", sum)
+		t.Errorf("counted %d answers, want 8", sum)
 	}
 }
 
-// TestBucket checks the classes of durations at their ends.
+// TestBucket checks the limits of the duration buckets.
 func TestBucket(t *testing.T) {
 	for d, want := range map[time.Duration]int{0: 0, time.Millisecond: 0, 2 * time.Millisecond: 2, 4 * time.Millisecond: 4, time.Hour: Buckets - 1} {
 		if got := Bucket(d); got != want {
-			t.Errorf("%v: class %d, want %d", d, got, want)
+			t.Errorf("%v: bucket %d, want %d", d, got, want)
 		}
 	}
 }
 
-// TestCanaries checks to how many servers a trial goes.
+// TestCanaries checks how many servers a trial uses.
 func TestCanaries(t *testing.T) {
 	for _, c := range []struct {
 		servers int
@@ -198,14 +198,13 @@
 	}
 }
 
-// TestFewAnswersMoveNothing has faults keep the requests of a trial from the new version,
-// whose servers fail half of their answers behind the twelfth of each: 26 answers were seen when
-// the time for the trial was over, none of them bad. Moved to on these, the version got 211
-// requests where 169 were allowed ("26 answers of the new version are as good as", "roll-out goes
-// on", 4.6 s behind the order; turned back from 1.6 s later). However the loads and the
-// grants so far are drawn, a version that is moved to on few answers stays within what a bad
-// one may get, if all requests go to it until it is turned back from, and come no faster
-// than so far.
+// TestFewAnswersMoveNothing guards against a move on too little evidence. Faults kept the
+// requests of a trial away from a new version whose servers fail half of their answers
+// after the twelfth of each. The trial ended with 26 answers, none of them bad, and the
+// roll-out moved on 4.6 s after the order; until the rollback 1.6 s later, the version
+// received 211 requests where 169 were allowed. A version that is moved to on few answers
+// must stay within the bound of a bad version, for any load and any credits granted so far,
+// if it receives all requests until the rollback and they arrive no faster than before.
 func TestFewAnswersMoveNothing(t *testing.T) {
 	const share, slack = 0.1, 50
 	moved, stayed := 0, 0
@@ -213,7 +212,7 @@
 		rate := rapid.Float64Range(0.5, 200).Draw(t, "rate")
 		p := NewPool(share, slack)
 		r := &protocol.Rollout{Service: "s", Number: 3, Version: "v2", LimitMS: 12_000}
-		elapsed := time.Duration(waitPart * float64(r.Limit()))
+		elapsed := time.Duration(evidenceDeadline * float64(r.Limit()))
 		arrived := int64(rate * elapsed.Seconds())
 		granted := p.Grant(ReportMsg{Gateway: "g", Arrived: arrived, Wants: rapid.IntRange(0, 40).Draw(t, "wants"), Share: lateShare, Progress: 1, CanGrant: true})
 		coming := p.ExpectedRequests(elapsed, r.Limit())
@@ -224,12 +223,12 @@
 			return
 		}
 		moved++
-		rest := rate * max(r.Limit()-elapsed, turnBackTime).Seconds()
+		rest := rate * max(r.Limit()-elapsed, rollbackDelay).Seconds()
 		if got, most := float64(granted)+rest, share*(float64(arrived)+rest)+slack; got > most {
-			t.Fatalf("%.0f requests where %.0f are allowed", got, most)
+			t.Fatalf("sent %.0f requests, want at most %.0f", got, most)
 		}
 	})
 	if moved == 0 || stayed == 0 {
-		t.Errorf("%d were moved to and %d were not", moved, stayed)
+		t.Errorf("moved %d roll-outs, held %d: want both", moved, stayed)
 	}
 }
--- a/coordination/rollout/slowness.go
+++ b/coordination/rollout/slowness.go
@@ -9,120 +9,122 @@
 )
 
 const (
-	// slowShift is how much slower the new version may be, in half octaves: twice. Its
-	// servers have read none of the prompts' shared parts yet.
-	slowShift = 2
-	// certainlySlow is the evidence by which a version counts as slow.
-	certainlySlow = 4.5
-	likelySlow    = 2.5
-	// slowAnswers are the least by which slowness is judged.
-	slowAnswers = 10
+	// toleratedShift is the tolerated slowdown in half octaves: twice the time. The new
+	// version's servers have no shared prompt prefixes in their caches yet.
+	toleratedShift = 2
+	// rollbackSlowness is the evidence that triggers a rollback, and inconclusiveSlowness
+	// the evidence that keeps a roll-out from moving on.
+	rollbackSlowness     = 4.5
+	inconclusiveSlowness = 2.5
+	// minLatencyAnswers is the number of answers required to judge latency.
+	minLatencyAnswers = 10
 )
 
-// ranks adds up how one server's times rank among the others'.
-type ranks struct {
+// serverRanks accumulates the ranks of one server's times among the baseline.
+type serverRanks struct {
 	answers int64
 	first   rankSum
 	pace    rankSum
 }
 
-// rankSum is a rank statistic: how far it lies above what is expected of a server
-// that is as fast, and its variance.
-type rankSum struct{ above, variance float64 }
+// rankSum is a Mann-Whitney statistic: its excess over the expectation for a server as fast
+// as the baseline, and its variance.
+type rankSum struct{ excess, variance float64 }
 
-// weighTimes takes the times of one server of the new version.
-func (seq *Sequential) weighTimes(row *protocol.EvidenceRow) {
+// addLatencies adds the times of one server of the new version.
+func (seq *Sequential) addLatencies(row *protocol.EvidenceRow) {
 	a := &row.Answers
 	r := seq.route(row.Route)
 	s := r.servers[row.Server]
 	if s == nil {
-		s = &ranks{}
+		s = &serverRanks{}
 		r.servers[row.Server] = s
 	}
 	s.answers += a.Good + a.Bad
-	s.first.add(a.First, &r.others.first)
-	s.pace.add(a.Pace, &r.others.pace)
+	s.first.addTimes(a.First, &r.baseline.first)
+	s.pace.addTimes(a.Pace, &r.baseline.pace)
 }
 
-// add ranks some times among the others' as if those took slowShift longer.
-func (s *rankSum) add(times []int64, others *[Buckets]float64) {
-	var below [Buckets + 1]float64 // below are the others' times before each class.
+// addTimes ranks times against a baseline that is shifted by toleratedShift.
+func (s *rankSum) addTimes(times []int64, others *[Buckets]float64) {
+	var below [Buckets + 1]float64 // below[i] counts the baseline times in the buckets before i.
 	for i, n := range others {
 		below[i+1] = below[i] + n
 	}
 	all := below[Buckets]
-	if all < slowAnswers {
+	if all < minLatencyAnswers {
 		return // Nothing to compare with.
 	}
 	for i, n := range times {
-		k := min(i, Buckets-1) - slowShift
+		k := min(i, Buckets-1) - toleratedShift
 		rank := 0.0
 		if k >= 0 {
 			rank = (below[k] + others[k]/2) / all
 		}
-		s.above += float64(n) * (rank - 0.5)
+		s.excess += float64(n) * (rank - 0.5)
 		s.variance += float64(n) * (1 + float64(n)/all) / 12
 	}
 }
 
-func (s rankSum) plus(o rankSum) rankSum {
-	return rankSum{above: s.above + o.above, variance: s.variance + o.variance}
+func (s rankSum) add(o rankSum) rankSum {
+	return rankSum{excess: s.excess + o.excess, variance: s.variance + o.variance}
 }
 
-func (s rankSum) deviations() float64 {
+func (s rankSum) zScore() float64 {
 	if s.variance == 0 {
 		return 0
 	}
-	return s.above / math.Sqrt(s.variance)
+	return s.excess / math.Sqrt(s.variance)
 }
 
-// slowness returns the strongest evidence for slow answers, on which route.
+// slowness returns the strongest evidence for slow answers and its route.
 func (seq *Sequential) slowness() (evidence float64, route string) {
-	all := map[string]*ranks{}
+	all := map[string]*serverRanks{}
 	evidence = math.Inf(-1)
 	for _, name := range slices.Sorted(maps.Keys(seq.routes)) {
 		r := seq.routes[name]
 		for server, s := range r.servers {
 			if all[server] == nil {
-				all[server] = &ranks{}
+				all[server] = &serverRanks{}
 			}
 			all[server].answers += s.answers
-			all[server].first = all[server].first.plus(s.first)
-			all[server].pace = all[server].pace.plus(s.pace)
+			all[server].first = all[server].first.add(s.first)
+			all[server].pace = all[server].pace.add(s.pace)
 		}
-		if z := slowest(r.servers); z > evidence || (z == evidence && name < route) {
+		if z := maxZScore(r.servers); z > evidence || (z == evidence && name < route) {
 			evidence, route = z, name
 		}
 	}
-	if z := slowest(all); z >= evidence {
+	if z := maxZScore(all); z >= evidence {
 		evidence, route = z, allRoutes
 	}
 	return max(0, evidence), route
 }
 
-// slowest judges some servers together, without the one that speaks most against
-// them, where there are others with answers enough: one server may be slow by itself.
-func slowest(servers map[string]*ranks) float64 {
+// maxZScore returns the larger of the two statistics, time to the first event and time
+// between events, over a set of servers. It leaves out the slowest server if the others
+// have enough answers: a single server may be slow for reasons of its own.
+func maxZScore(servers map[string]*serverRanks) float64 {
 	best := math.Inf(-1)
-	for _, of := range []func(*ranks) rankSum{
-		func(r *ranks) rankSum { return r.first },
-		func(r *ranks) rankSum { return r.pace },
+	for _, statistic := range []func(*serverRanks) rankSum{
+		func(r *serverRanks) rankSum { return r.first },
+		func(r *serverRanks) rankSum { return r.pace },
 	} {
 		var sum, worst rankSum
 		var answers, worstAnswers int64
 		for _, name := range slices.Sorted(maps.Keys(servers)) {
 			r := servers[name]
-			s := of(r)
-			sum, answers = sum.plus(s), answers+r.answers
-			if s.deviations() > worst.deviations() {
+			s := statistic(r)
+			sum, answers = sum.add(s), answers+r.answers
+			if s.zScore() > worst.zScore() {
 				worst, worstAnswers = s, r.answers
 			}
 		}
-		if answers-worstAnswers >= slowAnswers {
-			sum, answers = sum.plus(rankSum{above: -worst.above, variance: -worst.variance}), answers-worstAnswers
+		if answers-worstAnswers >= minLatencyAnswers {
+			sum, answers = sum.add(rankSum{excess: -worst.excess, variance: -worst.variance}), answers-worstAnswers
 		}
-		if answers >= slowAnswers {
-			best = max(best, sum.deviations())
+		if answers >= minLatencyAnswers {
+			best = max(best, sum.zScore())
 		}
 	}
 	return best
