--- a/coordination/quota/allowance.go
+++ b/coordination/quota/allowance.go
@@ -7,112 +7,113 @@
 )
 
 const (
-	// ahead is for how much of its recent use a gateway asks in advance.
-	ahead = 400 * time.Millisecond
-	// useMemory is the time over which the recent use is averaged.
-	useMemory = 2 * time.Second
-	// costWeight is the weight of the latest request in the mean cost.
+	// prefetchTime is the duration of recent use that a gateway requests in advance.
+	prefetchTime = 400 * time.Millisecond
+	// useWindow is the averaging time of the recent use.
+	useWindow = 2 * time.Second
+	// costWeight is the weight of the latest request in the mean cost of a request.
 	costWeight = 0.1
 )
 
-// Verdict is the outcome of taking units.
+// Verdict is the result of [Allowance.Take].
 type Verdict uint8
 
-// The outcomes of taking units.
+// Verdicts of [Allowance.Take].
 const (
-	Taken  Verdict = iota // Taken means that the units were there.
-	Ask                   // Ask means that the coordinator must be asked first.
-	Denied                // Denied means that the quota is used up for now.
+	Taken  Verdict = iota // Taken means that the units were available.
+	Ask                   // Ask means that the coordinator has to be asked first.
+	Denied                // Denied means that the quota is exhausted for now.
 )
 
-// Allowance is a gateway's part of the quotas.
+// Allowance is a gateway's share of the quotas.
 type Allowance struct {
-	spaces   map[string]*space
-	gateways int
-	heard    time.Time       // heard is when the coordinator answered last.
-	overdue  time.Time       // overdue is since when its answer is overdue; zero if it is not.
-	short    map[string]bool // short are workspaces of whose quota little was left then.
-	chance   func() float64  // chance is from 0 to 1, each time another.
-	// memory is the time over which the use is averaged by which a gateway goes on
-	// alone: the window in which all gateways together keep to a quota. Over less a burst
-	// would count for more than the quota's rate.
-	memory time.Duration
+	workspaces   map[string]*workspaceQuota
+	gateways     int
+	lastReply    time.Time       // lastReply is the time of the coordinator's last reply.
+	overdueSince time.Time       // overdueSince is when a reply became overdue; zero if none is.
+	short        map[string]bool // short holds the workspaces that were nearly out of quota at lastReply.
+	random       func() float64  // random returns values from 0 to 1.
+	// steadyWindow is the averaging time of the use that a standalone gateway continues
+	// with: the window in which all gateways together keep to a quota. With a shorter time,
+	// a burst would count for more than the quota's rate.
+	steadyWindow time.Duration
 }
 
-// AllowanceOption changes a new allowance.
+// AllowanceOption configures a new allowance.
 type AllowanceOption func(*Allowance)
 
-// WithRandom sets what is drawn by chance, from 0 to 1; without it gateways draw the
-// same.
-func WithRandom(chance func() float64) AllowanceOption {
-	return func(a *Allowance) { a.chance = chance }
+// WithRandom sets a source of random values from 0 to 1. Without it, all gateways draw the
+// same value.
+func WithRandom(random func() float64) AllowanceOption {
+	return func(a *Allowance) { a.random = random }
 }
 
-// space is one workspace in an allowance.
-type space struct {
-	rate    float64
-	burst   float64
-	parts   []part
-	use     float64 // use is in units a second, averaged over useMemory.
-	steady  float64 // steady is the same over the window of the quotas.
-	usedAt  time.Time
-	cost    float64   // cost is what a request takes, averaged.
-	unspent float64   // unspent is what expired, to be given back.
-	lacking float64   // lacking is what waiting requests need.
-	until   time.Time // until is how long the coordinator is not asked again.
-	room    time.Time // room is when there will be more, as far as is known.
-	own     ownPart   // own is what the gateway lets in alone.
+// workspaceQuota is the state of one workspace in an allowance.
+type workspaceQuota struct {
+	rate        float64
+	burst       float64
+	leases      []lease
+	recentUse   float64 // recentUse is in units a second, averaged over useWindow.
+	steadyUse   float64 // steadyUse is the same, averaged over steadyWindow.
+	lastUse     time.Time
+	meanCost    float64         // meanCost is the average cost of a request in units.
+	unspent     float64         // unspent counts expired units to return to the coordinator.
+	waiting     float64         // waiting counts the units that waiting requests need.
+	askAgainAt  time.Time       // askAgainAt is when the coordinator may be asked again.
+	availableAt time.Time       // availableAt is when more units are expected.
+	standalone  standaloneQuota // standalone is what the gateway admits without the coordinator.
 }
 
-type part struct {
-	units float64
-	until time.Time
+// lease holds granted units until they expire.
+type lease struct {
+	units     float64
+	expiresAt time.Time
 }
 
-// NewAllowance returns an empty allowance, of quotas that are bounded in windows of a
+// NewAllowance returns an empty allowance for quotas that apply to windows of the given
 // length.
 func NewAllowance(window time.Duration, opts ...AllowanceOption) *Allowance {
-	a := &Allowance{spaces: map[string]*space{}, gateways: 1, short: map[string]bool{}, chance: func() float64 { return 0 }, memory: max(window, useMemory)}
+	a := &Allowance{workspaces: map[string]*workspaceQuota{}, gateways: 1, short: map[string]bool{}, random: func() float64 { return 0 }, steadyWindow: max(window, useWindow)}
 	for _, opt := range opts {
 		opt(a)
 	}
 	return a
 }
 
-// Configure puts the quotas of a configuration in force.
+// Configure applies the quotas of a configuration.
 func (a *Allowance) Configure(workspaces []protocol.Tenancy) {
-	kept := map[string]*space{}
+	kept := map[string]*workspaceQuota{}
 	for i := range workspaces {
 		w := &workspaces[i]
 		if w.Rate <= 0 {
 			continue
 		}
-		s := a.spaces[w.Name]
+		s := a.workspaces[w.Name]
 		if s == nil {
-			s = &space{}
+			s = &workspaceQuota{}
 		}
 		if s.rate > w.Rate {
-			s.parts = nil // What was granted under a higher quota is given up.
+			s.leases = nil // Units granted under a higher quota are dropped.
 		}
 		s.rate, s.burst = w.Rate, max(w.Burst, w.Rate/10)
 		kept[w.Name] = s
 	}
-	a.spaces = kept
+	a.workspaces = kept
 }
 
-// CoordinatorReplied notes an answer of the coordinator, and how many gateways there are.
+// CoordinatorReplied records a reply of the coordinator and the number of gateways.
 func (a *Allowance) CoordinatorReplied(gateways int, now time.Time) {
-	a.heard, a.gateways, a.overdue = now, max(1, gateways), time.Time{}
+	a.lastReply, a.gateways, a.overdueSince = now, max(1, gateways), time.Time{}
 }
 
-// ReplyOverdue notes that an answer of the coordinator is overdue.
+// ReplyOverdue records that a reply of the coordinator is overdue.
 func (a *Allowance) ReplyOverdue(now time.Time) {
-	if a.overdue.IsZero() {
-		a.overdue = now
+	if a.overdueSince.IsZero() {
+		a.overdueSince = now
 	}
 }
 
-// SetShort notes the workspaces of whose quota little is left.
+// SetShort sets the workspaces that are nearly out of quota.
 func (a *Allowance) SetShort(names []string) {
 	clear(a.short)
 	for _, name := range names {
@@ -120,139 +121,143 @@
 	}
 }
 
-// Take takes the units of one request. With Denied, wait is when to come back.
+// Take takes the units of one request. If the verdict is Denied, wait tells when to retry.
 func (a *Allowance) Take(workspace string, units float64, now time.Time) (v Verdict, wait time.Duration) {
-	s := a.spaces[workspace]
+	s := a.workspaces[workspace]
 	if s == nil {
-		return Taken, 0 // Without a quota there is no limit.
+		return Taken, 0 // Workspaces without a quota are not limited.
 	}
 	if s.spend(units, now) {
-		s.used(units, a.memory, now)
+		s.recordUse(units, a.steadyWindow, now)
 		return Taken, 0
 	}
-	if a.alone(now) {
-		a.goAlone(s, !a.short[workspace], units, now)
-		if s.own.take(units, now) {
+	if a.isStandalone(now) {
+		a.startStandalone(s, !a.short[workspace], units, now)
+		if s.standalone.take(units, now) {
 			return Taken, 0
 		}
-		return Denied, s.own.wait(units)
+		return Denied, s.standalone.wait(units)
 	}
-	s.lacking += units
-	if now.Before(s.until) {
-		return Denied, s.later(units, now)
+	s.waiting += units
+	if now.Before(s.askAgainAt) {
+		return Denied, s.retryAfter(units, now)
 	}
 	return Ask, 0
 }
 
-// Wants returns what the allowance would ask for now.
+// Wants returns the allowance's current requests to the coordinator.
 func (a *Allowance) Wants(now time.Time) []protocol.QuotaWant {
 	var wants []protocol.QuotaWant
-	for name, s := range a.spaces {
-		held := s.held(now)
-		want := max(0, s.lacking+s.inAdvance(now)-held)
-		if want > 0 || s.unspent > 0 || s.own.owed > 0 {
-			wants = append(wants, protocol.QuotaWant{Workspace: name, Units: want, Waiting: min(want, s.lacking), Back: s.unspent, Alone: s.own.owed})
-			s.unspent = 0 // If the message is lost, so are they.
+	for name, s := range a.workspaces {
+		held := s.available(now)
+		want := max(0, s.waiting+s.prefetch(now)-held)
+		if want > 0 || s.unspent > 0 || s.standalone.unreported > 0 {
+			wants = append(wants, protocol.QuotaWant{Workspace: name, Units: want, Waiting: min(want, s.waiting), Back: s.unspent, Alone: s.standalone.unreported})
+			s.unspent = 0 // If the message is lost, the units are lost with it.
 		}
 	}
 	return wants
 }
 
-// Acknowledge notes that the coordinator has what was asked for: it knows of what was
-// spent alone.
+// Acknowledge records that the coordinator received these requests, and with them the units
+// spent in standalone mode.
 func (a *Allowance) Acknowledge(wants []protocol.QuotaWant) {
 	for _, w := range wants {
-		if s := a.spaces[w.Workspace]; s != nil {
-			s.own.owed = max(0, s.own.owed-w.Alone)
+		if s := a.workspaces[w.Workspace]; s != nil {
+			s.standalone.unreported = max(0, s.standalone.unreported-w.Alone)
 		}
 	}
 }
 
-// AddGrants puts parts in. Lasts counts from when they were asked for.
+// AddGrants adds granted units. Their lifetime starts when they were requested.
 func (a *Allowance) AddGrants(grants []protocol.QuotaGrant, asked, now time.Time) {
 	for _, g := range grants {
-		s := a.spaces[g.Workspace]
+		s := a.workspaces[g.Workspace]
 		if s == nil {
 			continue
 		}
 		if g.Units > 0 {
-			s.parts = append(s.parts, part{units: g.Units, until: asked.Add(g.Lasts)})
+			s.leases = append(s.leases, lease{units: g.Units, expiresAt: asked.Add(g.Lasts)})
 		}
-		s.until = time.Time{}
+		s.askAgainAt = time.Time{}
 		if g.Wait > 0 {
-			s.until, s.room = now.Add(min(g.Wait, mostWait)), now.Add(g.Wait)
+			s.askAgainAt, s.availableAt = now.Add(min(g.Wait, maxAskPause)), now.Add(g.Wait)
 		}
-		s.lacking = 0
+		s.waiting = 0
 	}
 }
 
-// mostWait bounds how long the coordinator is not asked again: others may give parts
-// back.
-const mostWait = 250 * time.Millisecond
+// maxAskPause limits how long the coordinator is not asked again, because other gateways
+// may return units.
+const maxAskPause = 250 * time.Millisecond
 
-func (s *space) held(now time.Time) float64 {
-	sum, kept := 0.0, s.parts[:0]
-	for _, p := range s.parts {
-		if now.Before(p.until) && p.units > 0 {
+// available drops expired leases and returns the units of the others.
+func (s *workspaceQuota) available(now time.Time) float64 {
+	sum, kept := 0.0, s.leases[:0]
+	for _, p := range s.leases {
+		if now.Before(p.expiresAt) && p.units > 0 {
 			kept = append(kept, p)
 			sum += p.units
 			continue
 		}
 		s.unspent += p.units
 	}
-	s.parts = kept
+	s.leases = kept
 	return sum
 }
 
-// spend takes units from the parts, the one that expires first before others.
-func (s *space) spend(units float64, now time.Time) bool {
-	if s.held(now) < units {
+// spend takes units from the leases, those that expire first before others.
+func (s *workspaceQuota) spend(units float64, now time.Time) bool {
+	if s.available(now) < units {
 		return false
 	}
-	for i := range s.parts {
-		n := min(units, s.parts[i].units)
-		s.parts[i].units -= n
+	for i := range s.leases {
+		n := min(units, s.leases[i].units)
+		s.leases[i].units -= n
 		units -= n
 	}
 	return true
 }
 
-// later is when the caller of a request that is denied may come back: when there is
-// room, and the next one behind it.
-func (s *space) later(units float64, now time.Time) time.Duration {
-	wait := max(s.room.Sub(now), s.until.Sub(now))
-	s.room = now.Add(wait + s.refill(units))
+// retryAfter returns when the caller of a denied request may retry: once units are
+// expected, and later for each further caller.
+func (s *workspaceQuota) retryAfter(units float64, now time.Time) time.Duration {
+	wait := max(s.availableAt.Sub(now), s.askAgainAt.Sub(now))
+	s.availableAt = now.Add(wait + s.refillTime(units))
 	return wait
 }
 
-// refill is how long the quota takes to fill by so many units.
-func (s *space) refill(units float64) time.Duration {
+// refillTime returns how long the quota takes to refill by the units.
+func (s *workspaceQuota) refillTime(units float64) time.Duration {
 	return time.Duration(units / s.rate * float64(time.Second))
 }
 
-func (s *space) used(units float64, memory time.Duration, now time.Time) {
-	s.use = s.rateOfUse(now) + units/useMemory.Seconds()
-	s.steady = s.averaged(s.steady, memory, now) + units/memory.Seconds()
-	s.cost += costWeight * (units - s.cost)
-	s.usedAt = now
+func (s *workspaceQuota) recordUse(units float64, steadyWindow time.Duration, now time.Time) {
+	s.recentUse = s.useRate(now) + units/useWindow.Seconds()
+	s.steadyUse = s.decayed(s.steadyUse, steadyWindow, now) + units/steadyWindow.Seconds()
+	s.meanCost += costWeight * (units - s.meanCost)
+	s.lastUse = now
 }
 
-// inAdvance is what is asked for before a request needs it. Where that is less
-// than a request, it would only expire here while others lack it.
-func (s *space) inAdvance(now time.Time) float64 {
-	if units := s.rateOfUse(now) * ahead.Seconds(); units >= s.cost {
+// prefetch returns the units to request in advance. If they do not cover a mean request,
+// they would only expire here while other gateways lack them.
+func (s *workspaceQuota) prefetch(now time.Time) float64 {
+	if units := s.useRate(now) * prefetchTime.Seconds(); units >= s.meanCost {
 		return units
 	}
 	return 0
 }
 
-func (s *space) rateOfUse(now time.Time) float64 { return s.averaged(s.use, useMemory, now) }
+func (s *workspaceQuota) useRate(now time.Time) float64 {
+	return s.decayed(s.recentUse, useWindow, now)
+}
 
-// averaged returns an average over a memory, as it is some time after the latest use.
-func (s *space) averaged(use float64, memory time.Duration, now time.Time) float64 {
-	if s.usedAt.IsZero() {
+// decayed returns an average of the use as of now. It falls linearly to zero over the
+// window after the last use.
+func (s *workspaceQuota) decayed(average float64, window time.Duration, now time.Time) float64 {
+	if s.lastUse.IsZero() {
 		return 0
 	}
-	left := 1 - float64(now.Sub(s.usedAt))/float64(memory)
-	return use * max(0, min(1, left))
+	left := 1 - float64(now.Sub(s.lastUse))/float64(window)
+	return average * max(0, min(1, left))
 }
--- a/coordination/quota/quota.go
+++ b/coordination/quota/quota.go
@@ -1,12 +1,12 @@
-// Package quota keeps the quotas of workspaces over all gateways.
+// Package quota enforces the quotas of workspaces across all gateways.
 //
-// A [Coordinator], on the control instance that leads, has a bucket for each
-// workspace. An [Allowance], one a gateway, asks it for a part of what the bucket
-// holds, sized by recent use, and spends it. A part expires soon, so what is
-// held anywhere never adds up to much more than the bound. A gateway that cannot
-// reach the coordinator goes on with half of its even part of the rate.
+// A [Coordinator] runs on the control instance that leads and holds a token bucket for each
+// workspace. Each gateway has an [Allowance], which leases units from these buckets, sized
+// by recent use, and spends them. A lease expires soon, so the units leased by all gateways
+// never exceed the bound by much. A gateway that cannot reach the coordinator falls back to
+// half of its even share of the rate.
 //
-// Both are pure: time comes in with each call.
+// Both types are deterministic: the time is an argument of each call.
 package quota
 
 import (
@@ -16,68 +16,66 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// GrantLifetime is how long a granted part may be used.
+// GrantLifetime is how long granted units may be spent.
 const GrantLifetime = 800 * time.Millisecond
 
-// Coordinator has the buckets of all workspaces.
+// Coordinator holds the buckets of all workspaces.
 type Coordinator struct {
-	window  time.Duration
-	quiet   time.Duration // quiet is for how long nothing was granted before.
-	buckets map[string]*bucket
+	window     time.Duration
+	grantPause time.Duration // grantPause is how long nothing was granted before this coordinator started.
+	buckets    map[string]*bucket
 }
 
-// bucket holds units. A quota allows its rate times the window, plus its burst,
-// in any window. The bucket holds the burst; it fills by a little more than the
-// rate, so that a workspace that asks for more than its quota gets all of it in each
-// window, and what was granted in the last window bounds both.
+// bucket is the token bucket of a workspace. A quota allows, in any window, its rate times
+// the window plus its burst. The bucket holds up to the burst and refills slightly faster
+// than the rate, so that a workspace that demands more than its quota receives all of it in
+// each window. The limit on the grants of the last window bounds both.
 type bucket struct {
-	rate  float64 // rate is the quota's, in units a second.
-	size  float64 // size is what the bucket holds at the most.
-	level float64 // level may be below 0 after a large request.
-	at    time.Time
-	whole time.Time // whole is when recent covers a whole window.
-	queue float64   // queue is what was refused and may come back, less what there was room for since.
-	recent
+	rate         float64 // rate is the quota's rate in units a second.
+	capacity     float64 // capacity is the largest level.
+	level        float64 // level can be negative after a large request.
+	updatedAt    time.Time
+	fullWindowAt time.Time // fullWindowAt is when slidingWindow covers a whole window.
+	queued       float64   // queued counts the units refused to requests that are expected to return, less the units refilled since.
+	slidingWindow
 }
 
 const (
-	// spreadPart of the burst is spread over the window and fills the bucket beside
-	// the rate.
-	spreadPart = 0.6
-	// debt is how far ahead a request may take, so that a large one is let in as
-	// often as a small one.
-	debt = 600 * time.Millisecond
-	// changeTime is how long nobody grants anything while the coordinator changes, at
-	// the least.
-	changeTime = 300 * time.Millisecond
-	// leastWait is the least time after which a gateway may ask again.
-	leastWait = time.Millisecond
+	// burstRefillShare is the fraction of the burst by which the bucket refills per window,
+	// on top of the rate.
+	burstRefillShare = 0.6
+	// debtTime is how far ahead of the refill a single request may take units, so that
+	// large requests are admitted as often as small ones.
+	debtTime = 600 * time.Millisecond
+	// minGrantPause is the shortest time without grants when the coordinator changes.
+	minGrantPause = 300 * time.Millisecond
+	// minWait is the shortest time after which a gateway may ask again.
+	minWait = time.Millisecond
 )
 
-// CoordinatorOption changes a new coordinator.
+// CoordinatorOption configures a new coordinator.
 type CoordinatorOption func(*Coordinator)
 
 // WithGrantPause sets for how long no coordinator can have granted anything. While all
-// instances are off, callers wait, and come at once when they are back: buckets that
-// began with what the rate gave in changeTime refused 1,500 tries in the second
-// after 295 gateways were off for 1.5 s.
-func WithGrantPause(quiet time.Duration) CoordinatorOption {
-	return func(c *Coordinator) { c.quiet = max(quiet, changeTime) }
+// instances are down, callers wait, and they return all at once when the instances are
+// back. Buckets that started with only the refill of minGrantPause refused 1,500 requests
+// in the second after 295 gateways had been down for 1.5 s.
+func WithGrantPause(pause time.Duration) CoordinatorOption {
+	return func(c *Coordinator) { c.grantPause = max(pause, minGrantPause) }
 }
 
-// NewCoordinator returns a coordinator without buckets, of quotas that are
-// bounded in windows of a length.
+// NewCoordinator returns a coordinator without buckets for quotas that apply to windows of
+// the given length.
 func NewCoordinator(window time.Duration, opts ...CoordinatorOption) *Coordinator {
-	c := &Coordinator{window: window, quiet: changeTime, buckets: map[string]*bucket{}}
+	c := &Coordinator{window: window, grantPause: minGrantPause, buckets: map[string]*bucket{}}
 	for _, opt := range opts {
 		opt(c)
 	}
 	return c
 }
 
-// Configure puts the quotas of a configuration in force. A bucket that is new
-// begins with what its rate gave in the time in which nothing was granted: an earlier
-// coordinator may have given the rest away just before.
+// Configure applies the quotas of a configuration. A new bucket starts with the refill of
+// the time without grants: an earlier coordinator may have granted the rest just before.
 func (c *Coordinator) Configure(workspaces []protocol.Tenancy, now time.Time) {
 	kept := map[string]*bucket{}
 	for i := range workspaces {
@@ -87,68 +85,69 @@
 		}
 		b := c.buckets[w.Name]
 		if b == nil {
-			b = &bucket{at: now, level: w.Rate * c.quiet.Seconds(), whole: now.Add(c.window), recent: newRecent(c.window)}
+			b = &bucket{updatedAt: now, level: w.Rate * c.grantPause.Seconds(), fullWindowAt: now.Add(c.window), slidingWindow: newSlidingWindow(c.window)}
 		}
 		b.fill(now)
-		b.rate, b.size = w.Rate, max(w.Burst, w.Rate/10)
-		b.level = min(b.level, b.size)
-		b.most = w.Rate*c.window.Seconds() + b.size
+		b.rate, b.capacity = w.Rate, max(w.Burst, w.Rate/10)
+		b.level = min(b.level, b.capacity)
+		b.limit = w.Rate*c.window.Seconds() + b.capacity
 		kept[w.Name] = b
 	}
 	c.buckets = kept
 }
 
 func (b *bucket) fill(now time.Time) {
-	if d := now.Sub(b.at); d > 0 {
-		b.queue = max(0, b.queue-b.pace(now)*d.Seconds())
-		b.level = min(b.size, b.level+b.pace(now)*d.Seconds())
-		b.at = now
+	if d := now.Sub(b.updatedAt); d > 0 {
+		b.queued = max(0, b.queued-b.fillRate(now)*d.Seconds())
+		b.level = min(b.capacity, b.level+b.fillRate(now)*d.Seconds())
+		b.updatedAt = now
 	}
 }
 
-// pace is by how much the bucket fills in a second. It is the rate alone until all
-// that was granted in the last window is known: an earlier coordinator may have
-// granted the burst.
-func (b *bucket) pace(now time.Time) float64 {
-	if now.Before(b.whole) {
+// fillRate returns the refill in units a second. It is the plain rate until the grants of a
+// whole window are known, because an earlier coordinator may have granted the burst.
+func (b *bucket) fillRate(now time.Time) float64 {
+	if now.Before(b.fullWindowAt) {
 		return b.rate
 	}
-	return b.rate + spreadPart*b.size/b.window.Seconds()
+	return b.rate + burstRefillShare*b.capacity/b.window.Seconds()
 }
 
-// take grants some units, or as many as there are.
+// take grants the requested units, or as many as are available.
 func (b *bucket) take(units float64, now time.Time) float64 {
 	if b.level <= 0 {
 		return 0
 	}
-	units = min(units, b.level+b.rate*debt.Seconds(), b.room(now))
+	units = min(units, b.level+b.rate*debtTime.Seconds(), b.remaining(now))
 	b.level -= units
 	b.add(units, now)
 	return units
 }
 
-// spent notes units that a gateway spent without a part: the bucket may owe them.
-func (b *bucket) spent(units float64, now time.Time) {
+// debit records units that a standalone gateway spent without a grant. It can take the
+// level below zero.
+func (b *bucket) debit(units float64, now time.Time) {
 	b.level -= units
 	b.add(units, now)
 }
 
-// wait is how long it takes until some more units are there, behind all that were
-// refused before and may come back: each caller gets another moment. For a workspace
-// that asks for several times its quota that is seconds; one that came back at once
-// would only be refused again. After a whole window everything may be different.
+// wait returns how long it takes until the units are available, after all units that were
+// refused earlier and may be requested again. Each caller therefore gets a different time.
+// A workspace that demands several times its quota waits for seconds; a caller that
+// returned immediately would only be refused again. The wait is limited to one window,
+// because the demand can change by then.
 func (b *bucket) wait(units float64, now time.Time) time.Duration {
-	units += b.queue
-	filled := time.Duration((units - min(0, b.level)) / b.pace(now) * float64(time.Second))
-	return min(b.window, max(leastWait, filled, b.free(units, now)))
+	units += b.queued
+	filled := time.Duration((units - min(0, b.level)) / b.fillRate(now) * float64(time.Second))
+	return min(b.window, max(minWait, filled, b.timeUntil(units, now)))
 }
 
-// Short returns the workspaces of whose quota little is left right now, sorted.
+// Short returns the workspaces with less than half of their bucket left, sorted.
 func (c *Coordinator) Short(now time.Time) []string {
 	var names []string
 	for name, b := range c.buckets {
 		b.fill(now)
-		if b.level < b.size/2 {
+		if b.level < b.capacity/2 {
 			names = append(names, name)
 		}
 	}
@@ -156,8 +155,8 @@
 	return names
 }
 
-// Grant returns a part of a workspace's quota, and where it falls short, when
-// more is to be had.
+// Grant returns the units granted to a gateway for a workspace, and if they fall short, the
+// time until more are available.
 func (c *Coordinator) Grant(w protocol.QuotaWant, now time.Time) protocol.QuotaGrant {
 	g := protocol.QuotaGrant{Workspace: w.Workspace, Lasts: GrantLifetime}
 	b := c.buckets[w.Workspace]
@@ -165,13 +164,13 @@
 		return g
 	}
 	b.fill(now)
-	b.level = min(b.size, b.level+max(0, w.Back))
-	b.back(max(0, w.Back))
-	b.spent(max(0, w.Alone), now)
+	b.level = min(b.capacity, b.level+max(0, w.Back))
+	b.refund(max(0, w.Back))
+	b.debit(max(0, w.Alone), now)
 	g.Units = b.take(w.Units, now)
-	if short := w.Units - g.Units; short > 0 {
-		g.Wait = b.wait(short, now)
-		b.queue += min(short, w.Waiting)
+	if missing := w.Units - g.Units; missing > 0 {
+		g.Wait = b.wait(missing, now)
+		b.queued += min(missing, w.Waiting)
 	}
 	return g
 }
--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -16,14 +16,14 @@
 
 const window = 8 * time.Second
 
-// grant is units given at a time.
+// grant records units granted at a time.
 type grant struct {
 	at    time.Time
 	units float64
 }
 
-// TestCoordinatorKeepsToTheBound checks that what is granted in any window is at
-// most the rate times the window and the burst, and one large request more.
+// TestCoordinatorKeepsToTheBound checks that the grants of any window stay within the rate
+// times the window plus the burst, plus one large request.
 func TestCoordinatorKeepsToTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := protocol.Tenancy{Name: "w", Rate: rapid.Float64Range(10, 1000).Draw(t, "rate")}
@@ -37,11 +37,11 @@
 			want := w.Rate * rapid.Float64Range(0, 3).Draw(t, "want")
 			g := c.Grant(protocol.QuotaWant{Workspace: "w", Units: want}, now)
 			if g.Units < want && g.Wait <= 0 {
-				t.Fatalf("%.0f of %.0f without a time to come back", g.Units, want)
+				t.Fatalf("granted %.0f of %.0f without a time to retry", g.Units, want)
 			}
 			grants = append(grants, grant{now, g.Units})
 		}
-		bound := w.Rate*window.Seconds() + max(w.Burst, w.Rate/10) + (w.Rate+w.Burst/window.Seconds())*debt.Seconds() + w.Rate*changeTime.Seconds()
+		bound := w.Rate*window.Seconds() + max(w.Burst, w.Rate/10) + (w.Rate+w.Burst/window.Seconds())*debtTime.Seconds() + w.Rate*minGrantPause.Seconds()
 		for i := range grants {
 			sum := 0.0
 			for _, g := range grants[i:] {
@@ -50,14 +50,14 @@
 				}
 			}
 			if sum > bound*1.001 {
-				t.Fatalf("%.0f units in a window, the bound is %.0f", sum, bound)
+				t.Fatalf("granted %.0f units in a window, want at most %.0f", sum, bound)
 			}
 		}
 	})
 }
 
-// TestLargeRequestsAreLetIn checks that a request larger than what the bucket
-// holds is granted as well, and that small ones then wait for it.
+// TestLargeRequestsAreLetIn checks that a request for the whole bucket is granted in full,
+// and that small requests then have to wait.
 func TestLargeRequestsAreLetIn(t *testing.T) {
 	c := NewCoordinator(window)
 	c.Configure([]protocol.Tenancy{{Name: "w", Rate: 100, Burst: 100}}, start)
@@ -66,11 +66,11 @@
 		t.Fatalf("granted %.0f of 100", g.Units)
 	}
 	if g := c.Grant(protocol.QuotaWant{Workspace: "w", Units: 1}, now); g.Units > 0 || g.Wait <= 0 {
-		t.Errorf("granted %.0f right behind it, to come back in %v", g.Units, g.Wait)
+		t.Errorf("granted %.0f right after it, retry in %v", g.Units, g.Wait)
 	}
 }
 
-// TestAllowance walks a gateway's part through asking, spending, expiry and denial.
+// TestAllowance takes an allowance through request, spending, expiry and denial.
 func TestAllowance(t *testing.T) {
 	p := NewAllowance(window)
 	p.Configure([]protocol.Tenancy{{Name: "w", Rate: 100, Burst: 100}})
@@ -79,29 +79,29 @@
 		t.Error("a workspace without a quota was limited")
 	}
 	if v, _ := p.Take("w", 30, start); v != Ask {
-		t.Fatalf("an empty allowance said %d", v)
+		t.Fatalf("an empty allowance returned verdict %d", v)
 	}
 	wants := p.Wants(start)
 	if len(wants) != 1 || wants[0].Units < 30 {
-		t.Fatalf("it asks for %v", wants)
+		t.Fatalf("wants %v", wants)
 	}
 	p.AddGrants([]protocol.QuotaGrant{{Workspace: "w", Units: 40, Lasts: GrantLifetime}}, start, start)
 	if v, _ := p.Take("w", 30, start); v != Taken {
-		t.Fatalf("with 40 granted, 30 were said %d", v)
+		t.Fatalf("taking 30 of 40 granted units returned verdict %d", v)
 	}
 	late := start.Add(GrantLifetime)
 	p.CoordinatorReplied(2, late)
 	if v, _ := p.Take("w", 5, late); v != Ask {
-		t.Errorf("what was left was spent after its time: %d", v)
+		t.Errorf("taking expired units returned verdict %d", v)
 	}
 	p.AddGrants([]protocol.QuotaGrant{{Workspace: "w", Wait: time.Second, Lasts: GrantLifetime}}, late, late)
 	if v, wait := p.Take("w", 5, late); v != Denied || wait <= 0 {
-		t.Errorf("after a denial it said %d, wait %v", v, wait)
+		t.Errorf("after a denial: verdict %d, wait %v", v, wait)
 	}
 }
 
-// TestAllowanceAlone checks that gateways that reach no coordinator let in at most
-// half of the rate together.
+// TestAllowanceAlone checks that standalone gateways together admit at most half of the
+// rate.
 func TestAllowanceAlone(t *testing.T) {
 	const gateways = 4
 	w := protocol.Tenancy{Name: "w", Rate: 1000, Burst: 500}
@@ -116,13 +116,13 @@
 			}
 		}
 	}
-	if most := w.Rate * 8 * aloneShare; taken > most*1.1 || taken < most/2 {
-		t.Errorf("%.0f units in 8 s, half of the rate is %.0f", taken, most)
+	if most := w.Rate * 8 * standaloneShare; taken > most*1.1 || taken < most/2 {
+		t.Errorf("admitted %.0f units in 8 s, half of the rate is %.0f", taken, most)
 	}
 }
 
-// TestRareRequestsAlone checks that gateways which reach no coordinator let a rare
-// request in at once, and none of a workspace whose quota was used up.
+// TestRareRequestsAlone checks that a standalone gateway admits a rare request immediately,
+// unless the workspace had exhausted its quota.
 func TestRareRequestsAlone(t *testing.T) {
 	for name, c := range map[string]struct {
 		short []string
@@ -134,31 +134,31 @@
 		p.SetShort(c.short)
 		now := start.Add(time.Second)
 		if v, _ := p.Take("w", 500, now); v != c.want {
-			t.Errorf("%s: the first request was said %d, want %d", name, v, c.want)
+			t.Errorf("%s: first request: verdict %d, want %d", name, v, c.want)
 		}
 		if v, _ := p.Take("w", 500, now.Add(time.Second)); c.want == Taken && v != Denied {
-			t.Errorf("%s: a second one, right behind it, was said %d", name, v)
+			t.Errorf("%s: second request one second later: verdict %d", name, v)
 		}
 	}
 }
 
-// TestAloneSoon checks that a gateway goes on alone a few usual pauses after the
-// last answer, and not before.
+// TestAloneSoon checks how long after the last reply a gateway switches to standalone mode,
+// which depends on the number of gateways.
 func TestAloneSoon(t *testing.T) {
-	for gateways, after := range map[int]time.Duration{8: aloneAfter, 360: 360 * aloneMember} {
+	for gateways, after := range map[int]time.Duration{8: standaloneAfter, 360: 360 * standalonePerGateway} {
 		p := NewAllowance(window)
 		p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
 		p.CoordinatorReplied(gateways, start)
 		if v, _ := p.Take("w", 1, start.Add(after)); v != Ask {
-			t.Errorf("%d gateways: after %v it said %d", gateways, after, v)
+			t.Errorf("%d gateways: after %v: verdict %d", gateways, after, v)
 		}
 		if v, _ := p.Take("w", 1, start.Add(after+time.Millisecond)); v != Taken {
-			t.Errorf("%d gateways: behind %v it said %d", gateways, after, v)
+			t.Errorf("%d gateways: 1 ms after %v: verdict %d", gateways, after, v)
 		}
 	}
 }
 
-// TestShort checks which workspaces are told to be short of their quota.
+// TestShort checks which workspaces are reported as short of quota.
 func TestShort(t *testing.T) {
 	c := NewCoordinator(window)
 	c.Configure([]protocol.Tenancy{{Name: "much", Rate: 1000, Burst: 1000}, {Name: "little", Rate: 1000, Burst: 1000}}, start)
@@ -172,8 +172,8 @@
 	}
 }
 
-// TestLowerQuotaDropsParts checks that what was granted under a higher quota is
-// not spent under a lower one.
+// TestLowerQuotaDropsParts checks that units granted under a higher quota cannot be spent
+// under a lower one.
 func TestLowerQuotaDropsParts(t *testing.T) {
 	p := NewAllowance(window)
 	p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
@@ -182,13 +182,12 @@
 	p.AddGrants([]protocol.QuotaGrant{{Workspace: "w", Units: 900, Lasts: GrantLifetime}}, start, start)
 	p.Configure([]protocol.Tenancy{{Name: "w", Rate: 10, Burst: 10}})
 	if v, _ := p.Take("w", 500, start); v == Taken {
-		t.Error("500 units of the former quota were spent")
+		t.Error("spent 500 units of the former quota")
 	}
 }
 
-// TestNothingIsLostInParts checks that many gateways which each use little can
-// together spend nearly the whole quota: parts that expired with them cost a fifth
-// of it before.
+// TestNothingIsLostInParts checks that many gateways with little use each can together
+// spend nearly the whole quota. Leases that expired unused once cost a fifth of it.
 func TestNothingIsLostInParts(t *testing.T) {
 	const gateways, units = 40, 50.0
 	w := protocol.Tenancy{Name: "w", Rate: 1000, Burst: 1000}
@@ -212,12 +211,12 @@
 		for i, p := range allowances {
 			p.CoordinatorReplied(gateways, now)
 			if step%30 == i%30 {
-				ask(p) // As each gateway does each 150 ms.
+				ask(p) // Each gateway asks every 150 ms.
 			}
 			if step%240 != i*6 {
 				continue
 			}
-			// A request each 1.2 s through each gateway: 1.7 times the quota.
+			// One request every 1.2 s through each gateway: 1.7 times the quota.
 			v, _ := p.Take("w", units, now)
 			if v == Ask {
 				ask(p)
@@ -228,29 +227,29 @@
 			}
 		}
 	}
-	bound := 20*(w.Rate+spreadPart*w.Burst/window.Seconds()) + w.Burst
+	bound := 20*(w.Rate+burstRefillShare*w.Burst/window.Seconds()) + w.Burst
 	if spent < 0.9*bound || spent > 1.1*bound {
-		t.Errorf("%.0f units were spent, the quota allows %.0f", spent, bound)
+		t.Errorf("spent %.0f units, the quota allows %.0f", spent, bound)
 	}
 }
 
-// TestBucketHoldsNoMoreThanItsSize checks that neither a change of the quota nor
-// what is given back fills a bucket above its size.
+// TestBucketHoldsNoMoreThanItsSize checks that neither a new quota nor returned units raise
+// a bucket above its capacity.
 func TestBucketHoldsNoMoreThanItsSize(t *testing.T) {
 	w := protocol.Tenancy{Name: "w", Rate: 1000}
-	size, ahead := w.Rate/10, w.Rate*debt.Seconds()
+	size, ahead := w.Rate/10, w.Rate*debtTime.Seconds()
 	for name, back := range map[string]float64{"new": 0, "given back": 1e6} {
 		c := NewCoordinator(window)
 		c.Configure([]protocol.Tenancy{w}, start)
 		g := c.Grant(protocol.QuotaWant{Workspace: "w", Units: 1e9, Back: back}, start)
 		if g.Units > size+ahead {
-			t.Errorf("%s: granted %.0f of a bucket of %.0f, and %.0f ahead", name, g.Units, size, ahead)
+			t.Errorf("%s: granted %.0f, want at most the capacity %.0f plus %.0f ahead", name, g.Units, size, ahead)
 		}
 	}
 }
 
-// TestPartLastsFromItsQuestion checks that a part whose answer came late lasts no
-// longer for it: the coordinator counts it as over by then.
+// TestPartLastsFromItsQuestion checks that a late reply does not extend a lease. The
+// coordinator considers the lease expired by then.
 func TestPartLastsFromItsQuestion(t *testing.T) {
 	p := NewAllowance(window)
 	p.Configure([]protocol.Tenancy{{Name: "w", Rate: 100, Burst: 100}})
@@ -258,31 +257,31 @@
 	p.CoordinatorReplied(1, late)
 	p.AddGrants([]protocol.QuotaGrant{{Workspace: "w", Units: 50, Lasts: GrantLifetime}}, start, late)
 	if v, _ := p.Take("w", 1, late); v == Taken {
-		t.Error("a part that was over was spent")
+		t.Error("spent an expired lease")
 	}
 }
 
-// TestDenialIsShort checks that the coordinator is asked again soon, however long
-// it said that the quota is used up, as others may give parts back; and that callers are
-// told what it said, the next one a moment later.
+// TestDenialIsShort checks that the coordinator is asked again soon, however long it
+// expects the quota to be exhausted, because other gateways may return units. Callers are
+// told the coordinator's time, each one a little later than the one before.
 func TestDenialIsShort(t *testing.T) {
 	p := NewAllowance(window)
 	p.Configure([]protocol.Tenancy{{Name: "w", Rate: 100, Burst: 100}})
 	p.CoordinatorReplied(1, start)
 	p.AddGrants([]protocol.QuotaGrant{{Workspace: "w", Wait: time.Hour}}, start, start)
 	if v, wait := p.Take("w", 50, start); v != Denied || wait != time.Hour {
-		t.Errorf("got %d, wait %v", v, wait)
+		t.Errorf("verdict %d, wait %v", v, wait)
 	}
 	if v, wait := p.Take("w", 1, start); v != Denied || wait != time.Hour+500*time.Millisecond {
-		t.Errorf("the next one got %d, wait %v", v, wait)
+		t.Errorf("next request: verdict %d, wait %v", v, wait)
 	}
-	if v, _ := p.Take("w", 1, start.Add(mostWait)); v != Ask {
-		t.Errorf("after the pause it said %d", v)
+	if v, _ := p.Take("w", 1, start.Add(maxAskPause)); v != Ask {
+		t.Errorf("after the pause: verdict %d", v)
 	}
 }
 
-// TestNothingInAdvanceForRareRequests checks that a gateway asks in advance for
-// what it uses often, and not for a part of one request, which would expire.
+// TestNothingInAdvanceForRareRequests checks that a gateway prefetches units for frequent
+// requests, but not a fraction of a rare request, which would expire unused.
 func TestNothingInAdvanceForRareRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		pause time.Duration
@@ -302,13 +301,13 @@
 			units += w.Units
 		}
 		if (units > 0) != c.want {
-			t.Errorf("%s: %.1f units are asked for in advance", name, units)
+			t.Errorf("%s: prefetched %.1f units", name, units)
 		}
 	}
 }
 
-// most returns the most units that lie in any window.
-func most(grants []grant) float64 {
+// maxInWindow returns the largest sum of units in any window.
+func maxInWindow(grants []grant) float64 {
 	most := 0.0
 	for i := range grants {
 		sum := 0.0
@@ -322,9 +321,9 @@
 	return most
 }
 
-// TestWindowIsExact checks that one coordinator never grants more in any window than
-// the rate times the window and the burst, however the requests come, what is given
-// back and how long nothing was granted before.
+// TestWindowIsExact checks that a single coordinator never grants more in any window than
+// the rate times the window plus the burst, for any requests, returned units and time
+// without grants before it.
 func TestWindowIsExact(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := protocol.Tenancy{Name: "w", Rate: rapid.Float64Range(10, 1000).Draw(t, "rate")}
@@ -339,16 +338,16 @@
 			want := w.Rate * rapid.Float64Range(0, 3).Draw(t, "want")
 			g := c.Grant(protocol.QuotaWant{Workspace: "w", Units: want, Back: back}, now)
 			spent = append(spent, grant{now, g.Units - back})
-			held = g.Units // Of the part before, what was not given back is spent.
+			held = g.Units // The rest of the previous grant is spent.
 		}
-		if sum, bound := most(spent), w.Rate*window.Seconds()+max(w.Burst, w.Rate/10); sum > bound*1.001 {
+		if sum, bound := maxInWindow(spent), w.Rate*window.Seconds()+max(w.Burst, w.Rate/10); sum > bound*1.001 {
 			t.Fatalf("%.0f units in a window, the quota allows %.0f", sum, bound)
 		}
 	})
 }
 
-// TestHotWorkspaceGetsItsQuota checks that a workspace which asks for several times
-// its quota, through many gateways, gets nearly all of it in each window.
+// TestHotWorkspaceGetsItsQuota checks that a workspace that demands several times its quota
+// through many gateways receives nearly all of it in each window.
 func TestHotWorkspaceGetsItsQuota(t *testing.T) {
 	w := protocol.Tenancy{Name: "w", Rate: 1000, Burst: 1000}
 	for _, gateways := range []int{8, 76, 295} {
@@ -358,18 +357,18 @@
 		const seconds, asks = 40, 100
 		for i := range seconds * asks {
 			now = now.Add(time.Second / asks)
-			want := 5 * w.Rate / asks * (0.5 + float64(i%gateways)/float64(gateways)) // Five times the rate, unevenly.
+			want := 5 * w.Rate / asks * (0.5 + float64(i%gateways)/float64(gateways)) // Five times the rate, unevenly spread.
 			granted += c.Grant(protocol.QuotaWant{Workspace: "w", Units: want}, now).Units
 		}
 		allowed := seconds * (w.Rate + w.Burst/window.Seconds())
 		if part := granted / allowed; part < 0.94 || part > 1.01 {
-			t.Errorf("%d gateways: %.3f of what the quota allows was granted", gateways, part)
+			t.Errorf("%d gateways: granted %.3f of the quota", gateways, part)
 		}
 	}
 }
 
-// TestWaitIsEnough checks that what is told to be there after a while is there then,
-// whether the bucket or the last window is what lacks.
+// TestWaitIsEnough checks that units are available after the reported wait, whether the
+// bucket or the sliding window is exhausted.
 func TestWaitIsEnough(t *testing.T) {
 	w := protocol.Tenancy{Name: "w", Rate: 1000, Burst: 1000}
 	for name, asked := range map[string]time.Duration{"the bucket": time.Second, "the window": 7600 * time.Millisecond} {
@@ -383,22 +382,22 @@
 			last = c.Grant(protocol.QuotaWant{Workspace: "w", Units: 50}, now)
 		}
 		if last.Wait <= 0 {
-			t.Fatalf("%s: all was granted", name)
+			t.Fatalf("%s: granted everything", name)
 		}
 		now = now.Add(last.Wait)
 		if g := c.Grant(protocol.QuotaWant{Workspace: "w", Units: 1}, now); g.Units < 1 {
-			t.Errorf("%s: after %v nothing was there", name, last.Wait)
+			t.Errorf("%s: nothing available after %v", name, last.Wait)
 		}
 	}
 }
 
-// TestQuotaAfterAnOutage checks that buckets begin with what the rate gave while
-// nothing was granted, not above the burst, and that a change of the coordinator
-// alone gives little.
+// TestQuotaAfterAnOutage checks that buckets start with the refill of the time without
+// grants, up to the burst, and that a change of the coordinator alone yields only the
+// refill of minGrantPause.
 func TestQuotaAfterAnOutage(t *testing.T) {
 	for quiet, want := range map[time.Duration]float64{
-		-time.Second:           1000 * changeTime.Seconds(),
-		0:                      1000 * changeTime.Seconds(),
+		-time.Second:           1000 * minGrantPause.Seconds(),
+		0:                      1000 * minGrantPause.Seconds(),
 		700 * time.Millisecond: 700,
 		time.Hour:              1000,
 	} {
@@ -410,15 +409,15 @@
 	}
 }
 
-// TestChangesOfCoordinatorKeepToTheBound checks that a workspace which always asks
-// for more than its quota gets over a change of the coordinator, or an outage, at most
-// a tenth more than the quota in any window.
+// TestChangesOfCoordinatorKeepToTheBound checks that a workspace that always demands more
+// than its quota receives at most a tenth more than the quota in any window, across a
+// change of the coordinator or an outage.
 func TestChangesOfCoordinatorKeepToTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := protocol.Tenancy{Name: "w", Rate: 1000, Burst: 1000}
 		away := time.Duration(rapid.IntRange(200, 5000).Draw(t, "away")) * time.Millisecond
 		change := start.Add(time.Duration(rapid.IntRange(0, 20_000).Draw(t, "change")) * time.Millisecond)
-		known := time.Duration(rapid.Float64Range(0, 1).Draw(t, "known") * float64(away)) // What is not logged does not count.
+		known := time.Duration(rapid.Float64Range(0, 1).Draw(t, "known") * float64(away)) // Time that is not logged does not count.
 		c := NewCoordinator(window, WithGrantPause(time.Hour))
 		c.Configure([]protocol.Tenancy{w}, start)
 		var spent []grant
@@ -432,36 +431,36 @@
 		c.Configure([]protocol.Tenancy{w}, change.Add(away))
 		ask(change.Add(away), change.Add(away+10*time.Second))
 		bound := w.Rate*window.Seconds() + w.Burst
-		if sum := most(spent); sum > 1.1*bound {
+		if sum := maxInWindow(spent); sum > 1.1*bound {
 			t.Fatalf("%.0f units in a window, the quota allows %.0f", sum, bound)
 		}
 	})
 }
 
-// TestAloneWhenOverdue checks that a gateway whose answer is overdue goes on alone
-// soon, and asks again once it was answered.
+// TestAloneWhenOverdue checks that a gateway switches to standalone mode soon after a reply
+// is overdue, and back after a reply.
 func TestAloneWhenOverdue(t *testing.T) {
 	p := NewAllowance(window)
 	p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
 	p.CoordinatorReplied(295, start)
 	p.ReplyOverdue(start)
-	p.ReplyOverdue(start.Add(aloneOverdue)) // It is told again and again.
-	if v, _ := p.Take("w", 1, start.Add(aloneOverdue)); v != Ask {
-		t.Errorf("right after the answer was overdue it said %d", v)
+	p.ReplyOverdue(start.Add(standaloneAfterOverdue)) // Repeated calls do not restart the time.
+	if v, _ := p.Take("w", 1, start.Add(standaloneAfterOverdue)); v != Ask {
+		t.Errorf("verdict %d before the switch to standalone mode", v)
 	}
-	later := start.Add(aloneOverdue + time.Millisecond)
+	later := start.Add(standaloneAfterOverdue + time.Millisecond)
 	if v, _ := p.Take("w", 1, later); v != Taken {
-		t.Errorf("a while later it said %d", v)
+		t.Errorf("verdict %d in standalone mode", v)
 	}
 	p.CoordinatorReplied(295, later)
 	if v, _ := p.Take("w", 1, later); v != Ask {
-		t.Errorf("after an answer it said %d", v)
+		t.Errorf("verdict %d after a reply", v)
 	}
 }
 
-// TestAloneAsBefore checks that gateways which go on alone let in together at most
-// what they used of late, or half of the rate, and one request each; and that one which
-// used much goes on so.
+// TestAloneAsBefore checks that standalone gateways together admit at most their recent
+// use, or half of the rate, plus one request each, and that busy gateways continue at their
+// recent use.
 func TestAloneAsBefore(t *testing.T) {
 	const seconds, cost = 4, 10.0
 	for _, gateways := range []int{8, 76, 295} {
@@ -484,7 +483,7 @@
 			now = start.Add(40 * time.Second)
 			p.CoordinatorReplied(gateways, now)
 			p.ReplyOverdue(now)
-			now = now.Add(aloneOverdue)
+			now = now.Add(standaloneAfterOverdue)
 			own := 0.0
 			for range seconds * 100 {
 				now = now.Add(10 * time.Millisecond)
@@ -498,15 +497,15 @@
 				busy += own
 			}
 		}
-		if most := used + aloneShare*w.Rate*seconds + cost*float64(gateways)*2; taken > most || busy < 0.8*used {
-			t.Errorf("%d gateways: %.0f units let in of %.0f used before, %.0f by the busy ones", gateways, taken, used, busy)
+		if most := used + standaloneShare*w.Rate*seconds + cost*float64(gateways)*2; taken > most || busy < 0.8*used {
+			t.Errorf("%d gateways: admitted %.0f units after using %.0f, %.0f at the busy gateways", gateways, taken, used, busy)
 		}
 	}
 }
 
-// TestCallersComeBackInTurn checks that a workspace which asks for several times its
-// quota is told later and later moments, which lie a quota's pace apart; that what is
-// asked for in advance delays nobody; and that nobody is told more than a window.
+// TestCallersComeBackInTurn checks that the callers of a workspace that demands several
+// times its quota are given increasing times, spaced by the refill rate; that prefetched
+// units delay nobody; and that no time exceeds the window.
 func TestCallersComeBackInTurn(t *testing.T) {
 	w := protocol.Tenancy{Name: "w", Rate: 1000, Burst: 1000}
 	c := NewCoordinator(window)
@@ -515,65 +514,65 @@
 	ask := func(units, waiting float64) time.Duration {
 		return c.Grant(protocol.QuotaWant{Workspace: "w", Units: units, Waiting: waiting}, now).Wait
 	}
-	ask(1600, 1600) // All that the bucket holds and lends.
+	ask(1600, 1600) // The bucket's capacity and the allowed debt.
 	first := ask(100, 100)
-	const behind = 100 * time.Millisecond * 1000 / 1075 // The bucket fills by 1,075 a second.
+	const behind = 100 * time.Millisecond * 1000 / 1075 // The bucket refills by 1,075 units a second.
 	if again := ask(100, 0); (again - first - behind).Abs() > time.Microsecond {
-		t.Errorf("behind 100 units that wait it is told %v, the first one %v", again, first)
+		t.Errorf("after 100 waiting units: wait %v, the first wait was %v", again, first)
 	}
 	if third := ask(100, 100); (third - first - behind).Abs() > time.Microsecond {
-		t.Errorf("behind 100 units that wait, and 100 in advance, it is told %v, the first one %v", third, first)
+		t.Errorf("after 100 waiting and 100 prefetched units: wait %v, the first wait was %v", third, first)
 	}
 	for range 1000 {
 		ask(100, 100)
 	}
 	if last := ask(100, 100); last != window {
-		t.Errorf("behind a hundred times the quota it is told %v", last)
+		t.Errorf("after a hundred times the quota: wait %v", last)
 	}
 	now = now.Add(10 * time.Minute)
 	if wait := ask(100, 100); wait != 0 {
-		t.Errorf("long after, it is told %v", wait)
+		t.Errorf("after ten minutes: wait %v", wait)
 	}
 }
 
-// TestAloneTellsWhen checks that a caller which a gateway alone denies is told when
-// the gateway's own part has room again, and that one which could wait for long is told
-// when the coordinator should be back.
+// TestAloneTellsWhen checks that a caller denied by a standalone gateway is told when the
+// gateway's own level suffices again, or, if that takes long, when the coordinator should
+// be back.
 func TestAloneTellsWhen(t *testing.T) {
 	for name, c := range map[string]struct {
 		gateways int
 		want     time.Duration
-	}{"soon": {1, 400 * time.Millisecond}, "a small part": {295, aloneReturn}} {
+	}{"soon": {1, 400 * time.Millisecond}, "a small part": {295, standaloneMaxWait}} {
 		p := NewAllowance(window)
 		p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
 		p.CoordinatorReplied(c.gateways, start)
 		p.ReplyOverdue(start)
-		now := start.Add(aloneOverdue + time.Millisecond)
+		now := start.Add(standaloneAfterOverdue + time.Millisecond)
 		if v, _ := p.Take("w", 100, now); v != Taken {
-			t.Fatalf("%s: the first request was said %d", name, v)
+			t.Fatalf("%s: first request: verdict %d", name, v)
 		}
 		v, wait := p.Take("w", 100, now)
 		if v != Denied || (wait-c.want).Abs() > time.Microsecond {
-			t.Errorf("%s: the next one was said %d, to come back in %v, want %v", name, v, wait, c.want)
+			t.Errorf("%s: next request: verdict %d, retry in %v, want %v", name, v, wait, c.want)
 		}
-		if v, _ := p.Take("w", 100, now.Add(wait+time.Millisecond)); c.want < aloneReturn && v != Taken {
-			t.Errorf("%s: when it came back it was said %d", name, v)
+		if v, _ := p.Take("w", 100, now.Add(wait+time.Millisecond)); c.want < standaloneMaxWait && v != Taken {
+			t.Errorf("%s: retry: verdict %d", name, v)
 		}
 	}
 }
 
-// fleet is a coordinator with its gateways, as their callers see them.
-type fleet struct {
+// cluster simulates a coordinator and its gateways.
+type cluster struct {
 	w         protocol.Tenancy
-	c         *Coordinator // c is nil while nobody grants anything.
+	c         *Coordinator // c is nil while no coordinator is running.
 	gateways  []*Allowance
 	now       time.Time
 	lastAsked []time.Time
 	spent     []grant
 }
 
-func newFleet(gateways int, w protocol.Tenancy) *fleet {
-	f := &fleet{w: w, now: start, lastAsked: make([]time.Time, gateways)}
+func newCluster(gateways int, w protocol.Tenancy) *cluster {
+	f := &cluster{w: w, now: start, lastAsked: make([]time.Time, gateways)}
 	draw := rand.New(rand.NewPCG(1, uint64(gateways)))
 	for range gateways {
 		p := NewAllowance(window, WithRandom(draw.Float64))
@@ -583,14 +582,14 @@
 	return f
 }
 
-// elect has another coordinator grant from now on, after an outage.
-func (f *fleet) elect(quiet time.Duration) {
+// elect starts a new coordinator after an outage.
+func (f *cluster) elect(quiet time.Duration) {
 	f.c = NewCoordinator(window, WithGrantPause(quiet))
 	f.c.Configure([]protocol.Tenancy{f.w}, f.now)
 }
 
-// ask has a gateway ask the coordinator, or find that there is none.
-func (f *fleet) ask(i int) {
+// ask has a gateway ask the coordinator, or find it unavailable.
+func (f *cluster) ask(i int) {
 	p := f.gateways[i]
 	if f.c == nil {
 		p.ReplyOverdue(f.now)
@@ -608,8 +607,8 @@
 	f.lastAsked[i] = f.now
 }
 
-// request takes a request's units at a gateway.
-func (f *fleet) request(i int, units float64) {
+// request takes the units of a request at a gateway.
+func (f *cluster) request(i int, units float64) {
 	v, _ := f.gateways[i].Take("w", units, f.now)
 	if v == Ask {
 		f.ask(i)
@@ -620,18 +619,18 @@
 	}
 }
 
-// TestQuotaHoldsThroughAnOutage checks that a workspace which asks for several times
-// its quota gets at most a tenth more than it in any window when all coordinators are
-// away for a while, the gateways go on alone meanwhile, and a new one begins with what
-// the rate gave since. It once got 1.16 times its quota: what was spent alone counted
-// nowhere.
+// TestQuotaHoldsThroughAnOutage checks that a workspace that demands several times its
+// quota receives at most a tenth more than it in any window when all coordinators are down
+// for a while, the gateways switch to standalone mode, and a new coordinator starts with
+// the refill since then. It once received 1.16 times its quota because units spent in
+// standalone mode were not counted.
 func TestQuotaHoldsThroughAnOutage(t *testing.T) {
 	const step = 10 * time.Millisecond
 	for _, gateways := range []int{8, 76, 295} {
 		for _, away := range []time.Duration{300 * time.Millisecond, 1600 * time.Millisecond, 5 * time.Second} {
 			for _, hot := range []time.Duration{100 * time.Millisecond, 1500 * time.Millisecond, 3 * time.Second} {
 				w := protocol.Tenancy{Name: "w", Rate: 100_000, Burst: 100_000}
-				f := newFleet(gateways, w)
+				f := newCluster(gateways, w)
 				f.elect(time.Hour)
 				begins := start.Add(20 * time.Second)
 				lost, found := begins.Add(hot), begins.Add(hot+away)
@@ -658,21 +657,21 @@
 					}
 				}
 				bound := w.Rate*window.Seconds() + w.Burst
-				if sum := most(f.spent); sum > 1.1*bound {
-					t.Errorf("%d gateways, %v away, hot for %v before: %.2f of the quota in a window", gateways, away, hot, sum/bound)
+				if sum := maxInWindow(f.spent); sum > 1.1*bound {
+					t.Errorf("%d gateways, down for %v, hot for %v before: %.2f of the quota in a window", gateways, away, hot, sum/bound)
 				}
 				last := slices.DeleteFunc(f.spent, func(g grant) bool { return g.at.Before(f.now.Add(-window)) })
-				if sum := most(last); sum < 0.9*w.Rate*window.Seconds() {
-					t.Errorf("%d gateways, %v away, hot for %v before: %.2f of the rate in the last window", gateways, away, hot, sum/w.Rate/window.Seconds())
+				if sum := maxInWindow(last); sum < 0.9*w.Rate*window.Seconds() {
+					t.Errorf("%d gateways, down for %v, hot for %v before: %.2f of the rate in the last window", gateways, away, hot, sum/w.Rate/window.Seconds())
 				}
 			}
 		}
 	}
 }
 
-// TestAloneWithLittleLeft checks that hundreds of gateways which each let in less than
-// a request alone, of a workspace of whose quota little was left, let in together about
-// what they used before: neither one each nor none.
+// TestAloneWithLittleLeft checks that hundreds of standalone gateways, each of which may
+// admit less than one request of a nearly exhausted workspace, together admit about what
+// they used before: neither one request each nor none.
 func TestAloneWithLittleLeft(t *testing.T) {
 	const gateways, units, seconds = 295, 2000.0, 2
 	w := protocol.Tenancy{Name: "w", Rate: 100_000, Burst: 100_000}
@@ -682,7 +681,7 @@
 		p := NewAllowance(window, WithRandom(draw.Float64))
 		p.Configure([]protocol.Tenancy{w})
 		now := start
-		for range 6 { // A request each 6 s, a third of the rate for all together.
+		for range 6 { // A request every 6 s, a third of the rate for all together.
 			now = now.Add(6 * time.Second)
 			p.CoordinatorReplied(gateways, now)
 			p.AddGrants([]protocol.QuotaGrant{{Workspace: "w", Units: units, Lasts: GrantLifetime}}, now, now)
@@ -698,12 +697,13 @@
 		}
 	}
 	if used := gateways * units / 6 * seconds; taken < 0.6*used || taken > 1.5*used {
-		t.Errorf("%.0f units were let in, %.0f were used in as long before", taken, used)
+		t.Errorf("admitted %.0f units, used %.0f in the same time before", taken, used)
 	}
 }
 
-// TestBurstIsNotGoneOnWith checks that a gateway which spent a burst right before it
-// goes on alone does not go on at that pace: the burst is in a window once.
+// TestBurstIsNotGoneOnWith checks that a gateway that spent a burst right before it
+// switches to standalone mode does not continue at that rate: a window contains the burst
+// once.
 func TestBurstIsNotGoneOnWith(t *testing.T) {
 	w := protocol.Tenancy{Name: "w", Rate: 1000, Burst: 1000}
 	p := NewAllowance(window)
@@ -711,10 +711,10 @@
 	p.CoordinatorReplied(1, start)
 	p.AddGrants([]protocol.QuotaGrant{{Workspace: "w", Units: 5000, Lasts: GrantLifetime}}, start, start)
 	for range 250 {
-		p.Take("w", 20, start) // The rate of five seconds, at once.
+		p.Take("w", 20, start) // The units of five seconds, at once.
 	}
 	p.ReplyOverdue(start)
-	taken, now := 0.0, start.Add(aloneOverdue)
+	taken, now := 0.0, start.Add(standaloneAfterOverdue)
 	for range 200 {
 		now = now.Add(10 * time.Millisecond)
 		if v, _ := p.Take("w", 20, now); v == Taken {
@@ -722,12 +722,12 @@
 		}
 	}
 	if most := 1.2 * 2 * w.Rate; taken > most {
-		t.Errorf("%.0f units were let in within 2 s, want %.0f at the most", taken, most)
+		t.Errorf("admitted %.0f units within 2 s, want at most %.0f", taken, most)
 	}
 }
 
-// TestOwnPartGoesByTheWindow checks that the use by which a gateway goes on alone is
-// averaged over the window of the quotas, however long that is.
+// TestOwnPartGoesByTheWindow checks that the use that a standalone gateway continues with
+// is averaged over the window of the quotas, whatever its length.
 func TestOwnPartGoesByTheWindow(t *testing.T) {
 	for _, window := range []time.Duration{4 * time.Second, 8 * time.Second, 40 * time.Second} {
 		p := NewAllowance(window)
@@ -736,10 +736,10 @@
 		p.AddGrants([]protocol.QuotaGrant{{Workspace: "w", Units: 4000, Lasts: GrantLifetime}}, start, start)
 		p.Take("w", 4000, start)
 		p.ReplyOverdue(start)
-		p.Take("w", 1, start.Add(aloneOverdue+time.Millisecond))
-		got, want := p.spaces["w"].own.rate, 4000/window.Seconds()
+		p.Take("w", 1, start.Add(standaloneAfterOverdue+time.Millisecond))
+		got, want := p.workspaces["w"].standalone.rate, 4000/window.Seconds()
 		if got > want || got < 0.9*want {
-			t.Errorf("with a window of %v it goes on with %.0f a second, want nearly %.0f", window, got, want)
+			t.Errorf("window %v: standalone rate %.0f units a second, want nearly %.0f", window, got, want)
 		}
 	}
 }
--- a/coordination/quota/recent.go
+++ b/coordination/quota/recent.go
@@ -2,76 +2,78 @@
 
 import "time"
 
-// slots are into how many parts a window is divided: what was granted counts for at
-// most one part longer than the window, so a sixty-fourth of a quota is lost by it.
-const slots = 64
+// windowSlots is the number of slots in a window. A grant counts for up to one slot longer
+// than the window, which costs up to 1/64 of a quota.
+const windowSlots = 64
 
-// recent is what was granted of one quota in the last window.
-type recent struct {
-	window time.Duration
-	most   float64 // most may be granted in a window.
-	sum    float64
-	parts  []float64 // parts are by the number of the slot of time, modulo their count.
-	last   int64     // last is the number of the latest slot.
+// slidingWindow records the units granted from a quota in the last window.
+type slidingWindow struct {
+	window   time.Duration
+	limit    float64 // limit is the most that may be granted in a window.
+	sum      float64
+	slotSums []float64 // slotSums holds the units of each slot, indexed by slot number modulo its length.
+	lastSlot int64     // lastSlot is the number of the latest slot.
 }
 
-func newRecent(window time.Duration) recent {
-	return recent{window: window, parts: make([]float64, slots+1)}
+func newSlidingWindow(window time.Duration) slidingWindow {
+	return slidingWindow{window: window, slotSums: make([]float64, windowSlots+1)}
 }
 
-// slot returns the number of a time's slot.
-func (r *recent) slot(now time.Time) int64 { return now.UnixNano() / int64(r.window/slots) }
+// slot returns the slot number of a time.
+func (r *slidingWindow) slot(now time.Time) int64 {
+	return now.UnixNano() / int64(r.window/windowSlots)
+}
 
-// forget drops what lies behind the window.
-func (r *recent) forget(now time.Time) {
+// advance drops the slots that have left the window.
+func (r *slidingWindow) advance(now time.Time) {
 	latest := r.slot(now)
-	if latest-r.last > int64(len(r.parts)) {
-		r.last = latest - int64(len(r.parts))
+	if latest-r.lastSlot > int64(len(r.slotSums)) {
+		r.lastSlot = latest - int64(len(r.slotSums))
 	}
-	for r.last < latest {
-		r.last++
-		i := r.last % int64(len(r.parts))
-		r.sum -= r.parts[i]
-		r.parts[i] = 0
+	for r.lastSlot < latest {
+		r.lastSlot++
+		i := r.lastSlot % int64(len(r.slotSums))
+		r.sum -= r.slotSums[i]
+		r.slotSums[i] = 0
 	}
 }
 
-// room is how much may be granted now.
-func (r *recent) room(now time.Time) float64 {
-	r.forget(now)
-	return max(0, r.most-r.sum)
+// remaining returns how many units may be granted now.
+func (r *slidingWindow) remaining(now time.Time) float64 {
+	r.advance(now)
+	return max(0, r.limit-r.sum)
 }
 
-// add notes a grant.
-func (r *recent) add(units float64, now time.Time) {
-	r.forget(now)
-	r.parts[r.last%int64(len(r.parts))] += units
+// add records a grant.
+func (r *slidingWindow) add(units float64, now time.Time) {
+	r.advance(now)
+	r.slotSums[r.lastSlot%int64(len(r.slotSums))] += units
 	r.sum += units
 }
 
-// back takes units off that were not spent, from the latest grants: parts expire
-// soon.
-func (r *recent) back(units float64) {
-	for n := int64(0); n < int64(len(r.parts)) && n <= r.last && units > 0; n++ {
-		i := (r.last - n) % int64(len(r.parts))
-		part := min(units, r.parts[i])
-		r.parts[i] -= part
-		r.sum -= part
-		units -= part
+// refund removes unspent units from the latest grants: leases are short, so these are the
+// ones that were returned.
+func (r *slidingWindow) refund(units float64) {
+	for n := int64(0); n < int64(len(r.slotSums)) && n <= r.lastSlot && units > 0; n++ {
+		i := (r.lastSlot - n) % int64(len(r.slotSums))
+		refunded := min(units, r.slotSums[i])
+		r.slotSums[i] -= refunded
+		r.sum -= refunded
+		units -= refunded
 	}
 }
 
-// free is how long it takes until some units may be granted, 0 if they may be now.
-// More than a quota allows in a window is there after a whole one.
-func (r *recent) free(units float64, now time.Time) time.Duration {
-	lacking := units - r.room(now)
-	for n := int64(1); n <= int64(len(r.parts)) && lacking > 0; n++ {
-		lacking -= r.parts[(r.last+n)%int64(len(r.parts))]
-		if lacking <= 0 {
-			return time.Duration(n) * (r.window / slots)
+// timeUntil returns how long it takes until the units may be granted, 0 if they may be
+// granted now. For more units than the limit, it returns one window.
+func (r *slidingWindow) timeUntil(units float64, now time.Time) time.Duration {
+	missing := units - r.remaining(now)
+	for n := int64(1); n <= int64(len(r.slotSums)) && missing > 0; n++ {
+		missing -= r.slotSums[(r.lastSlot+n)%int64(len(r.slotSums))]
+		if missing <= 0 {
+			return time.Duration(n) * (r.window / windowSlots)
 		}
 	}
-	if lacking > 0 {
+	if missing > 0 {
 		return r.window
 	}
 	return 0
