--- a/state/wal/aside.go
+++ b/state/wal/aside.go
@@ -8,35 +8,34 @@
 	"github.com/rotisserie/eris"
 )
 
-// asidePrefix begins the names of files that were set aside.
 const asidePrefix = "aside-"
 
-// SetAside renames what a folder holds, in place of what was set aside before,
-// so that the next [Open] makes a new incarnation. It is for a damaged folder
-// whose group lives on elsewhere: the replica joins anew, as after a lost disk,
-// and the files stay for those who look into the cause.
+// SetAside renames the files in a folder, replacing the files set aside by an earlier
+// call, so that the next [Open] starts a new incarnation. It is for a damaged folder
+// whose group continues on other replicas: the replica joins again as after a lost disk,
+// and the files remain for an investigation of the cause.
 //
-// The identity goes first and lastingly: a folder never keeps its identity
-// without its log, as it would then vote twice.
+// The identity is renamed first, and synced, since a folder that kept its identity
+// without its log could vote twice.
 func SetAside(dir string, opts ...Option) error {
 	f := newFolder(dir, opts)
 	lock, err := f.disk.Lock(filepath.Join(dir, lockFile))
 	if err != nil {
 		return err
 	}
-	defer func() { _ = lock.Close() }() // What was moved is synced.
+	defer func() { _ = lock.Close() }() // The renames are synced.
 	names, err := f.disk.List(dir)
 	if err != nil {
 		return eris.Wrap(err, "list data folder")
 	}
 	if slices.Contains(names, identityFile) {
-		if err := f.dropAside(names); err != nil {
+		if err := f.removeAside(names); err != nil {
 			return err
 		}
 		if err := f.moveAside(identityFile); err != nil {
 			return err
 		}
-		if err := f.syncNames(); err != nil {
+		if err := f.syncDir(); err != nil {
 			return err
 		}
 	}
@@ -48,17 +47,17 @@
 			return err
 		}
 	}
-	return f.syncNames()
+	return f.syncDir()
 }
 
-// dropAside removes what was set aside before.
-func (f *Folder) dropAside(names []string) error {
+// removeAside removes the files set aside by an earlier call.
+func (f *Folder) removeAside(names []string) error {
 	for _, name := range names {
 		if !strings.HasPrefix(name, asidePrefix) {
 			continue
 		}
 		if err := f.disk.Remove(filepath.Join(f.dir, name)); err != nil {
-			return eris.Wrap(err, "remove what was set aside before")
+			return eris.Wrap(err, "remove file set aside earlier")
 		}
 	}
 	return nil
--- a/state/wal/disk.go
+++ b/state/wal/disk.go
@@ -8,46 +8,46 @@
 	"github.com/rotisserie/eris"
 )
 
-// Disk is what a folder needs of a file system. Tests put one in its place that
+// Disk is the file system access that a folder needs. Tests replace it with a disk that
 // loses power.
 //
-// What was written to a file lasts once the file is synced, and a name that was
-// made, renamed or removed once its folder is. Errors are those of package os.
+// Data written to a file is durable once the file is synced, and a created, renamed or
+// removed directory entry once its directory is synced. Errors are those of package os.
 type Disk interface {
-	// MakeFolder makes a folder that is not there.
-	MakeFolder(dir string) error
-	// Lock takes a lock that ends with the process or with its Close; it returns
-	// [ErrLocked] if another process holds it.
+	// MkdirAll creates a directory, along with any missing parents, if it does not exist.
+	MkdirAll(dir string) error
+	// Lock takes a lock that is released when it is closed or the process ends. It
+	// returns [ErrLocked] if another process holds the lock.
 	Lock(file string) (io.Closer, error)
-	// List returns the names in a folder.
+	// List returns the names of the files in a directory.
 	List(dir string) ([]string, error)
-	// Read returns all of a file.
-	Read(file string) ([]byte, error)
-	// Create opens an empty file for writing, in place of one that is there.
+	// ReadFile returns the content of a file.
+	ReadFile(file string) ([]byte, error)
+	// Create creates or truncates a file for writing.
 	Create(file string) (File, error)
-	// Append opens a file for writing behind its end.
+	// Append opens an existing file for appending.
 	Append(file string) (File, error)
-	// Truncate cuts a file to a size in bytes.
+	// Truncate truncates a file to a size in bytes.
 	Truncate(file string, size int64) error
-	// Rename gives a file another name, in place of one that has it.
+	// Rename renames a file, replacing an existing one.
 	Rename(from, to string) error
 	// Remove removes a file.
 	Remove(file string) error
-	// Sync makes the names in a folder last.
-	Sync(dir string) error
+	// SyncDir makes the entries of a directory durable.
+	SyncDir(dir string) error
 }
 
-// File is an open file that is written.
+// File is a file that is open for writing.
 type File interface {
 	io.WriteCloser
-	// Sync makes last what was written.
+	// Sync makes the written data durable.
 	Sync() error
 }
 
-// osDisk is the file system of the machine.
+// osDisk is the file system of the operating system.
 type osDisk struct{}
 
-func (osDisk) MakeFolder(dir string) error { return os.MkdirAll(dir, folderMode) }
+func (osDisk) MkdirAll(dir string) error { return os.MkdirAll(dir, folderMode) }
 
 func (osDisk) Lock(file string) (io.Closer, error) { return lockFolder(file) }
 
@@ -60,7 +60,7 @@
 	return names, err
 }
 
-func (osDisk) Read(file string) ([]byte, error) { return os.ReadFile(file) }
+func (osDisk) ReadFile(file string) ([]byte, error) { return os.ReadFile(file) }
 
 func (osDisk) Create(file string) (File, error) {
 	return os.OpenFile(file, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
@@ -76,7 +76,7 @@
 
 func (osDisk) Remove(file string) error { return os.Remove(file) }
 
-func (osDisk) Sync(dir string) error {
+func (osDisk) SyncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
 		return eris.Wrap(err, "open folder")
--- a/state/wal/lock_unix.go
+++ b/state/wal/lock_unix.go
@@ -10,8 +10,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// lockFolder takes the folder's lock, which the kernel gives back when the
-// process ends, however it ends.
+// lockFolder takes the folder's lock. The kernel releases it when the process ends, even
+// if it crashes.
 func lockFolder(file string) (*os.File, error) {
 	f, err := os.OpenFile(file, os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
--- a/state/wal/power_test.go
+++ b/state/wal/power_test.go
@@ -20,22 +20,22 @@
 )
 
 var (
-	errPower = errors.New("no power")
-	errFull  = errors.New("no space left")
+	errPowerLoss = errors.New("power failed")
+	errDiskFull  = errors.New("no space left")
 )
 
-// powerDisk is a disk in memory that loses power. What a file holds then is what
-// its last sync covered; each later write is there, missing or torn, or all are
-// gone. A name that was made, renamed or removed without a sync of its folder is
-// kept or lost, each for itself.
+// powerDisk is an in-memory disk that can lose power. After a power loss a file has its
+// last synced content; the later writes to it are each kept, missing or torn, or all are
+// lost. A name that was created, renamed or removed without a sync of its folder is kept
+// or lost independently of the others.
 type powerDisk struct {
-	t       *rapid.T
-	names   map[string]*inode
-	synced  map[string]*inode
-	pending []nameChange
-	left    int // left operations are carried out before the power goes; negative means that it stays.
-	dead    bool
-	full    bool
+	t              *rapid.T
+	names          map[string]*inode
+	synced         map[string]*inode
+	pending        []nameChange
+	operationsLeft int // operationsLeft is how many operations succeed before the power fails; negative if it does not.
+	powerOff       bool
+	full           bool
 }
 
 type inode struct {
@@ -44,40 +44,40 @@
 	pending []fileChange
 }
 
-// fileChange is a write at an offset, or a cut at it when there is no data.
+// fileChange is a write at an offset, or a truncation there if data is nil.
 type fileChange struct {
 	at   int
 	data []byte
 }
 
 type nameChange struct {
-	name, from string // from is the former name; empty for a new or removed file.
-	file       *inode // file is nil when the name was removed.
+	name, from string // from is the old name; empty for a new or removed file.
+	file       *inode // file is nil if the name was removed.
 }
 
 func newPowerDisk() *powerDisk {
-	return &powerDisk{names: map[string]*inode{}, synced: map[string]*inode{}, left: -1}
+	return &powerDisk{names: map[string]*inode{}, synced: map[string]*inode{}, operationsLeft: -1}
 }
 
-// step counts one operation. With the last the power goes: drawn lots decide
-// whether it is still begun.
-func (d *powerDisk) step() (begun bool, err error) {
-	if d.dead {
-		return false, errPower
+// countOperation counts one operation. At the last one the power fails, and a random
+// choice decides whether that operation still has an effect.
+func (d *powerDisk) countOperation() (begun bool, err error) {
+	if d.powerOff {
+		return false, errPowerLoss
 	}
-	if d.left < 0 {
+	if d.operationsLeft < 0 {
 		return true, nil
 	}
-	if d.left > 0 {
-		d.left--
+	if d.operationsLeft > 0 {
+		d.operationsLeft--
 		return true, nil
 	}
-	d.dead = true
-	return rapid.Bool().Draw(d.t, "begun"), errPower
+	d.powerOff = true
+	return rapid.Bool().Draw(d.t, "begun"), errPowerLoss
 }
 
-// lose has the disk come back from a loss of power.
-func (d *powerDisk) lose() {
+// losePower discards what a power loss may discard, and restores the power.
+func (d *powerDisk) losePower() {
 	for _, c := range d.pending {
 		if rapid.Bool().Draw(d.t, "name kept") {
 			c.apply(d.synced)
@@ -85,13 +85,13 @@
 	}
 	d.names, d.pending = maps.Clone(d.synced), nil
 	for _, name := range slices.Sorted(maps.Keys(d.names)) {
-		d.names[name].lose(d.t)
+		d.names[name].losePower(d.t)
 	}
-	d.back()
+	d.powerOn()
 }
 
-// back has the disk work again.
-func (d *powerDisk) back() { d.dead, d.left, d.full = false, -1, false }
+// powerOn makes the disk work again.
+func (d *powerDisk) powerOn() { d.powerOff, d.operationsLeft, d.full = false, -1, false }
 
 func (c nameChange) apply(names map[string]*inode) {
 	if c.file == nil {
@@ -104,17 +104,17 @@
 	names[c.name] = c.file
 }
 
-func (f *inode) lose(t *rapid.T) {
+func (f *inode) losePower(t *rapid.T) {
 	content := bytes.Clone(f.synced)
 	if len(f.pending) > 0 && rapid.Bool().Draw(t, "some kept") {
 		for _, c := range f.pending {
-			content = c.lose(t, content)
+			content = c.losePower(t, content)
 		}
 	}
 	f.synced, f.content, f.pending = content, bytes.Clone(content), nil
 }
 
-func (c fileChange) lose(t *rapid.T, content []byte) []byte {
+func (c fileChange) losePower(t *rapid.T, content []byte) []byte {
 	switch rapid.SampledFrom([]string{"there", "missing", "torn"}).Draw(t, "write") {
 	case "missing":
 		return content
@@ -132,7 +132,7 @@
 		clear(data[rapid.IntRange(0, len(data)).Draw(t, "cut"):])
 	case "sectors":
 		for at := 0; at < len(data); {
-			next := min(len(data), at+sector-(c.at+at)%sector)
+			next := min(len(data), at+sectorSize-(c.at+at)%sectorSize)
 			if rapid.Bool().Draw(t, "sector lost") {
 				clear(data[at:next])
 			}
@@ -163,7 +163,7 @@
 	d.pending = append(d.pending, c)
 }
 
-func (d *powerDisk) MakeFolder(string) error { return nil }
+func (d *powerDisk) MkdirAll(string) error { return nil }
 
 func (d *powerDisk) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
 
@@ -175,7 +175,7 @@
 	return slices.Sorted(slices.Values(names)), nil
 }
 
-func (d *powerDisk) Read(file string) ([]byte, error) {
+func (d *powerDisk) ReadFile(file string) ([]byte, error) {
 	if f := d.names[file]; f != nil {
 		return bytes.Clone(f.content), nil
 	}
@@ -183,7 +183,7 @@
 }
 
 func (d *powerDisk) Create(file string) (File, error) {
-	begun, err := d.step()
+	begun, err := d.countOperation()
 	if !begun {
 		return nil, err
 	}
@@ -201,7 +201,7 @@
 }
 
 func (d *powerDisk) Truncate(file string, size int64) error {
-	begun, err := d.step()
+	begun, err := d.countOperation()
 	if begun {
 		d.names[file].change(fileChange{at: int(size)})
 	}
@@ -209,7 +209,7 @@
 }
 
 func (d *powerDisk) Rename(from, to string) error {
-	begun, err := d.step()
+	begun, err := d.countOperation()
 	if begun {
 		d.rename(nameChange{name: to, from: from, file: d.names[from]})
 	}
@@ -217,15 +217,15 @@
 }
 
 func (d *powerDisk) Remove(file string) error {
-	begun, err := d.step()
+	begun, err := d.countOperation()
 	if begun {
 		d.rename(nameChange{name: file})
 	}
 	return err
 }
 
-func (d *powerDisk) Sync(string) error {
-	if _, err := d.step(); err != nil {
+func (d *powerDisk) SyncDir(string) error {
+	if _, err := d.countOperation(); err != nil {
 		return err
 	}
 	d.synced, d.pending = maps.Clone(d.names), nil
@@ -241,9 +241,9 @@
 	if f.d.full {
 		part := data[:rapid.IntRange(0, len(data)-1).Draw(f.d.t, "room")]
 		f.f.change(fileChange{len(f.f.content), bytes.Clone(part)})
-		return len(part), errFull
+		return len(part), errDiskFull
 	}
-	begun, err := f.d.step()
+	begun, err := f.d.countOperation()
 	if begun {
 		f.f.change(fileChange{len(f.f.content), bytes.Clone(data)})
 	}
@@ -251,11 +251,11 @@
 }
 
 func (f *powerFile) Sync() error {
-	if _, err := f.d.step(); err != nil {
+	if _, err := f.d.countOperation(); err != nil {
 		return err
 	}
 	f.f.synced, f.f.pending = bytes.Clone(f.f.content), nil
-	// A new file lasts once it has been synced itself.
+	// A new file's name is durable once the file itself is synced.
 	f.d.pending = slices.DeleteFunc(f.d.pending, func(c nameChange) bool {
 		made := c.file == f.f && c.from == ""
 		if made {
@@ -268,97 +268,97 @@
 
 func (f *powerFile) Close() error { return nil }
 
-// kept is what a folder must hold after a loss of power.
-type kept struct {
+// folderState is the content that a folder must have after a power loss.
+type folderState struct {
 	Hard    protocol.HardState
 	Snap    uint64
 	Data    string
 	Entries []protocol.LogEntry
 }
 
-func keptOf(l *Loaded) kept {
-	return kept{Hard: l.Hard, Snap: l.Snapshot.Index, Data: string(l.Data), Entries: slices.Clip(append([]protocol.LogEntry(nil), l.Entries...))}
+func stateOf(l *Loaded) folderState {
+	return folderState{Hard: l.Hard, Snap: l.Snapshot.Index, Data: string(l.Data), Entries: slices.Clip(append([]protocol.LogEntry(nil), l.Entries...))}
 }
 
-func (k kept) last() uint64 { return k.Snap + uint64(len(k.Entries)) }
+func (k folderState) last() uint64 { return k.Snap + uint64(len(k.Entries)) }
 
-// powered drives a folder on a disk that loses power.
-type powered struct {
-	t      *rapid.T
-	disk   *powerDisk
-	folder *Folder
-	sure   kept  // sure was acknowledged.
-	maybe  *kept // maybe is what an operation that failed would have left.
-	id     protocol.ReplicaID
-	writes int
+// powerTest operates a folder on a disk that loses power.
+type powerTest struct {
+	t            *rapid.T
+	disk         *powerDisk
+	folder       *Folder
+	acknowledged folderState  // acknowledged is the state that was acknowledged.
+	interrupted  *folderState // interrupted is the state that a failed operation may have left.
+	id           protocol.ReplicaID
+	writes       int
 }
 
-// try runs an operation that leads to a state, in the middle of which the power
-// may go, the process may be killed, or the disk may be full.
-func (p *powered) try(next kept, operation func() error) {
-	how := rapid.SampledFrom([]string{"good", "good", "power", "kill", "full"}).Draw(p.t, "how")
-	switch how {
+// attempt runs an operation that leads to a state, during which the power may fail, the
+// process may be killed, or the disk may be full.
+func (p *powerTest) attempt(next folderState, operation func() error) {
+	fault := rapid.SampledFrom([]string{"good", "good", "power", "kill", "full"}).Draw(p.t, "how")
+	switch fault {
 	case "power", "kill":
-		p.disk.left = rapid.IntRange(0, 14).Draw(p.t, "after")
+		p.disk.operationsLeft = rapid.IntRange(0, 14).Draw(p.t, "after")
 	case "full":
 		p.disk.full = true
 	}
 	err := operation()
-	p.disk.left = -1
+	p.disk.operationsLeft = -1
 	if err == nil {
-		p.sure = next
-		if how != "power" && how != "kill" {
+		p.acknowledged = next
+		if fault != "power" && fault != "kill" {
 			p.disk.full = false
 			return
 		}
 	} else {
-		p.maybe = &next
+		p.interrupted = &next
 	}
-	p.restart(how == "power")
+	p.restart(fault == "power")
 }
 
-// restart opens the folder again, with or without a loss of power, and the
-// power may go while it is opened.
-func (p *powered) restart(power bool) {
+// restart reopens the folder, with or without a power loss. The power may fail again
+// while the folder is opened.
+func (p *powerTest) restart(power bool) {
 	_ = p.folder.Close()
 	for {
 		if power {
-			p.disk.lose()
+			p.disk.losePower()
 		} else {
-			p.disk.back()
+			p.disk.powerOn()
 		}
-		again := rapid.IntRange(0, 3).Draw(p.t, "again") == 0
-		if again {
-			p.disk.left = rapid.IntRange(0, 6).Draw(p.t, "opening")
+		failOpening := rapid.IntRange(0, 3).Draw(p.t, "again") == 0
+		if failOpening {
+			p.disk.operationsLeft = rapid.IntRange(0, 6).Draw(p.t, "opening")
 		}
 		folder, loaded, err := Open("/data", "entry-1", WithDisk(p.disk))
-		if err != nil && again && p.disk.dead {
+		if err != nil && failOpening && p.disk.powerOff {
 			power = rapid.Bool().Draw(p.t, "power again")
 			continue
 		}
 		if err != nil {
 			p.t.Fatalf("the folder cannot be opened: %v", err)
 		}
-		p.disk.left = -1
+		p.disk.operationsLeft = -1
 		p.check(folder, loaded)
 		return
 	}
 }
 
-func (p *powered) check(folder *Folder, loaded *Loaded) {
-	got := keptOf(loaded)
-	diff := cmp.Diff(p.sure, got)
-	if diff != "" && (p.maybe == nil || !cmp.Equal(*p.maybe, got)) {
+func (p *powerTest) check(folder *Folder, loaded *Loaded) {
+	got := stateOf(loaded)
+	diff := cmp.Diff(p.acknowledged, got)
+	if diff != "" && (p.interrupted == nil || !cmp.Equal(*p.interrupted, got)) {
 		p.t.Fatalf("the folder lost what was acknowledged:\n%s", diff)
 	}
 	if folder.ID() != p.id {
-		p.t.Fatalf("the folder is another one: %v, was %v", folder.ID(), p.id)
+		p.t.Fatalf("the folder has the identity %v, want %v", folder.ID(), p.id)
 	}
-	p.folder, p.sure, p.maybe = folder, got, nil
+	p.folder, p.acknowledged, p.interrupted = folder, got, nil
 }
 
-func (p *powered) write(t *rapid.T) {
-	next := p.sure
+func (p *powerTest) writeEntries(t *rapid.T) {
+	next := p.acknowledged
 	next.Hard.Term += uint64(rapid.IntRange(0, 1).Draw(t, "term"))
 	next.Hard.Led = rapid.Bool().Draw(t, "led")
 	next.Hard.Promise = time.Duration(rapid.Int64Range(0, int64(time.Minute)).Draw(t, "promise"))
@@ -372,40 +372,40 @@
 	if len(entries) > 0 {
 		next.Entries = append(slices.Clone(next.Entries[:from-next.Snap-1]), entries...)
 	}
-	p.try(next, func() error { return p.folder.Write(next.Hard, entries) })
+	p.attempt(next, func() error { return p.folder.Write(next.Hard, entries) })
 }
 
-// snapshot takes a snapshot of a part of the log.
-func (p *powered) snapshot(t *rapid.T) {
-	if len(p.sure.Entries) == 0 {
+// takeSnapshot saves a snapshot of a prefix of the log.
+func (p *powerTest) takeSnapshot(t *rapid.T) {
+	if len(p.acknowledged.Entries) == 0 {
 		t.Skip("nothing to take a snapshot of")
 	}
-	n := rapid.IntRange(1, len(p.sure.Entries)).Draw(t, "of")
-	next := p.sure
-	next.Snap, next.Data, next.Entries = p.sure.Entries[n-1].Index, fmt.Sprint("state at ", p.sure.Snap+uint64(n)), nil
-	next.Entries = append(next.Entries, p.sure.Entries[n:]...)
-	p.save(next, p.sure.Entries[n-1].Term)
+	n := rapid.IntRange(1, len(p.acknowledged.Entries)).Draw(t, "of")
+	next := p.acknowledged
+	next.Snap, next.Data, next.Entries = p.acknowledged.Entries[n-1].Index, fmt.Sprint("state at ", p.acknowledged.Snap+uint64(n)), nil
+	next.Entries = append(next.Entries, p.acknowledged.Entries[n:]...)
+	p.save(next, p.acknowledged.Entries[n-1].Term)
 }
 
-// install takes a leader's snapshot in place of the whole log.
-func (p *powered) install(t *rapid.T) {
-	next := p.sure
-	next.Snap = p.sure.last() + uint64(rapid.IntRange(1, 5).Draw(t, "ahead"))
+// installSnapshot saves a leader's snapshot in place of the whole log.
+func (p *powerTest) installSnapshot(t *rapid.T) {
+	next := p.acknowledged
+	next.Snap = p.acknowledged.last() + uint64(rapid.IntRange(1, 5).Draw(t, "ahead"))
 	next.Data, next.Entries = fmt.Sprint("the leader's at ", next.Snap), nil
 	p.save(next, next.Hard.Term)
 }
 
-func (p *powered) save(next kept, term uint64) {
-	p.try(next, func() error {
+func (p *powerTest) save(next folderState, term uint64) {
+	p.attempt(next, func() error {
 		return p.folder.SaveSnapshot(protocol.SnapshotMeta{Index: next.Snap, Term: term}, []byte(next.Data), next.Hard, next.Entries)
 	})
 }
 
-// TestPowerGoesAtAnyOperation writes entries and snapshots, and loses power,
-// kills the process or fills the disk at any operation of the disk, also while
-// the folder is opened again. What was acknowledged is there afterwards, and
-// beside it at most what was under way.
-func TestPowerGoesAtAnyOperation(t *testing.T) {
+// TestPowerLossAtAnyOperation writes entries and snapshots while the power fails, the
+// process is killed or the disk is full at any disk operation, including those of
+// reopening the folder. Afterwards the folder must have everything that was acknowledged,
+// and nothing else except the operation in progress.
+func TestPowerLossAtAnyOperation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		disk := newPowerDisk()
 		disk.t = t
@@ -413,32 +413,32 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := &powered{t: t, disk: disk, folder: folder, sure: keptOf(loaded), id: folder.ID()}
+		p := &powerTest{t: t, disk: disk, folder: folder, acknowledged: stateOf(loaded), id: folder.ID()}
 		t.Repeat(map[string]func(*rapid.T){
-			"write":    p.write,
-			"snapshot": p.snapshot,
-			"install":  p.install,
+			"write":    p.writeEntries,
+			"snapshot": p.takeSnapshot,
+			"install":  p.installSnapshot,
 			"restart":  func(t *rapid.T) { p.restart(rapid.Bool().Draw(t, "power")) },
 		})
 	})
 }
 
-// TestSetAsideOutlastsPower sets a damaged folder aside while the power goes at
-// any operation. The folder is never opened under its former identity, and in the
-// end it is empty; the damaged files are kept.
-func TestSetAsideOutlastsPower(t *testing.T) {
+// TestSetAsideSurvivesPowerLoss sets a damaged folder aside while the power fails at any
+// disk operation. The folder must never be opened with its old identity, must be empty in
+// the end, and must keep the damaged files.
+func TestSetAsideSurvivesPowerLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		disk := newPowerDisk()
 		disk.t = t
 		former := damagedFolder(t, disk)
 		for open := false; !open; {
-			disk.left = rapid.IntRange(0, 9).Draw(t, "after")
-			_ = SetAside("/data", WithDisk(disk)) // One that the power cut short is done again.
-			disk.left = -1
+			disk.operationsLeft = rapid.IntRange(0, 9).Draw(t, "after")
+			_ = SetAside("/data", WithDisk(disk)) // A call interrupted by the power loss is repeated.
+			disk.operationsLeft = -1
 			if rapid.Bool().Draw(t, "power") {
-				disk.lose()
+				disk.losePower()
 			}
-			disk.back()
+			disk.powerOn()
 			folder, loaded, err := Open("/data", "entry-1", WithDisk(disk))
 			if err != nil {
 				if !errors.Is(err, ErrDamaged) {
@@ -447,17 +447,17 @@
 				continue
 			}
 			if folder.ID() == former || folder.Group() != 0 || len(loaded.Entries) > 0 || loaded.Hard.Term != 0 {
-				t.Fatalf("opened as %v of group %d with %+v", folder.ID(), folder.Group(), loaded)
+				t.Fatalf("opened with identity %v, group %d and content %+v", folder.ID(), folder.Group(), loaded)
 			}
 			open = true
 		}
 		if disk.names["/data/"+asidePrefix+identityFile] == nil {
-			t.Fatal("the former identity is not kept")
+			t.Fatal("the old identity was not kept")
 		}
 	})
 }
 
-// damagedFolder leaves a folder of a group with a flipped bit in its log.
+// damagedFolder creates a folder of a group and flips a bit in its log.
 func damagedFolder(t *rapid.T, disk *powerDisk) protocol.ReplicaID {
 	folder, _, err := Open("/data", "entry-1", WithDisk(disk))
 	if err == nil {
--- a/state/wal/segment.go
+++ b/state/wal/segment.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	segmentMagic = "weldlog1"
-	frameHeader  = 12      // bytes: length, checksum of the payload, checksum of both
-	frameEnd     = 0xa5    // frameEnd is a payload's last byte; zero there means that it was not written
-	maxFrame     = 1 << 30 // bytes of a frame's payload
-	sector       = 512     // bytes that a disk writes whole; those of one write reach it in any order
+	segmentMagic    = "weldlog1"
+	frameHeaderSize = 12      // frameHeaderSize covers, in bytes, payload length, checksum of the payload, checksum of both
+	frameEndMarker  = 0xa5    // frameEndMarker is the last byte of a payload; a zero there means that it was not written
+	maxPayloadSize  = 1 << 30 // maxPayloadSize limits a frame's payload, in bytes
+	sectorSize      = 512     // sectorSize is how many bytes a disk writes atomically; the sectors of one write reach it in any order
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Write appends one frame and syncs it. After an error the folder takes no
-// further write: what is on disk is not known any more.
+// Write appends a frame and syncs it. After an error all further writes fail, since the
+// content on disk is unknown.
 func (f *Folder) Write(hard protocol.HardState, entries []protocol.LogEntry) error {
 	if f.failed {
 		return ErrFailed
@@ -41,16 +41,16 @@
 	return eris.Wrap(f.log.Sync(), "sync log")
 }
 
-// The flags behind the entries of a frame. A frame without any has no byte for them,
-// as those of earlier versions.
+// Flags that follow the entries of a frame. A frame without flags omits the byte, as
+// frames of earlier versions do.
 const (
-	ledFlag     = 1 // ledFlag marks that the replica led the term of its hard state.
-	promiseFlag = 2 // promiseFlag marks that its longest promise follows.
+	ledFlag     = 1 // ledFlag says that the replica led the term of its hard state.
+	promiseFlag = 2 // promiseFlag says that the promise of the hard state follows.
 )
 
-// encodeFrame renders a frame: header, hard state, entries, flags.
+// encodeFrame encodes a frame: header, hard state, entries, flags and end marker.
 func encodeFrame(hard protocol.HardState, entries []protocol.LogEntry) []byte {
-	frame := make([]byte, frameHeader, frameHeader+64)
+	frame := make([]byte, frameHeaderSize, frameHeaderSize+64)
 	frame = binary.AppendUvarint(frame, hard.Term)
 	frame = appendBytes(frame, []byte(hard.Vote.Name))
 	frame = binary.AppendUvarint(frame, hard.Vote.Incarnation)
@@ -63,15 +63,15 @@
 		frame = appendBytes(frame, e.Data)
 	}
 	frame = appendFlags(frame, hard)
-	frame = append(frame, frameEnd)
-	payload := frame[frameHeader:]
+	frame = append(frame, frameEndMarker)
+	payload := frame[frameHeaderSize:]
 	binary.LittleEndian.PutUint32(frame, uint32(len(payload)))
 	binary.LittleEndian.PutUint32(frame[4:], crc32.Checksum(payload, castagnoli))
 	binary.LittleEndian.PutUint32(frame[8:], crc32.Checksum(frame[:8], castagnoli))
 	return frame
 }
 
-// appendFlags renders what only some hard states have.
+// appendFlags encodes the optional fields of a hard state.
 func appendFlags(frame []byte, hard protocol.HardState) []byte {
 	var flags byte
 	if hard.Led {
@@ -94,16 +94,16 @@
 	return append(dst, b...)
 }
 
-// payloadReader reads what encodeFrame wrote. After a fault, ok stays false.
+// payloadReader decodes what encodeFrame encoded. After an error, invalid stays true.
 type payloadReader struct {
-	rest []byte
-	bad  bool
+	rest    []byte
+	invalid bool
 }
 
 func (r *payloadReader) uvarint() uint64 {
 	v, n := binary.Uvarint(r.rest)
 	if n <= 0 {
-		r.bad = true
+		r.invalid = true
 		return 0
 	}
 	r.rest = r.rest[n:]
@@ -112,8 +112,8 @@
 
 func (r *payloadReader) bytes() []byte {
 	n := r.uvarint()
-	if r.bad || n > uint64(len(r.rest)) {
-		r.bad = true
+	if r.invalid || n > uint64(len(r.rest)) {
+		r.invalid = true
 		return nil
 	}
 	b := r.rest[:n:n]
@@ -123,7 +123,7 @@
 
 func (r *payloadReader) byte() byte {
 	if len(r.rest) == 0 {
-		r.bad = true
+		r.invalid = true
 		return 0
 	}
 	b := r.rest[0]
@@ -137,7 +137,7 @@
 	hard.Vote.Name = string(r.bytes())
 	hard.Vote.Incarnation = r.uvarint()
 	count := r.uvarint()
-	for i := uint64(0); i < count && !r.bad; i++ {
+	for i := uint64(0); i < count && !r.invalid; i++ {
 		e := protocol.LogEntry{Index: r.uvarint(), Term: r.uvarint()}
 		e.Kind = protocol.EntryKind(r.byte())
 		e.Data = r.bytes()
@@ -149,117 +149,118 @@
 		if flags&promiseFlag != 0 {
 			hard.Promise = time.Duration(r.uvarint())
 		}
-		r.bad = r.bad || flags&^(ledFlag|promiseFlag) != 0
+		r.invalid = r.invalid || flags&^(ledFlag|promiseFlag) != 0
 	}
 	end := r.byte()
-	return hard, entries, !r.bad && end == frameEnd && len(r.rest) == 0
+	return hard, entries, !r.invalid && end == frameEndMarker && len(r.rest) == 0
 }
 
-// frameAt returns the payload of the frame at an offset, if a whole good one
-// is there.
+// frameAt returns the payload of the frame at an offset, if the frame is complete and its
+// checksums match.
 func frameAt(data []byte, offset int) ([]byte, bool) {
-	if len(data)-offset < frameHeader || !goodHeader(data[offset:]) {
+	if len(data)-offset < frameHeaderSize || !headerValid(data[offset:]) {
 		return nil, false
 	}
 	size := int(binary.LittleEndian.Uint32(data[offset:]))
-	if size == 0 || size > maxFrame || size > len(data)-offset-frameHeader {
+	if size == 0 || size > maxPayloadSize || size > len(data)-offset-frameHeaderSize {
 		return nil, false
 	}
-	payload := data[offset+frameHeader : offset+frameHeader+size]
+	payload := data[offset+frameHeaderSize : offset+frameHeaderSize+size]
 	if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(data[offset+4:]) {
 		return nil, false
 	}
 	return payload, true
 }
 
-// torn reports whether what is at an offset can be a write that was cut off:
-// the file ends too early, or a part of what was written is still zeros, as the
-// disk may write the sectors of a frame in any order. Anything else was written
-// whole and changed later.
-func torn(rest []byte, offset int) bool {
-	if len(rest) < frameHeader || bytes.Contains(rest, unwritten[:]) || missesSector(rest, offset) {
+// isTorn reports whether the data from an offset on may be an interrupted write: the file
+// ends too early, or part of what was written is still zeros, since the disk may write
+// the sectors of a frame in any order. Anything else was written completely and changed
+// later.
+func isTorn(rest []byte, offset int) bool {
+	if len(rest) < frameHeaderSize || bytes.Contains(rest, longZeroRun[:]) || hasZeroSector(rest, offset) {
 		return true
 	}
-	if !goodHeader(rest) {
-		return rest[frameHeader-1] == 0 && len(bytes.Trim(rest[frameHeader:], "\x00")) == 0
+	if !headerValid(rest) {
+		return rest[frameHeaderSize-1] == 0 && len(bytes.Trim(rest[frameHeaderSize:], "\x00")) == 0
 	}
 	size := int(binary.LittleEndian.Uint32(rest))
-	return len(rest) < frameHeader+size || rest[len(rest)-1] == 0
+	return len(rest) < frameHeaderSize+size || rest[len(rest)-1] == 0
 }
 
-// missesSector reports whether a sector's share of what is at an offset is zeros.
-func missesSector(rest []byte, offset int) bool {
+// hasZeroSector reports whether the part of any sector that is covered by the data at an
+// offset is all zeros.
+func hasZeroSector(rest []byte, offset int) bool {
 	for len(rest) > 0 {
-		share := min(len(rest), sector-offset%sector)
-		if len(bytes.Trim(rest[:share], "\x00")) == 0 {
+		part := min(len(rest), sectorSize-offset%sectorSize)
+		if len(bytes.Trim(rest[:part], "\x00")) == 0 {
 			return true
 		}
-		rest, offset = rest[share:], offset+share
+		rest, offset = rest[part:], offset+part
 	}
 	return false
 }
 
-// unwritten is a run of zeros that no frame holds.
-var unwritten [48]byte
+// longZeroRun is longer than any run of zeros in a frame.
+var longZeroRun [48]byte
 
-func goodHeader(frame []byte) bool {
+func headerValid(frame []byte) bool {
 	return crc32.Checksum(frame[:8], castagnoli) == binary.LittleEndian.Uint32(frame[8:])
 }
 
-// replay reads the last segment into loaded. It holds all that follows the
-// snapshot that it was begun after; older segments were removed, and are back
-// only where the power went before that lasted.
+// replay reads the last segment into loaded. It has everything after the snapshot that it
+// was started with. Older segments were removed; they can only reappear if power was lost
+// before the removal was durable.
 func (f *Folder) replay(seq uint64, loaded *Loaded) error {
 	file := f.path(segmentPrefix, seq)
-	data, err := f.disk.Read(file)
+	data, err := f.disk.ReadFile(file)
 	if err != nil {
 		return eris.Wrap(err, "read log")
 	}
 	if len(data) < len(segmentMagic) || string(data[:len(segmentMagic)]) != segmentMagic {
-		return &Damage{File: file, What: "is not a segment of a log"}
+		return &Damage{File: file, What: "not a log segment"}
 	}
 	var log []protocol.LogEntry
 	offset := len(segmentMagic)
 	for offset < len(data) {
 		payload, ok := frameAt(data, offset)
 		if !ok {
-			if err := f.cutTorn(file, data, offset, loaded); err != nil {
+			if err := f.truncateTorn(file, data, offset, loaded); err != nil {
 				return err
 			}
 			break
 		}
 		hard, entries, ok := decodePayload(payload)
 		if !ok {
-			return &Damage{File: file, Offset: int64(offset), What: "the frame cannot be decoded"}
+			return &Damage{File: file, Offset: int64(offset), What: "frame cannot be decoded"}
 		}
 		loaded.Hard = hard
-		log = extend(log, entries)
-		offset += frameHeader + len(payload)
+		log = applyEntries(log, entries)
+		offset += frameHeaderSize + len(payload)
 	}
 	if len(log) > 0 && log[0].Index > loaded.Snapshot.Index+1 {
-		return &Damage{File: file, Offset: int64(offset), What: "an entry is missing behind the snapshot"}
+		return &Damage{File: file, Offset: int64(offset), What: "entries are missing between the snapshot and the log"}
 	}
-	loaded.Entries = behind(log, loaded.Snapshot)
+	loaded.Entries = entriesAfter(log, loaded.Snapshot)
 	return nil
 }
 
-// cutTorn cuts off a torn write at the end of a segment. Anything else that is
-// bad is damage.
-func (f *Folder) cutTorn(file string, data []byte, offset int, loaded *Loaded) error {
-	if !torn(data[offset:], offset) {
-		return &Damage{File: file, Offset: int64(offset), What: "the checksum does not match what was written"}
+// truncateTorn truncates a torn write at the end of a segment. Any other invalid data is
+// damage.
+func (f *Folder) truncateTorn(file string, data []byte, offset int, loaded *Loaded) error {
+	if !isTorn(data[offset:], offset) {
+		return &Damage{File: file, Offset: int64(offset), What: "frame checksum mismatch"}
 	}
 	loaded.Torn = int64(len(data) - offset)
 	if err := f.disk.Truncate(file, int64(offset)); err != nil {
-		return eris.Wrap(err, "cut off torn write")
+		return eris.Wrap(err, "truncate torn write")
 	}
 	return nil
 }
 
-// extend puts entries behind the log. An entry at an index that is there
-// already replaces it and what is behind it. One that does not follow the log
-// follows a leader's snapshot, which replaced all before it.
-func extend(log, entries []protocol.LogEntry) []protocol.LogEntry {
+// applyEntries appends entries to the log. An entry at an existing index replaces that
+// entry and all entries after it. An entry that does not follow the log follows a
+// leader's snapshot, which replaced everything before it.
+func applyEntries(log, entries []protocol.LogEntry) []protocol.LogEntry {
 	for _, e := range entries {
 		if len(log) == 0 || e.Index < log[0].Index || e.Index > log[len(log)-1].Index+1 {
 			log = append(log[:0:0], e)
@@ -270,9 +271,9 @@
 	return log
 }
 
-// behind returns the entries that follow a snapshot. If the log's own entry at
-// the snapshot's index is another one, the snapshot replaced the whole log.
-func behind(log []protocol.LogEntry, snap protocol.SnapshotMeta) []protocol.LogEntry {
+// entriesAfter returns the entries after a snapshot. If the log has a different entry at
+// the snapshot's index, the snapshot replaced the whole log.
+func entriesAfter(log []protocol.LogEntry, snap protocol.SnapshotMeta) []protocol.LogEntry {
 	if len(log) == 0 || log[len(log)-1].Index <= snap.Index {
 		return nil
 	}
@@ -286,11 +287,11 @@
 	return log[at+1:]
 }
 
-// newSegment begins the next segment with the hard state and the entries that
-// are still needed.
+// newSegment starts the next segment with the hard state and the entries that are still
+// needed.
 func (f *Folder) newSegment(hard protocol.HardState, entries []protocol.LogEntry) error {
 	f.seq++
-	if err := f.replace(f.path(segmentPrefix, f.seq), []byte(segmentMagic), encodeFrame(hard, entries)); err != nil {
+	if err := f.replaceFile(f.path(segmentPrefix, f.seq), []byte(segmentMagic), encodeFrame(hard, entries)); err != nil {
 		return err
 	}
 	return f.openSegment()
--- a/state/wal/snapshot.go
+++ b/state/wal/snapshot.go
@@ -12,11 +12,12 @@
 
 const snapshotMagic = "weldsnp1"
 
-// snapshotHeader is magic, checksum of the rest, length of the meta data.
-const snapshotHeader = len(snapshotMagic) + 4 + 4
+// snapshotHeaderSize covers the magic, the checksum of the rest and the length of the
+// metadata.
+const snapshotHeaderSize = len(snapshotMagic) + 4 + 4
 
-// SaveSnapshot writes a snapshot and begins a new segment with what follows
-// it. Older segments and snapshots go once both are on disk.
+// SaveSnapshot writes a snapshot and starts a new segment with the entries after it.
+// Older segments and snapshots are removed once both are on disk.
 func (f *Folder) SaveSnapshot(meta protocol.SnapshotMeta, data []byte, hard protocol.HardState, rest []protocol.LogEntry) error {
 	if err := f.WriteSnapshot(meta, data); err != nil {
 		f.failed = true
@@ -25,8 +26,8 @@
 	return f.Rotate(meta.Index, hard, rest)
 }
 
-// WriteSnapshot writes a snapshot beside the log. Unlike the folder's other
-// methods it may run beside them: it touches only its own file.
+// WriteSnapshot writes a snapshot without changing the log. Unlike the folder's other
+// methods it may run concurrently with them: it writes only its own file.
 func (f *Folder) WriteSnapshot(meta protocol.SnapshotMeta, data []byte) error {
 	head, err := json.Marshal(meta)
 	if err != nil {
@@ -36,11 +37,11 @@
 	prefix := []byte(snapshotMagic)
 	prefix = binary.LittleEndian.AppendUint32(prefix, sum)
 	prefix = binary.LittleEndian.AppendUint32(prefix, uint32(len(head)))
-	return f.replace(f.path(snapshotPrefix, meta.Index), prefix, head, data)
+	return f.replaceFile(f.path(snapshotPrefix, meta.Index), prefix, head, data)
 }
 
-// Rotate begins a new segment with what follows the snapshot at an index, which
-// is on disk, and removes what both replace.
+// Rotate starts a new segment with the entries after the snapshot at an index, which must
+// be on disk, and removes the files that both replace.
 func (f *Folder) Rotate(index uint64, hard protocol.HardState, rest []protocol.LogEntry) error {
 	if f.failed {
 		return ErrFailed
@@ -53,9 +54,9 @@
 	return err
 }
 
-// removeOld removes what the latest snapshot and segment replace.
+// removeOld removes the segments and snapshots older than the current ones.
 func (f *Folder) removeOld(index uint64) error {
-	segments, snapshots, err := f.scan()
+	segments, snapshots, err := f.listFiles()
 	if err != nil {
 		return err
 	}
@@ -76,10 +77,10 @@
 	return nil
 }
 
-// ReadSnapshot reads the latest snapshot from disk, for a replica that is too
-// far behind; ok is false when there is none.
+// ReadSnapshot reads the latest snapshot from disk, for a replica that is too far behind;
+// ok is false if there is none.
 func (f *Folder) ReadSnapshot() (meta protocol.SnapshotMeta, data []byte, ok bool, err error) {
-	_, snapshots, err := f.scan()
+	_, snapshots, err := f.listFiles()
 	if err != nil || len(snapshots) == 0 {
 		return protocol.SnapshotMeta{}, nil, false, err
 	}
@@ -92,21 +93,21 @@
 
 func (f *Folder) loadSnapshot(index uint64, loaded *Loaded) error {
 	file := f.path(snapshotPrefix, index)
-	data, err := f.disk.Read(file)
+	data, err := f.disk.ReadFile(file)
 	if err != nil {
 		return eris.Wrap(err, "read snapshot")
 	}
-	if len(data) < snapshotHeader || string(data[:len(snapshotMagic)]) != snapshotMagic {
-		return &Damage{File: file, What: "is not a snapshot"}
+	if len(data) < snapshotHeaderSize || string(data[:len(snapshotMagic)]) != snapshotMagic {
+		return &Damage{File: file, What: "not a snapshot"}
 	}
 	sum := binary.LittleEndian.Uint32(data[len(snapshotMagic):])
 	size := int(binary.LittleEndian.Uint32(data[len(snapshotMagic)+4:]))
-	rest := data[snapshotHeader:]
+	rest := data[snapshotHeaderSize:]
 	if crc32.Checksum(rest, castagnoli) != sum || size > len(rest) {
-		return &Damage{File: file, Offset: int64(snapshotHeader), What: "the checksum does not match"}
+		return &Damage{File: file, Offset: int64(snapshotHeaderSize), What: "snapshot checksum mismatch"}
 	}
 	if err := json.Unmarshal(rest[:size], &loaded.Snapshot); err != nil {
-		return &Damage{File: file, Offset: int64(snapshotHeader), What: err.Error()}
+		return &Damage{File: file, Offset: int64(snapshotHeaderSize), What: err.Error()}
 	}
 	loaded.Data = rest[size:]
 	return nil
--- a/state/wal/space_unix.go
+++ b/state/wal/space_unix.go
@@ -8,11 +8,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// Free returns how many bytes may still be written to the folder's disk.
+// Free returns the number of bytes available on the folder's file system.
 func (f *Folder) Free() (uint64, error) {
 	var s syscall.Statfs_t
 	if err := syscall.Statfs(f.dir, &s); err != nil {
-		return 0, eris.Wrap(err, "ask for free space")
+		return 0, eris.Wrap(err, "get free space")
 	}
 	return s.Bavail * uint64(s.Bsize), nil
 }
--- a/state/wal/wal.go
+++ b/state/wal/wal.go
@@ -1,19 +1,19 @@
-// Package wal keeps a replica's log and snapshots in one data folder.
+// Package wal stores a replica's log and snapshots in one data folder.
 //
-// The folder holds
+// The folder contains
 //
 //	identity     the replica's name and the incarnation of this folder
-//	log-N        segments of the log, in the order of N
+//	log-N        log segments, in the order of N
 //	snapshot-N   the state machine at index N
-//	aside-*      what [SetAside] put out of the way
-//	lock         held by the process that uses the folder
+//	aside-*      files renamed by [SetAside]
+//	lock         locked by the process that uses the folder
 //
-// A segment is a row of frames. A frame is one group commit: length, checksums,
-// then the hard state and the entries that were written together. The next
-// frame is written only after the sync of the one before. So only the last
-// frame can be a torn write, which nobody was promised, and which is cut off: it
-// ends too early, or in zeros. Anything else that does not match its checksum is
-// damage, which fails the opening and touches nothing.
+// A segment is a sequence of frames. A frame is one group commit: length and checksums,
+// followed by the hard state and the entries that were written together. A frame is
+// written only after the previous one is synced. So only the last frame can be torn by a
+// crash. A torn frame, which is cut short or contains zeros, was never acknowledged and
+// is truncated. Any other checksum mismatch is damage: opening the folder fails and
+// modifies nothing.
 package wal
 
 import (
@@ -36,9 +36,9 @@
 
 // Errors of a data folder.
 var (
-	// ErrDamaged is returned when a file of the folder is not what was written.
+	// ErrDamaged is returned when a file in the folder differs from what was written.
 	ErrDamaged = eris.New("data folder is damaged")
-	// ErrFailed is returned for every write after one that failed.
+	// ErrFailed is returned for every write after a failed one.
 	ErrFailed = eris.New("an earlier write to the data folder failed")
 	// ErrForeign is returned when the folder belongs to another instance.
 	ErrForeign = eris.New("data folder belongs to another instance")
@@ -46,7 +46,7 @@
 	ErrLocked = eris.New("data folder is in use by another process")
 )
 
-// Damage tells where a file is not what was written.
+// Damage reports where a file differs from what was written.
 type Damage struct {
 	File   string
 	Offset int64 // Offset is in bytes from the start of the file.
@@ -58,7 +58,7 @@
 	return fmt.Sprintf("%s: offset %d: %s", d.File, d.Offset, d.What)
 }
 
-// Unwrap makes errors.Is find [ErrDamaged].
+// Unwrap makes the error match [ErrDamaged].
 func (d *Damage) Unwrap() error { return ErrDamaged }
 
 const (
@@ -75,34 +75,36 @@
 type identity struct {
 	Name        string                   `json:"name"`
 	Incarnation uint64                   `json:"incarnation"`
-	Group       uint64                   `json:"group,omitempty"`    // Group is drawn when the group is founded; 0 before.
-	Founders    *protocol.ReplicaMembers `json:"founders,omitempty"` // Founders are the first members.
+	Group       uint64                   `json:"group,omitempty"`    // Group is the random identifier of the group; 0 before the group is founded.
+	Founders    *protocol.ReplicaMembers `json:"founders,omitempty"` // Founders are the initial members.
 }
 
-// Loaded is what a folder holds at the start.
+// Loaded is the content of a folder when it is opened.
 type Loaded struct {
 	Hard     protocol.HardState
 	Snapshot protocol.SnapshotMeta
 	Data     []byte              // Data is the state machine at the snapshot; nil without one.
-	Entries  []protocol.LogEntry // Entries follow the snapshot.
-	Torn     int64               // Torn counts the bytes of a torn write that were cut off.
+	Entries  []protocol.LogEntry // Entries are the entries after the snapshot.
+	Torn     int64               // Torn is the number of bytes truncated from a torn write.
 }
 
-// Folder is an open data folder. It is for one goroutine.
+// Folder is an open data folder. It must be used from one goroutine, except for
+// [Folder.WriteSnapshot].
 type Folder struct {
 	dir    string
 	disk   Disk
 	id     identity
 	lock   io.Closer
 	log    File
-	seq    uint64 // seq is the number of the segment that is written.
+	seq    uint64 // seq is the number of the current segment.
 	failed bool
 }
 
-// Option changes how a folder is opened.
+// Option configures how a folder is opened.
 type Option func(*Folder)
 
-// WithDisk sets the disk that the folder is on; without it, it is the machine's.
+// WithDisk sets the file system that holds the folder. The default is that of the
+// operating system.
 func WithDisk(d Disk) Option { return func(f *Folder) { f.disk = d } }
 
 func newFolder(dir string, opts []Option) *Folder {
@@ -113,12 +115,12 @@
 	return f
 }
 
-// Open opens a folder for the replica with a name, and makes it if it is not
-// there: then it is a new incarnation.
+// Open opens the folder of the replica with the given name, and creates it if it does not
+// exist. A folder without files gets a new incarnation.
 func Open(dir, name string, opts ...Option) (*Folder, *Loaded, error) {
 	f := newFolder(dir, opts)
-	if err := f.disk.MakeFolder(dir); err != nil {
-		return nil, nil, eris.Wrap(err, "make data folder")
+	if err := f.disk.MkdirAll(dir); err != nil {
+		return nil, nil, eris.Wrap(err, "create data folder")
 	}
 	lock, err := f.disk.Lock(filepath.Join(dir, lockFile))
 	if err != nil {
@@ -127,7 +129,7 @@
 	f.lock = lock
 	loaded, err := f.load(name)
 	if err == nil {
-		err = f.removeTemporary()
+		err = f.removeTempFiles()
 	}
 	if err != nil {
 		return nil, nil, errors.Join(err, f.Close())
@@ -135,7 +137,8 @@
 	return f, loaded, nil
 }
 
-// Close gives the folder back. It does not sync: every write did.
+// Close closes the folder and releases its lock. There is nothing to sync: every write is
+// synced when it is made.
 func (f *Folder) Close() error {
 	var errs []error
 	if f.log != nil {
@@ -149,15 +152,15 @@
 	return protocol.ReplicaID{Name: f.id.Name, Incarnation: f.id.Incarnation}
 }
 
-// Group returns the group that this folder belongs to, or 0 before it was
-// founded or joined.
+// Group returns the identifier of the group that this folder belongs to, or 0 before the
+// group is founded or joined.
 func (f *Folder) Group() uint64 { return f.id.Group }
 
-// Found makes the folder part of a group. The founders are its first members;
-// a replica that joins later passes none and learns them from the log.
+// Found makes the folder part of a group. founders are the initial members, or nil for a
+// replica that joins later and learns the members from the log.
 func (f *Folder) Found(group uint64, founders *protocol.ReplicaMembers) error {
 	if f.id.Group != 0 {
-		return eris.Errorf("the folder belongs to group %x already", f.id.Group)
+		return eris.Errorf("data folder already belongs to group %x", f.id.Group)
 	}
 	next := f.id
 	next.Group, next.Founders = group, founders
@@ -168,7 +171,7 @@
 	return nil
 }
 
-// Founders returns the first members of the group, if this folder knows them.
+// Founders returns the initial members of the group, if this folder knows them.
 func (f *Folder) Founders() protocol.ReplicaMembers {
 	if f.id.Founders == nil {
 		return protocol.ReplicaMembers{}
@@ -177,7 +180,7 @@
 }
 
 func (f *Folder) load(name string) (*Loaded, error) {
-	segments, snapshots, err := f.scan()
+	segments, snapshots, err := f.listFiles()
 	if err != nil {
 		return nil, err
 	}
@@ -190,9 +193,9 @@
 			return nil, err
 		}
 	}
-	// A process that was killed may have left names that a loss of power would
-	// still take back: what is acknowledged from now on rests on them.
-	if err := f.syncNames(); err != nil {
+	// A process that was killed may have left directory entries that a power loss would
+	// still revert. Everything acknowledged from now on depends on them.
+	if err := f.syncDir(); err != nil {
 		return nil, err
 	}
 	if len(segments) == 0 {
@@ -205,17 +208,18 @@
 	return loaded, f.openSegment()
 }
 
-// scan lists the numbers of segments and snapshots.
-func (f *Folder) scan() (segments, snapshots []uint64, err error) {
+// listFiles returns the numbers of the segments and snapshots in the folder, in ascending
+// order.
+func (f *Folder) listFiles() (segments, snapshots []uint64, err error) {
 	names, err := f.disk.List(f.dir)
 	if err != nil {
 		return nil, nil, eris.Wrap(err, "list data folder")
 	}
 	for _, name := range names {
-		if seq, ok := number(name, segmentPrefix); ok {
+		if seq, ok := parseNumber(name, segmentPrefix); ok {
 			segments = append(segments, seq)
 		}
-		if index, ok := number(name, snapshotPrefix); ok {
+		if index, ok := parseNumber(name, snapshotPrefix); ok {
 			snapshots = append(snapshots, index)
 		}
 	}
@@ -224,8 +228,8 @@
 	return segments, snapshots, nil
 }
 
-// removeTemporary removes what an interrupted write left behind.
-func (f *Folder) removeTemporary() error {
+// removeTempFiles removes the temporary files of interrupted writes.
+func (f *Folder) removeTempFiles() error {
 	names, err := f.disk.List(f.dir)
 	if err != nil {
 		return eris.Wrap(err, "list data folder")
@@ -241,7 +245,7 @@
 	return nil
 }
 
-func number(name, prefix string) (uint64, bool) {
+func parseNumber(name, prefix string) (uint64, bool) {
 	text, ok := strings.CutPrefix(name, prefix)
 	if !ok {
 		return 0, false
@@ -256,10 +260,10 @@
 
 func (f *Folder) loadIdentity(name string, used bool) error {
 	file := filepath.Join(f.dir, identityFile)
-	data, err := f.disk.Read(file)
+	data, err := f.disk.ReadFile(file)
 	if errors.Is(err, os.ErrNotExist) {
 		if used {
-			return &Damage{File: file, What: "is missing, though the folder holds a log"}
+			return &Damage{File: file, What: "missing from a folder that has a log or snapshots"}
 		}
 		return f.newIdentity(name)
 	}
@@ -270,7 +274,7 @@
 		return &Damage{File: file, What: err.Error()}
 	}
 	if f.id.Name != name {
-		return eris.Wrapf(ErrForeign, "%s names %q, the settings %q", file, f.id.Name, name)
+		return eris.Wrapf(ErrForeign, "%s has the name %q, the settings have %q", file, f.id.Name, name)
 	}
 	return nil
 }
@@ -278,7 +282,7 @@
 func (f *Folder) newIdentity(name string) error {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
-		return eris.Wrap(err, "draw incarnation")
+		return eris.Wrap(err, "generate incarnation")
 	}
 	id := identity{Name: name, Incarnation: binary.BigEndian.Uint64(b[:])}
 	if err := f.writeIdentity(id); err != nil {
@@ -293,12 +297,12 @@
 	if err != nil {
 		return eris.Wrap(err, "encode identity")
 	}
-	return f.replace(filepath.Join(f.dir, identityFile), data)
+	return f.replaceFile(filepath.Join(f.dir, identityFile), data)
 }
 
-// replace writes a file whole: under a temporary name, synced, renamed, and the
-// folder synced, so that a crash leaves the old or the new one.
-func (f *Folder) replace(file string, parts ...[]byte) error {
+// replaceFile replaces a file atomically: it writes and syncs a temporary file, renames
+// it and syncs the folder, so that a crash leaves either the old or the new content.
+func (f *Folder) replaceFile(file string, parts ...[]byte) error {
 	out, err := f.disk.Create(file + tempSuffix)
 	if err != nil {
 		return eris.Wrap(err, "create file")
@@ -314,10 +318,10 @@
 	if err := f.disk.Rename(file+tempSuffix, file); err != nil {
 		return eris.Wrap(err, "rename file")
 	}
-	return f.syncNames()
+	return f.syncDir()
 }
 
-// syncNames makes the names in the folder last.
-func (f *Folder) syncNames() error {
-	return eris.Wrap(f.disk.Sync(f.dir), "sync data folder")
+// syncDir makes created, renamed and removed directory entries durable.
+func (f *Folder) syncDir() error {
+	return eris.Wrap(f.disk.SyncDir(f.dir), "sync data folder")
 }
--- a/state/wal/wal_test.go
+++ b/state/wal/wal_test.go
@@ -29,8 +29,8 @@
 	return protocol.LogEntry{Index: index, Term: term, Kind: protocol.EntryCommand, Data: []byte(text)}
 }
 
-// written returns a folder with three frames, and the path of its segment.
-func written(t testing.TB) (dir, segment string) {
+// writtenFolder returns a folder with three frames, and the path of its segment.
+func writtenFolder(t testing.TB) (dir, segment string) {
 	t.Helper()
 	dir = t.TempDir()
 	f, _ := open(t, dir)
@@ -47,7 +47,7 @@
 }
 
 func TestReopen(t *testing.T) {
-	dir, _ := written(t)
+	dir, _ := writtenFolder(t)
 	f, loaded := open(t, dir)
 	defer f.Close()
 	want := []protocol.LogEntry{entry(1, 1, "command 0"), entry(2, 2, "command 1"), entry(3, 3, "command 2")}
@@ -59,21 +59,21 @@
 	}
 }
 
-// lastFrame returns where the last frame of a segment begins.
+// lastFrame returns the offset of the last frame of a segment.
 func lastFrame(data []byte) int {
 	offset, last := len(segmentMagic), 0
 	for offset < len(data) {
 		payload, _ := frameAt(data, offset)
 		last = offset
-		offset += frameHeader + len(payload)
+		offset += frameHeaderSize + len(payload)
 	}
 	return last
 }
 
-// TestTornAtEveryByte cuts the last frame off at each of its bytes, and in a
-// second pass leaves zeros in place of what was not written.
+// TestTornAtEveryByte truncates the last frame at each of its bytes, with and without
+// zeros in place of the missing bytes.
 func TestTornAtEveryByte(t *testing.T) {
-	dir, segment := written(t)
+	dir, segment := writtenFolder(t)
 	whole, err := os.ReadFile(segment)
 	if err != nil {
 		t.Fatal(err)
@@ -108,10 +108,10 @@
 	}
 }
 
-// TestFlippedBit flips each bit of a segment. The start must stop with the file
-// and an offset, and touch nothing.
+// TestFlippedBit flips each bit of a segment. Opening the folder must fail with the file
+// and an offset, and modify nothing.
 func TestFlippedBit(t *testing.T) {
-	dir, segment := written(t)
+	dir, segment := writtenFolder(t)
 	whole, err := os.ReadFile(segment)
 	if err != nil {
 		t.Fatal(err)
@@ -130,7 +130,7 @@
 			t.Fatalf("bit %d: got %v", bit, err)
 		}
 		if after, _ := os.ReadFile(segment); !bytes.Equal(after, bad) {
-			t.Fatalf("bit %d: the segment was touched", bit)
+			t.Fatalf("bit %d: the segment was modified", bit)
 		}
 	}
 }
@@ -154,21 +154,21 @@
 }
 
 func TestIdentity(t *testing.T) {
-	dir, _ := written(t)
+	dir, _ := writtenFolder(t)
 	f, _ := open(t, dir)
 	first := f.ID()
 	if _, _, err := Open(dir, "entry-1"); !errors.Is(err, ErrLocked) {
-		t.Errorf("a second process got %v", err)
+		t.Errorf("opening a locked folder got %v", err)
 	}
 	f.Close()
 	if _, _, err := Open(dir, "entry-2"); !errors.Is(err, ErrForeign) {
-		t.Errorf("another name got %v", err)
+		t.Errorf("opening with another name got %v", err)
 	}
 	if err := os.Remove(filepath.Join(dir, identityFile)); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := Open(dir, "entry-1"); !errors.Is(err, ErrDamaged) {
-		t.Errorf("a log without identity got %v", err)
+		t.Errorf("opening a log without identity got %v", err)
 	}
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
@@ -180,7 +180,7 @@
 	}
 }
 
-// model is the naive version: the log as a plain list.
+// model is the reference implementation: the log as a plain slice.
 type model struct {
 	hard    protocol.HardState
 	snap    protocol.SnapshotMeta
@@ -194,8 +194,8 @@
 	}
 }
 
-// TestAgainstModel writes, replaces, takes snapshots and reopens at random and
-// compares with the naive version.
+// TestAgainstModel performs random writes, overwrites, snapshots and reopens, and
+// compares the result with the reference implementation.
 func TestAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, err := os.MkdirTemp("", "wal")
@@ -261,9 +261,9 @@
 	})
 }
 
-// TestTornInAnyOrder checks that a last frame of which the disk wrote any blocks
-// but not others is cut off, since it was never synced.
-func TestTornInAnyOrder(t *testing.T) {
+// TestTornWriteInAnySectorOrder checks that a last frame is truncated if the disk wrote
+// some of its sectors but not others: it was never synced.
+func TestTornWriteInAnySectorOrder(t *testing.T) {
 	for _, hole := range [][2]int{{0, 512}, {512, 1024}, {0, 1024}} {
 		dir := t.TempDir()
 		f, _, err := Open(dir, "a")
@@ -299,11 +299,11 @@
 	}
 }
 
-// TestTornAtASector loses the first bytes of a last frame, which lie alone at the
-// end of a disk sector, and nothing else of it: too few zeros to be told by their
-// number.
-func TestTornAtASector(t *testing.T) {
-	const first = 10 // bytes of the frame before the sector's end
+// TestTornWriteAtSectorBoundary checks that a last frame is truncated if only its first
+// bytes are lost, which lie alone at the end of a disk sector. They are too few zeros to
+// be recognized by their number.
+func TestTornWriteAtSectorBoundary(t *testing.T) {
+	const first = 10 // bytes of the frame before the end of the sector
 	dir := t.TempDir()
 	f, _ := open(t, dir)
 	path := f.path(segmentPrefix, f.seq)
@@ -314,10 +314,10 @@
 		}
 		return int(info.Size())
 	}
-	pad := 2*sector - first - size() - len(encodeFrame(protocol.HardState{Term: 1}, []protocol.LogEntry{entry(1, 1, strings.Repeat("x", sector))})) + sector
+	pad := 2*sectorSize - first - size() - len(encodeFrame(protocol.HardState{Term: 1}, []protocol.LogEntry{entry(1, 1, strings.Repeat("x", sectorSize))})) + sectorSize
 	for i, text := range []string{strings.Repeat("x", pad), strings.Repeat("lost ", 20)} {
-		if i == 1 && size() != 2*sector-first {
-			t.Fatalf("the last frame begins at %d", size())
+		if i == 1 && size() != 2*sectorSize-first {
+			t.Fatalf("the last frame starts at %d", size())
 		}
 		if err := f.Write(protocol.HardState{Term: 1}, []protocol.LogEntry{entry(uint64(i)+1, 1, text)}); err != nil {
 			t.Fatal(err)
@@ -328,7 +328,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	clear(data[2*sector-first : 2*sector])
+	clear(data[2*sectorSize-first : 2*sectorSize])
 	if err := os.WriteFile(path, data, fileMode); err != nil {
 		t.Fatal(err)
 	}
