--- a/coordination/group/api.go
+++ b/coordination/group/api.go
@@ -163,7 +163,7 @@
 }
 
 func (g *Group) enter(group uint64, founders *protocol.ReplicaMembers) error {
-	if err := g.folder.Found(group, founders); err != nil {
+	if err := g.folder.SetGroup(group, founders); err != nil {
 		return err
 	}
 	g.start()
--- a/state/wal/power_test.go
+++ b/state/wal/power_test.go
@@ -461,7 +461,7 @@
 func damagedFolder(t *rapid.T, disk *powerDisk) protocol.ReplicaID {
 	folder, _, err := Open("/data", "entry-1", WithDisk(disk))
 	if err == nil {
-		err = folder.Found(7, &protocol.ReplicaMembers{})
+		err = folder.SetGroup(7, &protocol.ReplicaMembers{})
 	}
 	if err == nil {
 		err = folder.Write(protocol.HardState{Term: 3}, []protocol.LogEntry{entry(1, 3, "command")})
--- a/state/wal/wal.go
+++ b/state/wal/wal.go
@@ -156,9 +156,9 @@
 // group is founded or joined.
 func (f *Folder) Group() uint64 { return f.id.Group }
 
-// Found makes the folder part of a group. founders are the initial members, or nil for a
+// SetGroup makes the folder part of a group. founders are the initial members, or nil for a
 // replica that joins later and learns the members from the log.
-func (f *Folder) Found(group uint64, founders *protocol.ReplicaMembers) error {
+func (f *Folder) SetGroup(group uint64, founders *protocol.ReplicaMembers) error {
 	if f.id.Group != 0 {
 		return eris.Errorf("data folder already belongs to group %x", f.id.Group)
 	}
