--- a/coordination/group/space.go
+++ b/coordination/group/space.go
@@ -16,7 +16,7 @@
 		return
 	}
 	g.spaceAt = g.now() + spaceEvery
-	free, err := g.folder.Free()
+	free, err := g.folder.FreeSpace()
 	full := err == nil && free < g.cfg.Reserve
 	if full != g.full {
 		g.log.Warn().Bool("full", full).Uint64("free", free).Msg("free space on the disk")
--- a/state/wal/space_unix.go
+++ b/state/wal/space_unix.go
@@ -8,8 +8,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Free returns the number of bytes available on the folder's file system.
-func (f *Folder) Free() (uint64, error) {
+// FreeSpace returns the number of bytes available on the folder's file system.
+func (f *Folder) FreeSpace() (uint64, error) {
 	var s syscall.Statfs_t
 	if err := syscall.Statfs(f.dir, &s); err != nil {
 		return 0, eris.Wrap(err, "get free space")
