--- a/coordination/replicate/members.go
+++ b/coordination/replicate/members.go
@@ -92,9 +92,9 @@
 // are enough voters.
 func (r *Replica) promote(members Members, id ID) bool {
 	next := members.Clone()
-	former := slices.IndexFunc(next.Voters, func(v ID) bool { return v.Name == id.Name })
-	if former >= 0 {
-		next.Voters = slices.Delete(next.Voters, former, former+1)
+	old := slices.IndexFunc(next.Voters, func(v ID) bool { return v.Name == id.Name })
+	if old >= 0 {
+		next.Voters = slices.Delete(next.Voters, old, old+1)
 		r.changeMembers(next)
 		return true
 	}
--- a/coordination/replicate/replicate.go
+++ b/coordination/replicate/replicate.go
@@ -43,8 +43,8 @@
 	// ErrNotLeader is returned by a replica that is not the leader.
 	ErrNotLeader = eris.New("this replica is not the leader")
 	// ErrBusy is returned while a membership change or a handover is in progress, and for
-	// a handover without a suitable successor.
-	ErrBusy = eris.New("a membership change or handover is in progress")
+	// a handover for which no replica answers or that is not complete by its deadline.
+	ErrBusy = eris.New("a membership change or handover is in progress, or no replica could take over")
 )
 
 // Types that are also stored on disk and sent over the network.
@@ -161,7 +161,7 @@
 	leaderSince          time.Duration        // leaderSince is when this replica became the leader, or when its last handover failed.
 	requestedPromise     time.Duration        // requestedPromise is the promise that this replica requests as the leader.
 	pingTrips            *roundtrip.Table     // pingTrips are the ping round-trip times between any two replicas.
-	roundTrips           *roundtrip.Table     // roundTrips are the latencies of a leader's heartbeat rounds, including the followers' syncs.
+	roundLatencies       *roundtrip.Table     // roundLatencies are the latencies of a leader's heartbeat rounds, including the followers' syncs.
 	nextPingAt           time.Duration        // nextPingAt is when the other voters are pinged next.
 	pendingPings         map[ID]time.Duration // pendingPings holds the send times of unanswered pings.
 	handover             handover
@@ -192,7 +192,7 @@
 	r.commit = s.Snapshot.Index
 	r.stable = r.log.Last()
 	r.now, r.leaderContactAt = s.Now, s.Now
-	r.pingTrips, r.roundTrips = roundtrip.New(), roundtrip.New()
+	r.pingTrips, r.roundLatencies = roundtrip.New(), roundtrip.New()
 	r.restorePromise()
 	r.electionJitter = r.startStagger()
 	r.electionDeadline = r.now + r.electionTimeout() + r.electionJitter
@@ -263,8 +263,8 @@
 // split. Later campaigns have a random delay, because this order may be the reason why
 // one failed.
 func (r *Replica) startStagger() time.Duration {
-	place := max(0, slices.Index(r.log.Members().Voters, r.id))
-	return min(r.electionTimeout(), time.Duration(place)*r.electionTimeout()/startStaggerDivisor)
+	position := max(0, slices.Index(r.log.Members().Voters, r.id))
+	return min(r.electionTimeout(), time.Duration(position)*r.electionTimeout()/startStaggerDivisor)
 }
 
 // becomeFollower becomes a follower in the given term. A new term starts without a vote.
--- a/coordination/replicate/timing.go
+++ b/coordination/replicate/timing.go
@@ -72,7 +72,7 @@
 		return
 	}
 	members := r.log.Members()
-	latency := r.roundTrips.Late(r.id.Name, r.otherVoterNames(), members.Quorum(), r.now)
+	latency := r.roundLatencies.Late(r.id.Name, r.otherVoterNames(), members.Quorum(), r.now)
 	step := max(r.cfg.Election/promiseStepsPerElection, 1)
 	promise := 2*latency + leaseHeartbeats*r.cfg.Heartbeat
 	promise += promise / leaseMarginDivisor
@@ -85,8 +85,8 @@
 // makePromise promises a leader to vote for no other candidate for the requested time,
 // limited to between one and maxPromiseElections election timeouts, and returns the
 // promised time.
-func (r *Replica) makePromise(asked time.Duration) time.Duration {
-	p := min(max(asked, r.cfg.Election), maxPromiseElections*r.cfg.Election)
+func (r *Replica) makePromise(requested time.Duration) time.Duration {
+	p := min(max(requested, r.cfg.Election), maxPromiseElections*r.cfg.Election)
 	r.promisedUntil = max(r.promisedUntil, r.now+p)
 	onDisk := r.hard.Promise
 	switch {
@@ -125,7 +125,7 @@
 		// Answers that arrive in a burst, as from a replica that was suspended, count
 		// once.
 		p.latencyObservedAt = r.now
-		r.roundTrips.Observe(r.id.Name, m.From.Name, r.now-sent, r.now)
+		r.roundLatencies.Observe(r.id.Name, m.From.Name, r.now-sent, r.now)
 	}
 	p.answeredRound = max(p.answeredRound, m.Round)
 }
@@ -236,5 +236,5 @@
 // Trips returns the known round-trip times between any two replicas, and the latencies of
 // a leader's heartbeat rounds.
 func (r *Replica) Trips() (all, rounds []roundtrip.Trip) {
-	return r.pingTrips.All(r.now), r.roundTrips.All(r.now)
+	return r.pingTrips.All(r.now), r.roundLatencies.All(r.now)
 }
--- a/coordination/replicate/wide_test.go
+++ b/coordination/replicate/wide_test.go
@@ -361,11 +361,11 @@
 			}
 			w.run(5 * time.Second)
 			w.down[w.leader().id.Name] = true
-			died := w.runUntil("a leader after one that failed", 10*time.Second, w.hasLeader)
-			if most := 6*timeout + 12*oneWay; died > most {
-				t.Errorf("%v, seed %d: %v without a leader, more than %v", oneWay, seed, died, most)
+			replaced := w.runUntil("a leader after one that failed", 10*time.Second, w.hasLeader)
+			if most := 6*timeout + 12*oneWay; replaced > most {
+				t.Errorf("%v, seed %d: %v without a leader, more than %v", oneWay, seed, replaced, most)
 			}
-			t.Logf("one-way delay %v, seed %d: first leader after %v, promise %v, handed over in %v, replaced in %v", oneWay, seed, first, timeout, handed, died)
+			t.Logf("one-way delay %v, seed %d: first leader after %v, promise %v, handed over in %v, replaced in %v", oneWay, seed, first, timeout, handed, replaced)
 		}
 	}
 }
@@ -399,15 +399,15 @@
 		name        string
 		withLeader  bool // withLeader says that the leader is in the region.
 		in, out     bool
-		leaderStays bool // leaderStays says that the leader remains in office.
+		leaderStays bool // leaderStays says that the leader must remain the leader.
 	}
 	for _, c := range []cut{
-		{"whole, with the leader", true, true, true, false},
-		{"whole, without the leader", false, true, true, true},
-		{"out of the leader's", true, false, true, false},
-		{"into the leader's", true, true, false, false},
-		{"out of another", false, false, true, true},
-		{"into another", false, true, false, true},
+		{"leader's region, both directions", true, true, true, false},
+		{"another region, both directions", false, true, true, true},
+		{"out of the leader's region", true, false, true, false},
+		{"into the leader's region", true, true, false, false},
+		{"out of another region", false, false, true, true},
+		{"into another region", false, true, false, true},
 	} {
 		for seed := range uint64(20) {
 			w := newTimedSim(seedTB{TB: t, seed: seed}, seed, wideConfig, 5, regionDelay)
@@ -421,14 +421,14 @@
 			inside, outside := splitByRegion(region)
 			w.setCut(c.in, outside, inside)
 			w.setCut(c.out, inside, outside)
-			without := w.runPartitioned(leader, c.leaderStays)
+			leaderless := w.runPartitioned(leader, c.leaderStays)
 			clear(w.cutLinks)
 			healed := w.runUntil("recovery after the heal", 5*time.Second, w.allFollowLeader)
-			if most := 4 * wideConfig.Election; without > most {
-				t.Errorf("%s, seed %d: %v without a leader, more than %v", c.name, seed, without, most)
+			if most := 4 * wideConfig.Election; leaderless > most {
+				t.Errorf("%s, seed %d: %v without a leader, more than %v", c.name, seed, leaderless, most)
 			}
 			if seed == 0 {
-				t.Logf("%s: %v without a leader, recovered %v after the heal, %d reads, %d refused", c.name, without, healed, w.readsConfirmed, w.readsRefused)
+				t.Logf("%s: %v without a leader, recovered %v after the heal, %d reads, %d refused", c.name, leaderless, healed, w.readsConfirmed, w.readsRefused)
 			}
 		}
 	}
@@ -438,13 +438,13 @@
 // returns how long there was no leader.
 func (w *timedSim) runPartitioned(leader *node, leaderStays bool) time.Duration {
 	term, _ := leader.r.Leads()
-	var without time.Duration
+	var leaderless time.Duration
 	for range 600 {
 		w.run(5 * time.Millisecond)
 		w.readFromAll()
 		w.propose()
 		if !w.hasLeader() {
-			without += 5 * time.Millisecond
+			leaderless += 5 * time.Millisecond
 		}
 	}
 	now := w.leader()
@@ -460,7 +460,7 @@
 	case now == leader:
 		w.t.Fatalf("a leader without a quorum still leads")
 	}
-	return without
+	return leaderless
 }
 
 // allFollowLeader reports whether all replicas follow one leader and have its whole log.
