--- a/coordination/place/ledger.go
+++ b/coordination/place/ledger.go
@@ -332,8 +332,8 @@
 // InProgress returns how many requests were placed and have not ended.
 func (l *PromptScheduler) InProgress() int { return len(l.placed) }
 
-// Keep drops the servers that are not listed any more.
-func (l *PromptScheduler) Keep(v *View) {
+// Prune drops the servers that are not listed any more.
+func (l *PromptScheduler) Prune(v *View) {
 	for id, b := range l.servers {
 		if v.Find(id) != nil {
 			continue
--- a/coordination/place/ledger_test.go
+++ b/coordination/place/ledger_test.go
@@ -130,7 +130,7 @@
 			list = append(list, v.Servers[i].Instance)
 		}
 		v = NewView(c.change(l, list, at), v)
-		l.Keep(v)
+		l.Prune(v)
 		again := placeAt(t, l, v, m, start.Add(5*time.Second))
 		if again.Server == first.Server || (again.Holder == first.Server) != c.want || (again.Holder != "") != c.want {
 			t.Errorf("%s: placed at %s with holder %q, first at %s", name, again.Server, again.Holder, first.Server)
@@ -193,7 +193,7 @@
 		if len(l.placed) > 0 {
 			t.Fatalf("%d are kept after an hour", len(l.placed))
 		}
-		l.Keep(fleet(0))
+		l.Prune(fleet(0))
 		if len(l.servers) > 0 {
 			t.Fatal("servers that are gone are kept")
 		}
--- a/transport/control/copies.go
+++ b/transport/control/copies.go
@@ -146,7 +146,7 @@
 	}
 	if news && c.listed {
 		c.view = place.NewView(c.servers, c.view, place.WithRollouts(c.rollouts), place.WithRegions(c.topology))
-		c.places.Keep(c.view)
+		c.places.Prune(c.view)
 	}
 	return nil
 }
--- a/transport/control/list.go
+++ b/transport/control/list.go
@@ -103,7 +103,7 @@
 	close(u.news)
 	u.news = make(chan struct{})
 	u.view = place.NewView(list, u.view, place.WithRollouts(u.logged.Load().Latest), place.WithRegions(u.topology))
-	u.places.Keep(u.view)
+	u.places.Prune(u.view)
 	u.keepLimits()
 	u.common = common{}
 	u.vector.Reset(u.loads.Pack(u.order))
