--- a/coordination/quarantine/broken.go
+++ b/coordination/quarantine/broken.go
@@ -6,43 +6,43 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// BrokenConnections are servers whose connections broke a moment ago, with the requests that were
-// there: a process that ends breaks all of them within 3 ms, as the output of nine gateways
-// showed. The zero value holds none.
+// BrokenConnections collects, by server, the requests whose connections broke a moment ago.
+// A process that ends breaks all of its connections within 3 ms, as measured at nine
+// gateways. The zero value is empty.
 type BrokenConnections struct {
-	runs map[string][]brokenRun
+	byServer map[string][]brokenRequest
 }
 
-// brokenRun is a request whose connection broke.
-type brokenRun struct {
+// brokenRequest is a request whose connection broke.
+type brokenRequest struct {
 	fingerprint protocol.Fingerprint
 	sent        time.Time
 }
 
-// Add notes a request whose connection broke, and reports whether it is the first of its
-// server, which is then to be probed in a while.
+// Add records a request whose connection broke, and reports whether it is the first one of
+// its server. The caller then probes the server after BrokenConnectionWindow.
 func (b *BrokenConnections) Add(server string, f protocol.Fingerprint, sent time.Time) (first bool) {
-	if b.runs == nil {
-		b.runs = map[string][]brokenRun{}
+	if b.byServer == nil {
+		b.byServer = map[string][]brokenRequest{}
 	}
-	list, known := b.runs[server]
-	b.runs[server] = append(list, brokenRun{fingerprint: f, sent: sent})
+	list, known := b.byServer[server]
+	b.byServer[server] = append(list, brokenRequest{fingerprint: f, sent: sent})
 	return !known
 }
 
-// Take returns the requests at a server whose first connection broke at a time, and their
-// fingerprints as they are logged, and forgets them.
+// Take removes and returns the requests of a server whose first connection broke at the
+// given time, and their fingerprints as text for the log.
 func (b *BrokenConnections) Take(server string, broke time.Time) (runs []protocol.ObservedRun, names []string) {
-	for _, r := range b.runs[server] {
+	for _, r := range b.byServer[server] {
 		runs = append(runs, protocol.ObservedRun{Fingerprint: r.fingerprint, Age: broke.Sub(r.sent)})
 		names = append(names, r.fingerprint.String())
 	}
-	delete(b.runs, server)
+	delete(b.byServer, server)
 	return runs, names
 }
 
-// Len returns how many servers are held.
-func (b *BrokenConnections) Len() int { return len(b.runs) }
+// Len returns the number of servers with broken connections.
+func (b *BrokenConnections) Len() int { return len(b.byServer) }
 
-// BrokenConnectionWindow is for how long the broken connections of a server are gathered.
+// BrokenConnectionWindow is how long the broken connections of a server are collected.
 const BrokenConnectionWindow = 20 * time.Millisecond
--- a/coordination/quarantine/fingerprint.go
+++ b/coordination/quarantine/fingerprint.go
@@ -1,4 +1,3 @@
-// Package quarantine recognizes requests under which servers end.
 package quarantine
 
 import (
@@ -12,26 +11,26 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Request is what two sends of one request have in common.
+// Request holds the parts of a request by which it is recognized when it is sent again.
 type Request struct {
-	Caller string // Caller is the workspace, or the key where there is none.
+	Caller string // Caller is the workspace, or the key if there is none.
 	Host   string
-	Path   string // Path is with the query.
+	Path   string // Path includes the query.
 	Body   []byte
 }
 
-// QuickHash returns a hash that is cheap to make: a tenth of a microsecond for a body of 1 KB.
+// QuickHash returns a cheap, non-cryptographic hash: 0.1 µs for a body of 1 KB.
 func (r *Request) QuickHash() uint64 {
 	h := xxhash.New()
-	r.hash(h)
+	r.writeTo(h)
 	return h.Sum64()
 }
 
-// Fingerprint returns the request's fingerprint. Its hash is a cryptographic one: a
-// caller cannot make a request that counts as somebody else's.
+// Fingerprint returns the request's fingerprint. Its hash is cryptographic, so that a caller
+// cannot craft a request with the fingerprint of somebody else's.
 func (r *Request) Fingerprint() protocol.Fingerprint {
 	h := sha256.New()
-	r.hash(h)
+	r.writeTo(h)
 	sum := h.Sum(nil)
 	return protocol.Fingerprint{
 		Quick:   r.QuickHash(),
@@ -39,13 +38,13 @@
 	}
 }
 
-// separator is between two parts; no header holds it.
+// separator separates the parts; it cannot occur in a header.
 const separator = "\x00"
 
-// hash has all parts hashed.
-func (r *Request) hash(h hash.Hash) {
+// writeTo writes all parts to a hash.
+func (r *Request) writeTo(h hash.Hash) {
 	head := strings.Join([]string{r.Caller, r.Host, r.Path, ""}, separator)
 	for _, part := range [][]byte{[]byte(head), r.Body} {
-		_, _ = h.Write(part) // A hash takes everything; see hash.Hash.
+		_, _ = h.Write(part) // hash.Hash never returns an error.
 	}
 }
--- a/coordination/quarantine/gate.go
+++ b/coordination/quarantine/gate.go
@@ -6,194 +6,197 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Filter is what one gateway knows of requests under which servers end: what the leader
-// says, and what it saw itself.
+// Filter decides, on one gateway, which requests may be sent to servers. It knows the
+// requests that the leader holds or watches, and what the gateway observed itself.
 type Filter struct {
-	name    string
-	changes uint64 // changes is the change of the quarantine that is kept to.
-	held    map[protocol.Fingerprint]*heldRequest
-	watched map[protocol.Fingerprint]bool
-	mark    uint64          // mark names the watched requests.
-	quick   map[uint64]bool // quick are the quick hashes of all these.
-	well    *WellEnds
-	seen    Observations
-	own     *Table // own is what this gateway saw, by which it goes while it hears of no leader.
-}
-
-// heldRequest is a request that is kept from servers.
+	name         string
+	changes      uint64 // changes is the counter of quarantine changes up to which held is current.
+	held         map[protocol.Fingerprint]*heldRequest
+	watched      map[protocol.Fingerprint]bool
+	watchMark    uint64          // watchMark identifies the list of watched requests.
+	quickHashes  map[uint64]bool // quickHashes are those of all held and watched requests.
+	successes    *SuccessCache
+	observations Observations
+	crashes      *CrashTable // crashes are those seen by this gateway, which it uses while it gets no answer from a leader.
+}
+
+// heldRequest is a request that may not be sent to servers.
 type heldRequest struct {
 	protocol.HeldRequest
-	used int // used is the latest trial that was made here.
+	usedTrial int // usedTrial is the latest trial that this gateway made.
 }
 
-// NewFilter returns what a gateway with a name knows at its start: nothing.
+// NewFilter returns the filter of the named gateway, without held or watched requests.
 func NewFilter(name string, now time.Time) *Filter {
 	return &Filter{
-		name:    name,
-		held:    map[protocol.Fingerprint]*heldRequest{},
-		watched: map[protocol.Fingerprint]bool{},
-		quick:   map[uint64]bool{},
-		well:    NewWellEnds(now),
-		own:     NewTable(),
+		name:        name,
+		held:        map[protocol.Fingerprint]*heldRequest{},
+		watched:     map[protocol.Fingerprint]bool{},
+		quickHashes: map[uint64]bool{},
+		successes:   NewSuccessCache(now),
+		crashes:     NewCrashTable(),
 	}
 }
 
-// ApplyUpdate takes the leader's word on what is held and watched; nil is for no change.
-func (g *Filter) ApplyUpdate(n *protocol.QuarantineNews, w *protocol.WatchNews, now time.Time) {
+// ApplyUpdate applies the leader's changes of held and of watched requests; nil means no
+// change.
+func (q *Filter) ApplyUpdate(n *protocol.QuarantineNews, w *protocol.WatchNews, now time.Time) {
 	if n != nil {
-		g.take(n)
+		q.applyChanges(n)
 	}
 	if w != nil {
-		g.watch(w.Requests, now)
+		q.setWatched(w.Requests, now)
 	}
 	if n != nil || w != nil {
-		g.index()
+		q.rebuildIndex()
 	}
 }
 
-// take takes what changed of what is held.
-func (g *Filter) take(n *protocol.QuarantineNews) {
-	before := g.held
+// applyChanges applies changes of the held requests.
+func (q *Filter) applyChanges(n *protocol.QuarantineNews) {
+	before := q.held
 	if n.Whole {
-		g.held = make(map[protocol.Fingerprint]*heldRequest, len(n.Held))
+		q.held = make(map[protocol.Fingerprint]*heldRequest, len(n.Held))
 	}
 	for _, f := range n.Free {
-		delete(g.held, f)
+		delete(q.held, f)
 	}
 	for i := range n.Held {
 		next := &heldRequest{HeldRequest: n.Held[i]}
 		if old := before[next.Fingerprint]; old != nil && old.Trials <= next.Trials {
-			next.used = old.used // Fewer trials are of one that was freed and is held anew.
+			next.usedTrial = old.usedTrial // Fewer trials mean that the request was released and is held anew.
 		}
-		g.held[next.Fingerprint] = next
+		q.held[next.Fingerprint] = next
 	}
-	g.changes = n.Changes
+	q.changes = n.Changes
 }
 
-// watch takes the requests whose good ends are to be reported, and reports those of a moment ago.
-func (g *Filter) watch(list []protocol.Fingerprint, now time.Time) {
-	before := g.watched
-	g.watched, g.mark = make(map[protocol.Fingerprint]bool, len(list)), protocol.WatchMark(list)
+// setWatched replaces the requests whose successes are reported, and reports the successes
+// that newly watched ones had within the last trustTime.
+func (q *Filter) setWatched(list []protocol.Fingerprint, now time.Time) {
+	before := q.watched
+	q.watched, q.watchMark = make(map[protocol.Fingerprint]bool, len(list)), protocol.WatchMark(list)
 	for _, f := range list {
-		g.watched[f] = true
-		if ago, ok := g.well.Ago(f.Quick, now); ok && !before[f] {
-			g.sawWell(f, now.Add(-ago))
+		q.watched[f] = true
+		if ago, ok := q.successes.Age(f.Quick, now); ok && !before[f] {
+			q.reportSuccess(f, now.Add(-ago))
 		}
 	}
 }
 
-// index renews the quick hashes.
-func (g *Filter) index() {
-	g.quick = make(map[uint64]bool, len(g.held)+len(g.watched))
-	for f := range g.held {
-		g.quick[f.Quick] = true
+// rebuildIndex recomputes the quick hashes.
+func (q *Filter) rebuildIndex() {
+	q.quickHashes = make(map[uint64]bool, len(q.held)+len(q.watched))
+	for f := range q.held {
+		q.quickHashes[f.Quick] = true
 	}
-	for f := range g.watched {
-		g.quick[f.Quick] = true
+	for f := range q.watched {
+		q.quickHashes[f.Quick] = true
 	}
 }
 
-// sawWell keeps a good end for the next reports.
-func (g *Filter) sawWell(f protocol.Fingerprint, at time.Time) {
-	g.seen.Add(protocol.Observation{Runs: []protocol.ObservedRun{{Fingerprint: f}}}, at)
+// reportSuccess adds a success to the observations to be reported.
+func (q *Filter) reportSuccess(f protocol.Fingerprint, at time.Time) {
+	q.observations.Add(protocol.Observation{Runs: []protocol.ObservedRun{{Fingerprint: f}}}, at)
 }
 
-// Held returns how many requests are kept from servers.
-func (g *Filter) Held() int { return len(g.held) }
+// Held returns the number of held requests.
+func (q *Filter) Held() int { return len(q.held) }
 
-// SyncState returns the change of the quarantine that is kept to, and the mark of the
-// requests that are watched.
-func (g *Filter) SyncState() (changes, watched uint64) { return g.changes, g.mark }
+// SyncState returns the counter of quarantine changes that this filter is at, and the mark
+// of the list of watched requests.
+func (q *Filter) SyncState() (changes, watched uint64) { return q.changes, q.watchMark }
 
-// Report returns the observations that the leader of a term lacks.
-func (g *Filter) Report(term uint64, now time.Time) []protocol.Observation {
-	return g.seen.Report(term, now)
+// Report returns the observations that the leader of a term does not have yet.
+func (q *Filter) Report(term uint64, now time.Time) []protocol.Observation {
+	return q.observations.Report(term, now)
 }
 
-// Acknowledged notes that the leader of a term has a report.
-func (g *Filter) Acknowledged(term uint64, list []protocol.Observation) {
-	g.seen.Acknowledged(term, list)
+// Acknowledged marks a report as received by the leader of a term.
+func (q *Filter) Acknowledged(term uint64, list []protocol.Observation) {
+	q.observations.Acknowledged(term, list)
 }
 
-// RecordCrash keeps that a server ended unannounced under requests.
-func (g *Filter) RecordCrash(server string, runs []protocol.ObservedRun, now time.Time) {
+// RecordCrash records that a server crashed with the given requests running on it.
+func (q *Filter) RecordCrash(server string, runs []protocol.ObservedRun, now time.Time) {
 	for i := range runs {
-		if ago, ok := g.well.Ago(runs[i].Quick, now); ok {
+		if ago, ok := q.successes.Age(runs[i].Quick, now); ok {
 			runs[i].Well = ago
 		}
 	}
 	o := protocol.Observation{Server: server, Runs: runs}
-	g.seen.Add(o, now)
-	g.own.Update(ObservedMsg{Now: now, Gateway: g.name, Observation: o})
+	q.observations.Add(o, now)
+	q.crashes.Update(ObservedMsg{Now: now, Gateway: q.name, Observation: o})
 }
 
-// RecordSuccess notes that a request was answered by its server. Its fingerprint is asked for
-// only where it counts.
-func (g *Filter) RecordSuccess(quick uint64, fingerprint func() protocol.Fingerprint, now time.Time) {
-	g.well.Note(quick, now)
-	if !g.quick[quick] {
+// RecordSuccess records that a server completed a request. The fingerprint is computed only
+// if the quick hash matches a held or watched request.
+func (q *Filter) RecordSuccess(quick uint64, fingerprint func() protocol.Fingerprint, now time.Time) {
+	q.successes.Add(quick, now)
+	if !q.quickHashes[quick] {
 		return
 	}
-	if f := fingerprint(); g.watched[f] || g.held[f] != nil {
-		g.sawWell(f, now)
+	if f := fingerprint(); q.watched[f] || q.held[f] != nil {
+		q.reportSuccess(f, now)
 	}
 }
 
-// Decision is whether a request may be sent to a server.
+// Decision says whether a request may be sent to a server.
 type Decision struct {
-	Held    bool  // Held says that it is kept from servers.
-	Servers int   // Servers are those that ended under it.
-	Until   int64 // Until is when it is tried next, in ms since 1970; 0 where only this gateway holds it.
-	Trial   int   // Trial is the trial by which it passes; 0 for none.
+	Held    bool  // Held means that the request may not be sent.
+	Servers int   // Servers is the number of servers that crashed under it.
+	Until   int64 // Until is the time of the next trial, in ms since 1970; 0 if only this gateway holds it.
+	Trial   int   // Trial is the number of the trial that lets it pass; 0 for none.
 }
 
-// leastHeld is the least Retry-After of the caller of a held request.
-const leastHeld = time.Second
+// minRetryAfter is the least Retry-After for a held request.
+const minRetryAfter = time.Second
 
-// Refusal returns the refusal of a held request at a time of day: it has not run, this
-// time, and is to come back when it is tried next.
-func (p Decision) Refusal(date time.Time) *protocol.Refusal {
-	wait := leastHeld
-	if p.Until > 0 {
-		wait = max(wait, time.UnixMilli(p.Until).Sub(date))
+// Refusal returns the refusal of a held request. It states that this send was not run, and
+// its Retry-After is the time until the next trial.
+func (d Decision) Refusal(timeOfDay time.Time) *protocol.Refusal {
+	wait := minRetryAfter
+	if d.Until > 0 {
+		wait = max(wait, time.UnixMilli(d.Until).Sub(timeOfDay))
 	}
-	r := protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeQuarantined, "%d servers ended under this request: it is kept from others", p.Servers)
+	r := protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeQuarantined, "%d servers ended under this request: it is kept from others", d.Servers)
 	return r.WithRetryAfter(wait)
 }
 
-// Check returns whether a request may be sent. With use, a trial by which it passes is used
-// up. Alone says that the gateway has not heard from a leader of late.
-func (g *Filter) Check(quick uint64, fingerprint func() protocol.Fingerprint, use, alone bool, now time.Time) Decision {
-	h := g.find(quick, fingerprint)
+// Check decides whether a request may be sent. If use is set, a trial that lets it pass is
+// used up. leaderless means that the gateway has not heard from a leader recently.
+func (q *Filter) Check(quick uint64, fingerprint func() protocol.Fingerprint, use, leaderless bool, now time.Time) Decision {
+	h := q.find(quick, fingerprint)
 	switch {
-	case h != nil && h.Trial == g.name && h.Trials > h.used:
+	case h != nil && h.Trial == q.name && h.Trials > h.usedTrial:
 		if use {
-			h.used = h.Trials
+			h.usedTrial = h.Trials
 		}
 		return Decision{Servers: h.Servers, Trial: h.Trials}
 	case h != nil:
 		return Decision{Held: true, Servers: h.Servers, Until: h.Until}
-	case alone && g.heldAlone(quick, fingerprint, now):
-		return Decision{Held: true, Servers: holdAfter}
+	case leaderless && q.heldLocally(quick, fingerprint, now):
+		return Decision{Held: true, Servers: holdThreshold}
 	}
 	return Decision{}
 }
 
-// find returns the held request that this one is, or nil.
-func (g *Filter) find(quick uint64, fingerprint func() protocol.Fingerprint) *heldRequest {
-	if len(g.held) == 0 || !g.quick[quick] {
+// find returns the held request with the same fingerprint, or nil.
+func (q *Filter) find(quick uint64, fingerprint func() protocol.Fingerprint) *heldRequest {
+	if len(q.held) == 0 || !q.quickHashes[quick] {
 		return nil
 	}
-	return g.held[fingerprint()]
+	return q.held[fingerprint()]
 }
 
-// heldAlone reports whether enough servers ended under the request at this gateway.
-func (g *Filter) heldAlone(quick uint64, fingerprint func() protocol.Fingerprint, now time.Time) bool {
-	if !g.own.Any() {
+// heldLocally reports whether this gateway saw enough servers crash under the request, and
+// no success within trustTime.
+func (q *Filter) heldLocally(quick uint64, fingerprint func() protocol.Fingerprint, now time.Time) bool {
+	if !q.crashes.HasCrashes() {
 		return false
 	}
-	if _, well := g.well.Ago(quick, now); well {
+	if _, succeeded := q.successes.Age(quick, now); succeeded {
 		return false
 	}
-	return g.own.Condemns(fingerprint(), now)
+	return q.crashes.ShouldHold(fingerprint(), now)
 }
--- a/coordination/quarantine/gate_test.go
+++ b/coordination/quarantine/gate_test.go
@@ -8,140 +8,143 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// gateway is a gate in a time of its own.
-type gateway struct {
+// testGateway is a filter with a simulated clock.
+type testGateway struct {
 	*Filter
 	now time.Time
 }
 
-func newGateway() *gateway { return &gateway{Filter: NewFilter("g", day), now: day} }
+func newTestGateway() *testGateway {
+	return &testGateway{Filter: NewFilter("g", startTime), now: startTime}
+}
 
-// passes asks for a request, and uses up a trial.
-func (g *gateway) passes(name string, alone bool) bool {
-	return !g.Check(named(name).Quick, func() protocol.Fingerprint { return named(name) }, true, alone, g.now).Held
+// allows checks a request, and uses up a trial.
+func (g *testGateway) allows(name string, leaderless bool) bool {
+	return !g.Check(fingerprintOf(name).Quick, func() protocol.Fingerprint { return fingerprintOf(name) }, true, leaderless, g.now).Held
 }
 
-// endsWell has a request be answered.
-func (g *gateway) endsWell(name string) {
-	g.RecordSuccess(named(name).Quick, func() protocol.Fingerprint { return named(name) }, g.now)
+// succeed records a success of a request.
+func (g *testGateway) succeed(name string) {
+	g.RecordSuccess(fingerprintOf(name).Quick, func() protocol.Fingerprint { return fingerprintOf(name) }, g.now)
 }
 
-// hears tells the gate of requests that are held, tried so often at gateway "g".
-func (g *gateway) hears(change uint64, whole bool, trials int, names ...string) {
-	n := &protocol.QuarantineNews{Changes: change, Whole: whole}
+// update sends the filter held requests with a number of trials at gateway "g".
+func (g *testGateway) update(change uint64, full bool, trials int, names ...string) {
+	n := &protocol.QuarantineNews{Changes: change, Whole: full}
 	for _, name := range names {
-		n.Held = append(n.Held, protocol.HeldRequest{Fingerprint: named(name), Servers: 3, Trials: trials, Trial: "g"})
+		n.Held = append(n.Held, protocol.HeldRequest{Fingerprint: fingerprintOf(name), Servers: 3, Trials: trials, Trial: "g"})
 	}
 	g.ApplyUpdate(n, nil, g.now)
 }
 
-// TestGateFollowsTheLeader checks what passes behind news of changes, of the whole, and of
-// a request that is free.
-func TestGateFollowsTheLeader(t *testing.T) {
-	g := newGateway()
-	g.hears(1, true, 0, "a")
-	g.hears(2, false, 0, "b")
-	if g.passes("a", false) || g.passes("b", false) || !g.passes("c", false) {
-		t.Error("behind changes not just a and b are held")
+// TestFilterAppliesUpdates checks the decisions after incremental updates, after a full
+// update, and after a request was released.
+func TestFilterAppliesUpdates(t *testing.T) {
+	g := newTestGateway()
+	g.update(1, true, 0, "a")
+	g.update(2, false, 0, "b")
+	if g.allows("a", false) || g.allows("b", false) || !g.allows("c", false) {
+		t.Error("after incremental updates: want a and b held, c not held")
 	}
-	g.hears(3, true, 0, "c")
-	if !g.passes("a", false) || g.passes("c", false) || g.Held() != 1 {
-		t.Error("behind the whole not just c is held")
+	g.update(3, true, 0, "c")
+	if !g.allows("a", false) || g.allows("c", false) || g.Held() != 1 {
+		t.Error("after a full update: want only c held")
 	}
-	g.ApplyUpdate(&protocol.QuarantineNews{Changes: 4, Free: []protocol.Fingerprint{named("c")}}, nil, g.now)
-	if !g.passes("c", false) {
-		t.Error("c is held though it is free")
+	g.ApplyUpdate(&protocol.QuarantineNews{Changes: 4, Free: []protocol.Fingerprint{fingerprintOf("c")}}, nil, g.now)
+	if !g.allows("c", false) {
+		t.Error("c is still held after it was released")
 	}
 	if changes, _ := g.SyncState(); changes != 4 {
-		t.Errorf("keeps to change %d", changes)
+		t.Errorf("at change %d, want 4", changes)
 	}
 }
 
-// TestTrialsAreUsedOnce checks that a trial passes once however often it is told, that the
-// next one passes again, and that those of a request which was freed and is held anew count
-// from the start.
+// TestTrialsAreUsedOnce checks that a trial lets a request pass once, however often it is
+// announced, that the next trial lets it pass again, and that trials are counted from the
+// start if a request was released and is held anew.
 func TestTrialsAreUsedOnce(t *testing.T) {
-	g := newGateway()
+	g := newTestGateway()
 	for i, step := range []struct {
-		trials int
-		passes bool
+		trials  int
+		allowed bool
 	}{{0, false}, {1, true}, {1, false}, {2, true}, {2, false}, {0, false}, {1, true}, {1, false}} {
-		g.hears(uint64(i+1), false, step.trials, "a")
-		if got := g.passes("a", false); got != step.passes {
-			t.Errorf("step %d, trial %d: passes %v", i, step.trials, got)
+		g.update(uint64(i+1), false, step.trials, "a")
+		if got := g.allows("a", false); got != step.allowed {
+			t.Errorf("step %d, trial %d: allowed %v", i, step.trials, got)
 		}
 	}
 }
 
-// TestGoodEndsAreTold checks which good ends a gateway tells: those of requests that are
-// held or watched, also of a moment before they were.
-func TestGoodEndsAreTold(t *testing.T) {
-	told := func(g *gateway) int { return len(g.Report(1, g.now)) }
-	g := newGateway()
-	g.endsWell("a")
-	if told(g) != 0 {
-		t.Error("told of a request that nobody asks for")
+// TestSuccessesAreReported checks which successes a gateway reports: those of requests that
+// are held or watched, including a success shortly before they were watched.
+func TestSuccessesAreReported(t *testing.T) {
+	reported := func(g *testGateway) int { return len(g.Report(1, g.now)) }
+	g := newTestGateway()
+	g.succeed("a")
+	if reported(g) != 0 {
+		t.Error("reported a success of a request that is not watched")
 	}
-	g.ApplyUpdate(nil, &protocol.WatchNews{Requests: []protocol.Fingerprint{named("a")}}, g.now.Add(time.Second))
-	if told(g) != 1 {
-		t.Error("not told of a good end of a moment ago")
+	g.ApplyUpdate(nil, &protocol.WatchNews{Requests: []protocol.Fingerprint{fingerprintOf("a")}}, g.now.Add(time.Second))
+	if reported(g) != 1 {
+		t.Error("did not report a recent success of a newly watched request")
 	}
-	g.hears(1, false, 1, "b")
-	g.endsWell("b")
-	if told(g) != 2 {
-		t.Error("not told of a trial that ended well")
+	g.update(1, false, 1, "b")
+	g.succeed("b")
+	if reported(g) != 2 {
+		t.Error("did not report a successful trial")
 	}
-	late := newGateway()
-	late.endsWell("a")
-	late.ApplyUpdate(nil, &protocol.WatchNews{Requests: []protocol.Fingerprint{named("a")}}, late.now.Add(2*trustTime))
-	if told(late) != 0 {
-		t.Error("told of a good end of long ago")
+	late := newTestGateway()
+	late.succeed("a")
+	late.ApplyUpdate(nil, &protocol.WatchNews{Requests: []protocol.Fingerprint{fingerprintOf("a")}}, late.now.Add(2*trustTime))
+	if reported(late) != 0 {
+		t.Error("reported a success that is too old")
 	}
 }
 
-// TestGateAlone checks that a gateway without a leader holds a request under which it saw
-// enough servers end, and none that ended well of late; with a leader it goes by his word.
-func TestGateAlone(t *testing.T) {
-	for _, well := range []bool{false, true} {
-		g := newGateway()
-		for i := range holdAfter {
-			g.RecordCrash(fmt.Sprint("server-", i), []protocol.ObservedRun{{Fingerprint: named("a"), Age: time.Millisecond}}, g.now)
+// TestFilterWithoutLeader checks that a gateway without a leader holds a request under which
+// it saw enough servers crash, unless the request succeeded recently, and that a gateway
+// with a leader holds only what the leader says.
+func TestFilterWithoutLeader(t *testing.T) {
+	for _, succeeded := range []bool{false, true} {
+		g := newTestGateway()
+		for i := range holdThreshold {
+			g.RecordCrash(fmt.Sprint("server-", i), []protocol.ObservedRun{{Fingerprint: fingerprintOf("a"), Age: time.Millisecond}}, g.now)
 			g.now = g.now.Add(time.Second)
 		}
-		if well {
-			g.endsWell("a")
+		if succeeded {
+			g.succeed("a")
 		}
-		if got := g.passes("a", true); got != well {
-			t.Errorf("ended well %v: passes %v alone", well, got)
+		if got := g.allows("a", true); got != succeeded {
+			t.Errorf("succeeded %v: allowed %v without a leader", succeeded, got)
 		}
-		if !g.passes("a", false) {
-			t.Errorf("ended well %v: held though a leader says nothing of it", well)
+		if !g.allows("a", false) {
+			t.Errorf("succeeded %v: held, though the leader does not hold it", succeeded)
 		}
 	}
 }
 
-// TestGoodEndsBeforeAnEndAreTold checks that an observation tells when its requests had
-// last ended well.
-func TestGoodEndsBeforeAnEndAreTold(t *testing.T) {
-	g := newGateway()
-	g.endsWell("a")
+// TestPriorSuccessIsReportedWithCrash checks that the observation of a crash says when its
+// requests had last succeeded.
+func TestPriorSuccessIsReportedWithCrash(t *testing.T) {
+	g := newTestGateway()
+	g.succeed("a")
 	g.now = g.now.Add(2 * time.Second)
-	g.RecordCrash("server", []protocol.ObservedRun{{Fingerprint: named("a")}, {Fingerprint: named("b")}}, g.now)
+	g.RecordCrash("server", []protocol.ObservedRun{{Fingerprint: fingerprintOf("a")}, {Fingerprint: fingerprintOf("b")}}, g.now)
 	runs := g.Report(1, g.now)[0].Runs
 	if runs[0].Well != 2*time.Second || runs[1].Well != 0 {
-		t.Errorf("told %+v", runs)
+		t.Errorf("reported %+v", runs)
 	}
 }
 
-// TestPassageRefusal checks that a refusal is of this send alone and says when the request
-// is tried next, or that a gateway alone does not know.
-func TestPassageRefusal(t *testing.T) {
-	for until, want := range map[time.Time]time.Duration{{}: leastHeld, day.Add(-time.Second): leastHeld, day.Add(time.Minute): time.Minute} {
-		p := Decision{Held: true, Servers: 3}
+// TestDecisionRefusal checks that a refusal is for this send alone, and that its Retry-After
+// is the time until the next trial, or the minimum if that time is unknown.
+func TestDecisionRefusal(t *testing.T) {
+	for until, want := range map[time.Time]time.Duration{{}: minRetryAfter, startTime.Add(-time.Second): minRetryAfter, startTime.Add(time.Minute): time.Minute} {
+		d := Decision{Held: true, Servers: 3}
 		if !until.IsZero() {
-			p.Until = until.UnixMilli()
+			d.Until = until.UnixMilli()
 		}
-		r := p.Refusal(day)
+		r := d.Refusal(startTime)
 		if r.RetryAfter != want || r.Verdict != protocol.NotRun || r.Status != protocol.StatusServiceUnavailable {
 			t.Errorf("until %v: %+v", until, r)
 		}
--- a/coordination/quarantine/judge.go
+++ b/coordination/quarantine/judge.go
@@ -7,20 +7,21 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Judge returns what is to change in the log at a time: now by the clock of the table's
-// messages, and date by the time of day. It returns the same until the log has it.
-func (t *Table) Judge(now, date time.Time) protocol.QuarantineMsg {
+// Decide returns the changes to write to the Raft log. now is on the clock of the table's
+// messages, timeOfDay is the wall-clock time. It returns the same changes until they are in
+// the log.
+func (t *CrashTable) Decide(now, timeOfDay time.Time) protocol.QuarantineMsg {
 	var m protocol.QuarantineMsg
 	for f := range t.suspects {
-		if t.held[f] == nil && t.Condemns(f, now) {
-			m.Hold = append(m.Hold, protocol.HoldRequest{Fingerprint: f, Servers: t.weight(f)})
+		if t.held[f] == nil && t.ShouldHold(f, now) {
+			m.Hold = append(m.Hold, protocol.HoldRequest{Fingerprint: f, Servers: t.crashCount(f)})
 		}
 	}
 	for f, q := range t.held {
 		switch {
-		case t.harmless(f):
+		case t.isCleared(f):
 			m.Free = append(m.Free, f)
-		case q.Until <= date.UnixMilli(), q.Trials == 0 && t.doubtful(f, now):
+		case q.Until <= timeOfDay.UnixMilli(), q.Trials == 0 && t.isDoubtful(f, now):
 			m.Try = append(m.Try, protocol.TryRequest{Fingerprint: f, Gateway: t.lastGateway(f), Trials: q.Trials})
 		}
 	}
@@ -30,30 +31,30 @@
 	return m
 }
 
-// Any reports whether any server ended.
-func (t *Table) Any() bool { return len(t.crashes) > 0 }
+// HasCrashes reports whether any crash is recorded.
+func (t *CrashTable) HasCrashes() bool { return len(t.crashes) > 0 }
 
-// Condemns reports whether a request would be held.
-func (t *Table) Condemns(f protocol.Fingerprint, now time.Time) bool {
-	return t.suspects[f] != nil && len(t.against(f, now)) >= holdAfter
+// ShouldHold reports whether the crashes are enough to hold a request.
+func (t *CrashTable) ShouldHold(f protocol.Fingerprint, now time.Time) bool {
+	return t.suspects[f] != nil && len(t.settledCrashes(f, now)) >= holdThreshold
 }
 
-// against returns the servers that speak against a request, of which all gateways that saw
-// them end have had the time to tell.
-func (t *Table) against(f protocol.Fingerprint, now time.Time) []*crash {
-	all := t.suspects[f].since()
-	if len(all) < holdAfter {
+// settledCrashes returns the crashes that count against a request and were reported at
+// least settleTime ago, so that all gateways have had the time to report them.
+func (t *CrashTable) settledCrashes(f protocol.Fingerprint, now time.Time) []*crash {
+	all := t.suspects[f].crashesSinceSuccess()
+	if len(all) < holdThreshold {
 		return nil
 	}
 	return slices.DeleteFunc(slices.Clone(all), func(c *crash) bool { return now.Sub(c.reportedAt) < settleTime })
 }
 
-// weight returns at how many servers that ended a request was: those of the table or, of
-// one that is held, those in the log, which an earlier leader saw.
-func (t *Table) weight(f protocol.Fingerprint) int {
+// crashCount returns the number of servers that crashed under a request. For a held one it
+// is at least the number in the log, as an earlier leader may have seen more.
+func (t *CrashTable) crashCount(f protocol.Fingerprint) int {
 	n := 0
 	if s := t.suspects[f]; s != nil {
-		n = len(s.since())
+		n = len(s.crashesSinceSuccess())
 	}
 	if q := t.held[f]; q != nil {
 		return max(n, q.Servers)
@@ -61,42 +62,43 @@
 	return n
 }
 
-// harmless reports whether a request that is held ended well, so that too few servers are
-// left that speak against it.
-func (t *Table) harmless(f protocol.Fingerprint) bool {
+// isCleared reports whether a held request succeeded, so that the crashes since then are
+// below the threshold.
+func (t *CrashTable) isCleared(f protocol.Fingerprint) bool {
 	s := t.suspects[f]
-	return s != nil && !s.ranAt.IsZero() && len(s.since()) < holdAfter
+	return s != nil && !s.succeededAt.IsZero() && len(s.crashesSinceSuccess()) < holdThreshold
 }
 
-// doubtful reports whether a request that is held may well be harmless, and is to be tried
-// at once: fewer than holdAfter servers ended under it one after the other, that no other
-// request explains as well. What was under way when it was held has ended by then.
-func (t *Table) doubtful(f protocol.Fingerprint, now time.Time) bool {
+// isDoubtful reports whether a held request may well be harmless and should be tried early:
+// fewer than holdThreshold servers crashed under it one after the other without another
+// request that explains the crash as well. It waits for doubtfulDelay, after which the
+// requests that were running when it was held have ended.
+func (t *CrashTable) isDoubtful(f protocol.Fingerprint, now time.Time) bool {
 	s := t.suspects[f]
 	if s == nil || len(s.crashes) == 0 {
-		return false // Nothing is known but what the log says.
+		return false // Only the log knows of the request.
 	}
-	if now.Sub(s.crashes[len(s.crashes)-1].reportedAt) < proofTime {
+	if now.Sub(s.crashes[len(s.crashes)-1].reportedAt) < doubtfulDelay {
 		return false
 	}
-	list := slices.DeleteFunc(slices.Clone(s.since()), func(c *crash) bool { return t.explained(c, f) })
-	return waves(f, list) < holdAfter
+	list := slices.DeleteFunc(slices.Clone(s.crashesSinceSuccess()), func(c *crash) bool { return t.hasOtherExplanation(c, f) })
+	return countSequential(f, list) < holdThreshold
 }
 
-// explained reports whether another request at a server that ended was at as many others
-// as f, or more.
-func (t *Table) explained(c *crash, f protocol.Fingerprint) bool {
+// hasOtherExplanation reports whether another request at a crashed server was at as many
+// crashed servers as f, or at more.
+func (t *CrashTable) hasOtherExplanation(c *crash, f protocol.Fingerprint) bool {
 	for other := range c.runs {
-		if other != f && t.weight(other) >= t.weight(f) {
+		if other != f && t.crashCount(other) >= t.crashCount(f) {
 			return true
 		}
 	}
 	return false
 }
 
-// waves counts the servers that ended one after the other: each under a request that was
-// sent after the one before had ended.
-func waves(f protocol.Fingerprint, list []*crash) int {
+// countSequential counts the crashes that happened one after the other: each under a request
+// that was sent after the previous crash.
+func countSequential(f protocol.Fingerprint, list []*crash) int {
 	n := 0
 	var last *crash
 	for _, c := range list {
@@ -108,9 +110,9 @@
 	return n
 }
 
-// lastGateway returns the gateway that sent a request last to a server which ended; empty
-// where none is known.
-func (t *Table) lastGateway(f protocol.Fingerprint) string {
+// lastGateway returns the gateway that last sent a request to a server that crashed under
+// it; empty if unknown.
+func (t *CrashTable) lastGateway(f protocol.Fingerprint) string {
 	s := t.suspects[f]
 	if s == nil || len(s.crashes) == 0 {
 		return ""
--- a/coordination/quarantine/keeper.go
+++ b/coordination/quarantine/keeper.go
@@ -6,38 +6,40 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Coordinator is what the leader of a term knows, and decides.
+// Coordinator is the part of the quarantine that runs on the leader of a term. It collects
+// the observations of gateways and decides on changes.
 type Coordinator struct {
-	table   *Table
-	changes uint64 // changes is the change of the quarantine that the table follows.
+	table   *CrashTable
+	changes uint64 // changes is the counter of quarantine changes in the log that the table is at.
 	watched []protocol.Fingerprint
 }
 
-// NewCoordinator returns a keeper without reports.
-func NewCoordinator() *Coordinator { return &Coordinator{table: NewTable()} }
+// NewCoordinator returns a coordinator without observations.
+func NewCoordinator() *Coordinator { return &Coordinator{table: NewCrashTable()} }
 
-// AddObservations takes what a gateway observed. The ends of servers that leave speak against nobody.
-func (k *Coordinator) AddObservations(gateway string, list []protocol.Observation, leaves func(server string) bool, now time.Time) {
+// AddObservations adds the observations of a gateway. Crashes of servers that are leaving
+// are ignored.
+func (c *Coordinator) AddObservations(gateway string, list []protocol.Observation, isLeaving func(server string) bool, now time.Time) {
 	for i := range list {
-		if server := list[i].Server; server == "" || !leaves(server) {
-			k.table.Update(ObservedMsg{Now: now, Gateway: gateway, Observation: list[i]})
+		if server := list[i].Server; server == "" || !isLeaving(server) {
+			c.table.Update(ObservedMsg{Now: now, Gateway: gateway, Observation: list[i]})
 		}
 	}
 }
 
-// IgnoreCrash has the end of a server speak against nobody.
-func (k *Coordinator) IgnoreCrash(server string) { k.table.Update(ExcusedMsg{Server: server}) }
+// IgnoreCrash removes the crash of a server, so that it counts against no request.
+func (c *Coordinator) IgnoreCrash(server string) { c.table.Update(IgnoreCrashMsg{Server: server}) }
 
-// Decide returns what is to change in the log; see [Table.Judge].
-func (k *Coordinator) Decide(l *protocol.QuarantineLog, now, date time.Time) protocol.QuarantineMsg {
-	if l.Changes != k.changes {
-		k.changes = l.Changes
-		k.table.Update(LoggedMsg{Entries: l.Entries})
+// Decide returns the changes to write to the log; see [CrashTable.Decide].
+func (c *Coordinator) Decide(l *protocol.QuarantineLog, now, timeOfDay time.Time) protocol.QuarantineMsg {
+	if l.Changes != c.changes {
+		c.changes = l.Changes
+		c.table.Update(LogStateMsg{Entries: l.Entries})
 	}
-	k.watched = k.table.Watched()
-	return k.table.Judge(now, date)
+	c.watched = c.table.Watched()
+	return c.table.Decide(now, timeOfDay)
 }
 
-// Watched returns the requests whose good ends gateways are to tell, as of the last
+// Watched returns the requests whose successes gateways should report, as of the last
 // decision.
-func (k *Coordinator) Watched() []protocol.Fingerprint { return k.watched }
+func (c *Coordinator) Watched() []protocol.Fingerprint { return c.watched }
--- a/coordination/quarantine/message.go
+++ b/coordination/quarantine/message.go
@@ -6,25 +6,25 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Msg is a message to a table.
+// Msg is a message to a [CrashTable].
 type Msg interface{ msg() }
 
-// ObservedMsg is what a gateway saw. The same may come several times.
+// ObservedMsg is an observation of a gateway. It may arrive more than once.
 type ObservedMsg struct {
 	Now         time.Time
 	Gateway     string
 	Observation protocol.Observation
 }
 
-// ExcusedMsg names a server that ended for another reason than its requests.
-type ExcusedMsg struct {
+// IgnoreCrashMsg names a server that crashed for a reason other than its requests.
+type IgnoreCrashMsg struct {
 	Server string
-	Start  int64 // Start is when it had started; see protocol.Observation.
+	Start  int64 // Start is when the server had started; see protocol.Observation.
 }
 
-// LoggedMsg is the quarantine as the log has it.
-type LoggedMsg struct{ Entries []protocol.Quarantined }
+// LogStateMsg is the state of the quarantine in the log.
+type LogStateMsg struct{ Entries []protocol.Quarantined }
 
-func (ObservedMsg) msg() {}
-func (ExcusedMsg) msg()  {}
-func (LoggedMsg) msg()   {}
+func (ObservedMsg) msg()    {}
+func (IgnoreCrashMsg) msg() {}
+func (LogStateMsg) msg()    {}
--- a/coordination/quarantine/quarantine.go
+++ b/coordination/quarantine/quarantine.go
@@ -1,23 +1,22 @@
-// Package quarantine decides which requests are kept from servers because servers end
-// under them.
+// Package quarantine finds requests that crash backend servers, and holds them: they are
+// no longer sent to servers.
 //
-// A request may end each server that begins to run it, and come again with another id.
-// Gateways observe which requests were at a server when it ended unannounced, and tell
-// the leader. A [Table] holds these observations together: [Table.Update] takes a message,
-// [Table.Judge] returns what is to change. It reads no clock and does no I/O.
+// Such a request may crash each server that starts to run it, and arrive again under another
+// id. Gateways observe which requests were running on a server when it crashed, and report
+// them to the leader. A [CrashTable] combines these observations: [CrashTable.Update] takes
+// a message, [CrashTable.Decide] returns changes. It reads no clock and does no I/O.
 //
-// Most requests at such a server are harmless and ran beside the one that ended it. A
-// request is held once [holdAfter] servers ended under it, and neither of these speaks for
-// it:
+// Most requests on a crashed server are harmless, and ran beside the one that crashed it.
+// A request is held once [holdThreshold] servers crashed under it, except if:
 //
-//   - It ran to a good end a short time before, or at any time after.
-//   - The servers are known to have ended for another reason.
+//   - it succeeded a short time before the crashes, or at any time after them, or
+//   - the servers are known to have ended for another reason.
 //
-// That holds harmless ones too, that were beside such a request each time. So a request
-// that is held is tried: one gateway may send it once more. Where others explain the same
-// servers as well as it does, that is at once, and else after a while. A good end frees it.
-// Until then nobody else sends it, so that a wrong guess costs one server and not as many
-// as there are gateways.
+// This also holds harmless requests that ran beside a harmful one at each crash. Therefore
+// a held request is tried again: one gateway may send it once. If other requests explain
+// the same crashes as well, the trial is made soon, otherwise after a longer time. A success
+// releases the request. Until then no other gateway sends it, so that a wrong guess costs
+// one server, and not one for each gateway.
 package quarantine
 
 import (
@@ -28,106 +27,106 @@
 )
 
 const (
-	// holdAfter is the number of servers that end under a request before it is held. It is
-	// what the users allow; fewer would hold more of the harmless ones.
-	holdAfter = 3
-	// settleTime is for how long the observations of several gateways of one server are
-	// gathered: a gateway asks the leader at once, and else each 150 to 450 ms.
+	// holdThreshold is the number of servers that crash under a request before it is held.
+	// The requirements allow this many; a lower number would hold more harmless requests.
+	holdThreshold = 3
+	// settleTime is how long observations of one crash from several gateways are collected. A
+	// gateway that saw a crash reports at once, the others report every 150 to 450 ms.
 	settleTime = 300 * time.Millisecond
-	// proofTime is how long behind the last server that ended a doubtful request is tried:
-	// what was under way then has ended, and the trial is over within the 3 s in which all
-	// gateways are to know.
-	proofTime = time.Second
-	// trustTime is for how long a request is trusted that ended well: requests that many
-	// send do so many times in it, also while few servers are left.
+	// doubtfulDelay is how long after the last crash a doubtful request is tried. By then
+	// the requests that were running have ended, and the trial still ends within the 3 s in
+	// which all gateways have to hold a harmful request.
+	doubtfulDelay = time.Second
+	// trustTime is how long a successful request is trusted. Requests that many callers send
+	// succeed many times within it, even while few servers are left.
 	trustTime = 10 * time.Second
-	// mergeTime is within what observations of one server are of the same end: a server
-	// takes longer to start again and to be given requests.
-	mergeTime = 1500 * time.Millisecond
-	// forgetAfter is for how long a server's end is remembered.
-	forgetAfter = time.Hour
-	// mostCrashes and mostRuns bound the table. A run takes some 130 bytes in it.
-	mostCrashes = 2048
-	mostRuns    = 32 << 10
-	// mostRunsEach bounds the runs of one server's end: more than a server runs at once.
-	mostRunsEach = 512
-	// watchAfter is the number of servers from which on a good end of a request is reported.
-	watchAfter = 2
-	// mostWatched bounds the requests whose good ends are reported.
-	mostWatched = 256
+	// mergeWindow is the time within which observations of one server belong to the same
+	// crash: a server takes longer than that to restart and to get requests.
+	mergeWindow = 1500 * time.Millisecond
+	// retention is how long a crash is remembered.
+	retention = time.Hour
+	// maxCrashes and maxRuns bound the table. A run takes some 130 bytes.
+	maxCrashes = 2048
+	maxRuns    = 32 << 10
+	// maxRunsPerCrash bounds the runs of one crash. It is more than a server runs at once.
+	maxRunsPerCrash = 512
+	// watchThreshold is the number of crashes from which on a request's successes are reported.
+	watchThreshold = 2
+	// maxWatched bounds the requests whose successes are reported.
+	maxWatched = 256
 )
 
-// Table holds what gateways observed.
-type Table struct {
-	crashes  []*crash // crashes are in the order in which they were reported.
+// CrashTable holds the crashes and successes that gateways observed.
+type CrashTable struct {
+	crashes  []*crash // crashes are in the order in which they were first reported.
 	suspects map[protocol.Fingerprint]*suspect
-	held     map[protocol.Fingerprint]*protocol.Quarantined // held are those of the log.
+	held     map[protocol.Fingerprint]*protocol.Quarantined // held are the held requests of the log.
 	runs     int
 }
 
-// crash is a server that ended unannounced.
+// crash is the unannounced end of a server.
 type crash struct {
 	server     string
 	start      int64
 	at         time.Time
-	reportedAt time.Time // reportedAt is when it was reported first.
-	runs       map[protocol.Fingerprint]runAt
+	reportedAt time.Time // reportedAt is when it was first reported.
+	runs       map[protocol.Fingerprint]crashRun
 }
 
-// runAt is a request at a server that ended.
-type runAt struct {
-	gateway string    // gateway is the one that sent it,
-	sent    time.Time // and sent is when it did, the last time where there were several.
+// crashRun is a request that ran on a server that crashed.
+type crashRun struct {
+	gateway string    // gateway is the one that sent it.
+	sent    time.Time // sent is when it was sent, the last time if there were several sends.
 }
 
-// suspect is a request that was at servers which ended.
+// suspect is a request that ran on servers that crashed.
 type suspect struct {
-	crashes []*crash
-	ranAt   time.Time // ranAt is when it last ended well; zero for never.
+	crashes     []*crash
+	succeededAt time.Time // succeededAt is when it last succeeded; zero for never.
 }
 
-// NewTable returns a table of no observations.
-func NewTable() *Table {
-	return &Table{suspects: map[protocol.Fingerprint]*suspect{}, held: map[protocol.Fingerprint]*protocol.Quarantined{}}
+// NewCrashTable returns an empty table.
+func NewCrashTable() *CrashTable {
+	return &CrashTable{suspects: map[protocol.Fingerprint]*suspect{}, held: map[protocol.Fingerprint]*protocol.Quarantined{}}
 }
 
-// Update takes a message.
-func (t *Table) Update(m Msg) {
+// Update processes a message.
+func (t *CrashTable) Update(m Msg) {
 	switch m := m.(type) {
 	case ObservedMsg:
 		t.observe(m)
-	case ExcusedMsg:
-		t.excuse(m)
-	case LoggedMsg:
-		t.logged(m)
+	case IgnoreCrashMsg:
+		t.ignoreCrash(m)
+	case LogStateMsg:
+		t.setLogState(m)
 	}
 }
 
-// observe takes what a gateway saw.
-func (t *Table) observe(m ObservedMsg) {
+// observe adds an observation of a gateway.
+func (t *CrashTable) observe(m ObservedMsg) {
 	at := m.Now.Add(-m.Observation.Ago)
-	if m.Now.Sub(at) > forgetAfter {
+	if m.Now.Sub(at) > retention {
 		return
 	}
 	if m.Observation.Server == "" {
 		for i := range m.Observation.Runs {
-			t.ran(m.Observation.Runs[i].Fingerprint, at)
+			t.recordSuccess(m.Observation.Runs[i].Fingerprint, at)
 		}
 		return
 	}
-	c := t.crash(&m.Observation, at, m.Now)
+	c := t.findOrAddCrash(&m.Observation, at, m.Now)
 	for i := range m.Observation.Runs {
 		r := &m.Observation.Runs[i]
-		t.add(c, r.Fingerprint, runAt{gateway: m.Gateway, sent: at.Add(-r.Age)})
+		t.addRun(c, r.Fingerprint, crashRun{gateway: m.Gateway, sent: at.Add(-r.Age)})
 		if r.Well > 0 {
-			t.ran(r.Fingerprint, at.Add(-r.Well))
+			t.recordSuccess(r.Fingerprint, at.Add(-r.Well))
 		}
 	}
-	t.bound(m.Now)
+	t.enforceBounds(m.Now)
 }
 
-// ran notes a good end.
-func (t *Table) ran(f protocol.Fingerprint, at time.Time) {
+// recordSuccess records a success of a request that is suspect or held.
+func (t *CrashTable) recordSuccess(f protocol.Fingerprint, at time.Time) {
 	s := t.suspects[f]
 	if s == nil && t.held[f] == nil {
 		return
@@ -136,27 +135,27 @@
 		s = &suspect{}
 		t.suspects[f] = s
 	}
-	if at.After(s.ranAt) {
-		s.ranAt = at
+	if at.After(s.succeededAt) {
+		s.succeededAt = at
 	}
 }
 
-// crash returns the server's end that an observation is of.
-func (t *Table) crash(o *protocol.Observation, at, now time.Time) *crash {
+// findOrAddCrash returns the crash that an observation belongs to.
+func (t *CrashTable) findOrAddCrash(o *protocol.Observation, at, now time.Time) *crash {
 	for _, c := range slices.Backward(t.crashes) {
-		if c.server == o.Server && c.start == o.Start && c.at.Sub(at).Abs() <= mergeTime {
+		if c.server == o.Server && c.start == o.Start && c.at.Sub(at).Abs() <= mergeWindow {
 			return c
 		}
 	}
-	c := &crash{server: o.Server, start: o.Start, at: at, reportedAt: now, runs: map[protocol.Fingerprint]runAt{}}
+	c := &crash{server: o.Server, start: o.Start, at: at, reportedAt: now, runs: map[protocol.Fingerprint]crashRun{}}
 	t.crashes = append(t.crashes, c)
 	return c
 }
 
-// add notes a request at a server that ended.
-func (t *Table) add(c *crash, f protocol.Fingerprint, run runAt) {
+// addRun adds a request to a crash.
+func (t *CrashTable) addRun(c *crash, f protocol.Fingerprint, run crashRun) {
 	before, known := c.runs[f]
-	if !known && len(c.runs) >= mostRunsEach {
+	if !known && len(c.runs) >= maxRunsPerCrash {
 		return
 	}
 	if !known || run.sent.After(before.sent) {
@@ -175,17 +174,17 @@
 	slices.SortStableFunc(s.crashes, func(a, b *crash) int { return a.at.Compare(b.at) })
 }
 
-// excuse forgets the ends of servers that are known to have another reason.
-func (t *Table) excuse(m ExcusedMsg) {
+// ignoreCrash removes the crashes of a server that are known to have another reason.
+func (t *CrashTable) ignoreCrash(m IgnoreCrashMsg) {
 	for _, c := range slices.Clone(t.crashes) {
 		if c.server == m.Server && c.start == m.Start {
-			t.drop(c)
+			t.dropCrash(c)
 		}
 	}
 }
 
-// logged takes the quarantine of the log.
-func (t *Table) logged(m LoggedMsg) {
+// setLogState replaces the held requests with those in the log.
+func (t *CrashTable) setLogState(m LogStateMsg) {
 	t.held = map[protocol.Fingerprint]*protocol.Quarantined{}
 	for i := range m.Entries {
 		if m.Entries[i].Held {
@@ -199,15 +198,15 @@
 	}
 }
 
-// bound forgets what is too old, and the oldest of what is too much.
-func (t *Table) bound(now time.Time) {
-	for len(t.crashes) > 0 && (now.Sub(t.crashes[0].at) > forgetAfter || len(t.crashes) > mostCrashes || t.runs > mostRuns) {
-		t.drop(t.crashes[0])
+// enforceBounds removes crashes that are too old, and the oldest ones beyond the bounds.
+func (t *CrashTable) enforceBounds(now time.Time) {
+	for len(t.crashes) > 0 && (now.Sub(t.crashes[0].at) > retention || len(t.crashes) > maxCrashes || t.runs > maxRuns) {
+		t.dropCrash(t.crashes[0])
 	}
 }
 
-// drop forgets a server's end, and the requests that were only there.
-func (t *Table) drop(c *crash) {
+// dropCrash removes a crash, and the suspects that have no other crash.
+func (t *CrashTable) dropCrash(c *crash) {
 	t.crashes = slices.DeleteFunc(t.crashes, func(other *crash) bool { return other == c })
 	t.runs -= len(c.runs)
 	for f := range c.runs {
@@ -219,38 +218,38 @@
 	}
 }
 
-// Watched returns the requests whose good ends are to be reported, those with most servers
-// first. It says the same until something changes.
-func (t *Table) Watched() []protocol.Fingerprint {
+// Watched returns the requests whose successes should be reported, those with the most
+// crashes first. The order is deterministic.
+func (t *CrashTable) Watched() []protocol.Fingerprint {
 	var list []protocol.Fingerprint
-	ends := map[protocol.Fingerprint]int{}
+	counts := map[protocol.Fingerprint]int{}
 	for f, s := range t.suspects {
-		if n := len(s.since()); n >= watchAfter {
-			list, ends[f] = append(list, f), n
+		if n := len(s.crashesSinceSuccess()); n >= watchThreshold {
+			list, counts[f] = append(list, f), n
 		}
 	}
 	slices.SortFunc(list, func(a, b protocol.Fingerprint) int {
-		if ends[a] != ends[b] {
-			return ends[b] - ends[a]
+		if counts[a] != counts[b] {
+			return counts[b] - counts[a]
 		}
 		return compare(a, b)
 	})
-	return list[:min(len(list), mostWatched)]
+	return list[:min(len(list), maxWatched)]
 }
 
-// compare orders fingerprints, so that equal tables decide alike.
+// compare orders fingerprints, so that equal tables make equal decisions.
 func compare(a, b protocol.Fingerprint) int {
 	return slices.Compare(a.Content[:], b.Content[:])
 }
 
-// since returns the servers that ended under the request since it last ended well, and
-// trustTime later at the least.
-func (s *suspect) since() []*crash {
-	if s.ranAt.IsZero() {
+// crashesSinceSuccess returns the crashes more than trustTime after the last success of the
+// request, or all crashes if it never succeeded.
+func (s *suspect) crashesSinceSuccess() []*crash {
+	if s.succeededAt.IsZero() {
 		return s.crashes
 	}
 	for i, c := range s.crashes {
-		if c.at.Sub(s.ranAt) > trustTime {
+		if c.at.Sub(s.succeededAt) > trustTime {
 			return s.crashes[i:]
 		}
 	}
--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -12,62 +12,62 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-var day = time.Unix(1_800_000_000, 0)
+var startTime = time.Unix(1_800_000_000, 0)
 
-func named(name string) protocol.Fingerprint {
+func fingerprintOf(name string) protocol.Fingerprint {
 	return (&Request{Caller: "w", Host: "h", Path: "/p", Body: []byte(name)}).Fingerprint()
 }
 
-// story is a table with the log behind it, in a time of its own.
-type story struct {
-	table   *Table
-	log     logState
-	now     time.Time
-	servers int
-	trials  bool // trials has those of p and q end a server, and others end well.
+// scenario is a table and the state of the log, with a simulated clock.
+type scenario struct {
+	table     *CrashTable
+	log       logState
+	now       time.Time
+	servers   int
+	runTrials bool // runTrials makes trials run: p and q crash a server, other requests succeed.
 }
 
-func newStory() *story {
-	return &story{table: NewTable(), log: logState{}, now: day}
+func newScenario() *scenario {
+	return &scenario{table: NewCrashTable(), log: logState{}, now: startTime}
 }
 
-// pass lets a time pass, in which the table is asked and the log follows.
-func (s *story) pass(d time.Duration) {
+// advance lets time pass, and applies the table's decisions to the log.
+func (s *scenario) advance(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.now = s.now.Add(min(end.Sub(s.now), 100*time.Millisecond))
 		s.decide()
 	}
 }
 
-func (s *story) decide() {
-	m := s.table.Judge(s.now, s.now)
-	s.log.take(&m, s.now)
-	s.table.Update(LoggedMsg{Entries: s.log.entries()})
+func (s *scenario) decide() {
+	m := s.table.Decide(s.now, s.now)
+	s.log.apply(&m, s.now)
+	s.table.Update(LogStateMsg{Entries: s.log.entries()})
 	for _, r := range m.Try {
 		switch {
-		case !s.trials:
-		case r.Fingerprint == named("p"), r.Fingerprint == named("q"):
-			s.ends(s.name(r.Fingerprint))
+		case !s.runTrials:
+		case r.Fingerprint == fingerprintOf("p"), r.Fingerprint == fingerprintOf("q"):
+			s.crash(s.name(r.Fingerprint))
 		default:
-			s.ran(s.name(r.Fingerprint))
+			s.succeed(s.name(r.Fingerprint))
 		}
 	}
 }
 
 // name returns the name of a request.
-func (s *story) name(f protocol.Fingerprint) string {
+func (s *scenario) name(f protocol.Fingerprint) string {
 	for _, name := range []string{"p", "q", "x", "y"} {
-		if named(name) == f {
+		if fingerprintOf(name) == f {
 			return name
 		}
 	}
 	return ""
 }
 
-// logState is the quarantine of the log; trials come after half a minute, and only once.
+// logState is the state of the log. The only trial is after half a minute.
 type logState map[protocol.Fingerprint]protocol.Quarantined
 
-func (l logState) take(m *protocol.QuarantineMsg, now time.Time) {
+func (l logState) apply(m *protocol.QuarantineMsg, now time.Time) {
 	for _, h := range m.Hold {
 		l[h.Fingerprint] = protocol.Quarantined{Fingerprint: h.Fingerprint, Held: true, Servers: h.Servers, Until: now.Add(30 * time.Second).UnixMilli()}
 	}
@@ -89,165 +89,166 @@
 	return list
 }
 
-func (s *story) held(name string) bool { return s.log[named(name)].Held }
+func (s *scenario) held(name string) bool { return s.log[fingerprintOf(name)].Held }
 
-// ends has a server end under requests, each "NAME" sent a tenth of a second ago, or
-// "NAME-MS" so many milliseconds ago.
-func (s *story) ends(names ...string) {
+// crash has a server crash under requests, each "NAME", sent 100 ms ago, or "NAME-MS", sent
+// that many milliseconds ago.
+func (s *scenario) crash(names ...string) {
 	s.servers++
-	s.endsAs(fmt.Sprint("server-", s.servers), names...)
+	s.crashServer(fmt.Sprint("server-", s.servers), names...)
 }
 
-func (s *story) endsAs(server string, names ...string) {
+func (s *scenario) crashServer(server string, names ...string) {
 	var runs []protocol.ObservedRun
 	for _, text := range names {
 		name, ms := text, 100
 		if n, _ := fmt.Sscanf(text, "%1s-%d", &name, &ms); n < 2 {
 			name = text
 		}
-		runs = append(runs, protocol.ObservedRun{Fingerprint: named(name), Age: time.Duration(ms) * time.Millisecond})
+		runs = append(runs, protocol.ObservedRun{Fingerprint: fingerprintOf(name), Age: time.Duration(ms) * time.Millisecond})
 	}
 	s.table.Update(ObservedMsg{Now: s.now, Gateway: "g", Observation: protocol.Observation{Server: server, Runs: runs}})
 }
 
-// ran has a request end well.
-func (s *story) ran(name string) {
-	s.table.Update(ObservedMsg{Now: s.now, Observation: protocol.Observation{Runs: []protocol.ObservedRun{{Fingerprint: named(name)}}}})
+// succeed has a request succeed.
+func (s *scenario) succeed(name string) {
+	s.table.Update(ObservedMsg{Now: s.now, Observation: protocol.Observation{Runs: []protocol.ObservedRun{{Fingerprint: fingerprintOf(name)}}}})
 }
 
-// TestWhoIsHeld walks through what may be seen, and checks who is kept from servers.
-func TestWhoIsHeld(t *testing.T) {
+// TestHeldRequests runs sequences of crashes and successes, and checks which requests are
+// held: p and q are harmful, x and y are not.
+func TestHeldRequests(t *testing.T) {
 	second := time.Second
 	for name, c := range map[string]struct {
-		play func(s *story)
+		run  func(s *scenario)
 		want string // want are the requests that are held, of p, q, x and y.
 	}{
-		"two servers": {func(s *story) { s.ends("p"); s.pass(second); s.ends("p"); s.pass(3 * second) }, ""},
-		"three servers, one after the other": {func(s *story) {
+		"two servers": {func(s *scenario) { s.crash("p"); s.advance(second); s.crash("p"); s.advance(3 * second) }, ""},
+		"three servers, one after the other": {func(s *scenario) {
 			for range 3 {
-				s.ends("p")
-				s.pass(second)
+				s.crash("p")
+				s.advance(second)
 			}
 		}, "p"},
-		"at once at three servers that end together": {func(s *story) {
+		"running on three servers that crash together": {func(s *scenario) {
 			for range 3 {
-				s.ends("p")
+				s.crash("p")
 			}
-			s.pass(second)
+			s.advance(second)
 		}, "p"},
-		"at once at three servers that end for another reason": {func(s *story) {
+		"running on three servers that crash for another reason": {func(s *scenario) {
 			for range 3 {
-				s.ends("x")
+				s.crash("x")
 			}
-			s.pass(second) // It is held until it was tried.
+			s.advance(second) // It is held until the trial.
 		}, ""},
-		"at once at three servers, and ends well elsewhere": {func(s *story) {
+		"running on three servers that crash, and succeeds on another": {func(s *scenario) {
 			for range 3 {
-				s.ends("x")
+				s.crash("x")
 			}
-			s.pass(100 * time.Millisecond)
-			s.ran("x")
-			s.pass(second)
+			s.advance(100 * time.Millisecond)
+			s.succeed("x")
+			s.advance(second)
 		}, ""},
-		"ends well in between": {func(s *story) {
-			s.ends("x")
-			s.pass(second)
-			s.ends("x")
-			s.pass(second)
-			s.ran("x")
-			s.pass(second)
-			s.ends("x")
-			s.pass(3 * second)
+		"succeeds in between": {func(s *scenario) {
+			s.crash("x")
+			s.advance(second)
+			s.crash("x")
+			s.advance(second)
+			s.succeed("x")
+			s.advance(second)
+			s.crash("x")
+			s.advance(3 * second)
 		}, ""},
-		"beside it at two of three": {func(s *story) {
-			s.ends("p", "x-900")
-			s.pass(second)
-			s.ends("p", "x-900", "y")
-			s.pass(second)
-			s.ends("p", "y")
-			s.pass(3 * second)
+		"beside it at two of three crashes": {func(s *scenario) {
+			s.crash("p", "x-900")
+			s.advance(second)
+			s.crash("p", "x-900", "y")
+			s.advance(second)
+			s.crash("p", "y")
+			s.advance(3 * second)
 		}, "p"},
-		"beside it at all three, then not": {func(s *story) {
+		"beside it at all three crashes, not at the fourth": {func(s *scenario) {
 			for range 3 {
-				s.ends("p", "x-900")
-				s.pass(second)
+				s.crash("p", "x-900")
+				s.advance(second)
 			}
-			s.ends("p", "y")
-			s.pass(3 * second)
+			s.crash("p", "y")
+			s.advance(3 * second)
 		}, "p"},
-		"beside it at all four, having run for longer": {func(s *story) {
+		"beside it at all four crashes, sent earlier": {func(s *scenario) {
 			for range 4 {
-				s.ends("p-50", "x-400")
-				s.pass(second)
+				s.crash("p-50", "x-400")
+				s.advance(second)
 			}
 		}, "p"},
-		"beside it at all four, sent behind it": {func(s *story) {
+		"beside it at all four crashes, sent later": {func(s *scenario) {
 			for range 4 {
-				s.ends("p-400", "x-50")
-				s.pass(second)
+				s.crash("p-400", "x-50")
+				s.advance(second)
 			}
-			s.pass(second)
+			s.advance(second)
 		}, "p"},
-		"beside one and another": {func(s *story) {
-			s.ends("p", "x-900")
-			s.pass(second)
-			s.ends("q", "x-900")
-			s.pass(second)
-			s.ends("p", "x-900")
-			s.pass(50 * time.Millisecond)
-			s.ends("p")
-			s.ends("q")
-			s.pass(200 * time.Millisecond)
-			s.ends("q")
-			s.ends("p")
-			s.pass(3 * second)
+		"beside two harmful requests": {func(s *scenario) {
+			s.crash("p", "x-900")
+			s.advance(second)
+			s.crash("q", "x-900")
+			s.advance(second)
+			s.crash("p", "x-900")
+			s.advance(50 * time.Millisecond)
+			s.crash("p")
+			s.crash("q")
+			s.advance(200 * time.Millisecond)
+			s.crash("q")
+			s.crash("p")
+			s.advance(3 * second)
 		}, "pq"},
-		"held, and a run that was under way ends well": {func(s *story) {
+		"held, then a run that was in progress succeeds": {func(s *scenario) {
 			for range 3 {
-				s.ends("x")
-				s.pass(second)
+				s.crash("x")
+				s.advance(second)
 			}
-			s.ran("x")
-			s.pass(second)
+			s.succeed("x")
+			s.advance(second)
 		}, ""},
-		"servers known to end for another reason": {func(s *story) {
+		"servers known to crash for another reason": {func(s *scenario) {
 			for i := range 3 {
-				s.ends("x")
-				s.table.Update(ExcusedMsg{Server: fmt.Sprint("server-", i+1)})
-				s.pass(second)
+				s.crash("x")
+				s.table.Update(IgnoreCrashMsg{Server: fmt.Sprint("server-", i+1)})
+				s.advance(second)
 			}
 		}, ""},
-		"the same server told by several gateways": {func(s *story) {
+		"the same crash reported by several gateways": {func(s *scenario) {
 			for range 4 {
-				s.endsAs("one", "x")
-				s.pass(200 * time.Millisecond)
+				s.crashServer("one", "x")
+				s.advance(200 * time.Millisecond)
 			}
-			s.pass(3 * second)
+			s.advance(3 * second)
 		}, ""},
-		"a server that starts again under its name": {func(s *story) {
+		"a server that restarts under the same name": {func(s *scenario) {
 			for range 3 {
-				s.endsAs("one", "p")
-				s.pass(3 * second)
+				s.crashServer("one", "p")
+				s.advance(3 * second)
 			}
 		}, "p"},
-		"two such requests at the same servers": {func(s *story) {
+		"two harmful requests on the same servers": {func(s *scenario) {
 			for range 3 {
-				s.ends("p", "q")
-				s.pass(second)
+				s.crash("p", "q")
+				s.advance(second)
 			}
-			s.ends("p")
-			s.pass(second)
+			s.crash("p")
+			s.advance(second)
 			for range 2 {
-				s.ends("q")
-				s.pass(second)
+				s.crash("q")
+				s.advance(second)
 			}
 		}, "pq"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStory()
-			s.trials = true
-			c.play(s)
-			s.pass(2 * time.Second)
+			s := newScenario()
+			s.runTrials = true
+			c.run(s)
+			s.advance(2 * time.Second)
 			got := ""
 			for _, name := range []string{"p", "q", "x", "y"} {
 				if s.held(name) {
@@ -261,101 +262,101 @@
 	}
 }
 
-// TestTrials checks that a request that is held is tried once by the gateway that sent it
-// last, and what follows.
+// TestTrials checks that a held request is tried once, by the gateway that sent it last, and
+// what follows from the outcome.
 func TestTrials(t *testing.T) {
 	for name, c := range map[string]struct {
-		after func(s *story)
+		after func(s *scenario)
 		held  bool
 	}{
-		"it ends well":            {func(s *story) { s.ran("p") }, false},
-		"a server ends":           {func(s *story) { s.ends("p") }, true},
-		"it does not come":        {func(s *story) {}, true},
-		"it is told a long while": {func(s *story) { s.pass(10 * time.Minute); s.ran("p") }, false},
+		"success":                   {func(s *scenario) { s.succeed("p") }, false},
+		"crash":                     {func(s *scenario) { s.crash("p") }, true},
+		"request is not sent again": {func(s *scenario) {}, true},
+		"success after ten minutes": {func(s *scenario) { s.advance(10 * time.Minute); s.succeed("p") }, false},
 	} {
-		s := newStory()
-		for range holdAfter {
-			s.ends("p", "x")
-			s.pass(time.Second)
-			s.ran("x")
+		s := newScenario()
+		for range holdThreshold {
+			s.crash("p", "x")
+			s.advance(time.Second)
+			s.succeed("x")
 		}
-		s.pass(28 * time.Second)
-		if q := s.log[named("p")]; !q.Held || q.Trial != "" {
+		s.advance(28 * time.Second)
+		if q := s.log[fingerprintOf("p")]; !q.Held || q.Trial != "" {
 			t.Fatalf("%s: %+v before the trial", name, q)
 		}
-		s.pass(2 * time.Second)
-		if q := s.log[named("p")]; !q.Held || q.Trial != "g" || q.Trials != 1 {
+		s.advance(2 * time.Second)
+		if q := s.log[fingerprintOf("p")]; !q.Held || q.Trial != "g" || q.Trials != 1 {
 			t.Fatalf("%s: %+v at the trial", name, q)
 		}
 		c.after(s)
-		s.pass(time.Minute)
-		if q := s.log[named("p")]; q.Held != c.held || q.Trials > 1 {
-			t.Errorf("%s: %+v behind the trial", name, q)
+		s.advance(time.Minute)
+		if q := s.log[fingerprintOf("p")]; q.Held != c.held || q.Trials > 1 {
+			t.Errorf("%s: %+v after the trial", name, q)
 		}
 	}
 }
 
-// TestTrustedBefore checks that what had ended well a moment before servers ended under it
-// is not held for that.
-func TestTrustedBefore(t *testing.T) {
-	for well, held := range map[time.Duration]bool{0: true, time.Second: false, time.Minute: true} {
-		s := newStory()
+// TestRecentSuccessPreventsHold checks that a request that succeeded shortly before servers
+// crashed under it is not held.
+func TestRecentSuccessPreventsHold(t *testing.T) {
+	for success, held := range map[time.Duration]bool{0: true, time.Second: false, time.Minute: true} {
+		s := newScenario()
 		for i := range 4 {
-			runs := []protocol.ObservedRun{{Fingerprint: named("x"), Age: 100 * time.Millisecond, Well: well}}
+			runs := []protocol.ObservedRun{{Fingerprint: fingerprintOf("x"), Age: 100 * time.Millisecond, Well: success}}
 			s.table.Update(ObservedMsg{Now: s.now, Observation: protocol.Observation{Server: fmt.Sprint(i), Runs: runs}})
-			s.pass(time.Second)
+			s.advance(time.Second)
 		}
 		if s.held("x") != held {
-			t.Errorf("ended well %v before: held %v", well, s.held("x"))
+			t.Errorf("succeeded %v before: held %v", success, s.held("x"))
 		}
 	}
 }
 
-// TestDoubtfulTrialWaits checks that a doubtful request is tried only once what was under
-// way when it was held must have ended.
+// TestDoubtfulTrialWaits checks that a doubtful request is tried only after the requests
+// that were running when it was held must have ended.
 func TestDoubtfulTrialWaits(t *testing.T) {
-	s := newStory()
-	for range holdAfter {
-		s.ends("p", "x")
+	s := newScenario()
+	for range holdThreshold {
+		s.crash("p", "x")
 	}
-	s.pass(proofTime - 100*time.Millisecond)
-	if q := s.log[named("x")]; !q.Held || q.Trials != 0 {
-		t.Errorf("shortly before: %+v", q)
+	s.advance(doubtfulDelay - 100*time.Millisecond)
+	if q := s.log[fingerprintOf("x")]; !q.Held || q.Trials != 0 {
+		t.Errorf("before doubtfulDelay: %+v", q)
 	}
-	s.pass(200 * time.Millisecond)
-	if q := s.log[named("x")]; q.Trials != 1 {
-		t.Errorf("behind it: %+v", q)
+	s.advance(200 * time.Millisecond)
+	if q := s.log[fingerprintOf("x")]; q.Trials != 1 {
+		t.Errorf("after doubtfulDelay: %+v", q)
 	}
 }
 
-// TestKeeperExcusesLeavingServers checks that the ends of servers which leave speak against
-// nobody, whether that is known ahead of the observation or behind it.
-func TestKeeperExcusesLeavingServers(t *testing.T) {
+// TestCrashesOfLeavingServersAreIgnored checks that crashes of servers that are leaving
+// count against no request, whether that is known before or after the observation.
+func TestCrashesOfLeavingServersAreIgnored(t *testing.T) {
 	for name, c := range map[string]struct {
-		leaves func(string) bool
-		excuse []string
-		held   int
+		isLeaving func(string) bool
+		ignored   []string
+		held      int
 	}{
 		"none":   {func(string) bool { return false }, nil, 1},
-		"known":  {func(s string) bool { return s == "0" }, nil, 0},
-		"behind": {func(string) bool { return false }, []string{"2"}, 0},
+		"before": {func(s string) bool { return s == "0" }, nil, 0},
+		"after":  {func(string) bool { return false }, []string{"2"}, 0},
 	} {
-		k := NewCoordinator()
-		for i := range holdAfter {
-			o := protocol.Observation{Server: fmt.Sprint(i), Runs: []protocol.ObservedRun{{Fingerprint: named("x")}}}
-			k.AddObservations("g", []protocol.Observation{o}, c.leaves, day)
+		coordinator := NewCoordinator()
+		for i := range holdThreshold {
+			o := protocol.Observation{Server: fmt.Sprint(i), Runs: []protocol.ObservedRun{{Fingerprint: fingerprintOf("x")}}}
+			coordinator.AddObservations("g", []protocol.Observation{o}, c.isLeaving, startTime)
 		}
-		for _, server := range c.excuse {
-			k.IgnoreCrash(server)
+		for _, server := range c.ignored {
+			coordinator.IgnoreCrash(server)
 		}
-		if m := k.Decide(&protocol.QuarantineLog{}, day.Add(time.Second), day); len(m.Hold) != c.held {
+		if m := coordinator.Decide(&protocol.QuarantineLog{}, startTime.Add(time.Second), startTime); len(m.Hold) != c.held {
 			t.Errorf("%s: held %+v", name, m.Hold)
 		}
 	}
 }
 
-// endsOf tells a table of a server's end under some requests of its own.
-func endsOf(table *Table, now time.Time, ago time.Duration, server string, from, to int) {
+// observeCrash reports a crash with runs of distinct requests to the table.
+func observeCrash(table *CrashTable, now time.Time, ago time.Duration, server string, from, to int) {
 	var runs []protocol.ObservedRun
 	for k := from; k < to; k++ {
 		runs = append(runs, protocol.ObservedRun{Fingerprint: protocol.Fingerprint{Content: [2]uint64{uint64(k), 1}}})
@@ -363,71 +364,71 @@
 	table.Update(ObservedMsg{Now: now, Observation: protocol.Observation{Server: server, Ago: ago, Runs: runs}})
 }
 
-// TestTableIsBounded checks that no number of ends or of requests makes the table grow
-// beyond its bounds, and that what is over is forgotten.
-func TestTableIsBounded(t *testing.T) {
-	for name, each := range map[string]int{"many ends": 1, "many requests": 40} {
-		table, now := NewTable(), day
+// TestCrashTableIsBounded checks that the table stays within its bounds, whatever the number
+// of crashes or requests, and that old crashes are removed.
+func TestCrashTableIsBounded(t *testing.T) {
+	for name, each := range map[string]int{"many crashes": 1, "many requests": 40} {
+		table, now := NewCrashTable(), startTime
 		for i := range 3000 {
 			now = now.Add(time.Millisecond)
-			endsOf(table, now, 0, fmt.Sprint(i), i*each, (i+1)*each)
-			if len(table.crashes) > mostCrashes || table.runs > mostRuns || len(table.suspects) > mostRuns {
-				t.Fatalf("%s: %d ends, %d runs, %d requests", name, len(table.crashes), table.runs, len(table.suspects))
+			observeCrash(table, now, 0, fmt.Sprint(i), i*each, (i+1)*each)
+			if len(table.crashes) > maxCrashes || table.runs > maxRuns || len(table.suspects) > maxRuns {
+				t.Fatalf("%s: %d crashes, %d runs, %d requests", name, len(table.crashes), table.runs, len(table.suspects))
 			}
 		}
-		now = now.Add(forgetAfter + time.Second)
-		endsOf(table, now, 0, "last", 0, 1)
-		endsOf(table, now, forgetAfter+time.Second, "told late", 0, 1)
+		now = now.Add(retention + time.Second)
+		observeCrash(table, now, 0, "last", 0, 1)
+		observeCrash(table, now, retention+time.Second, "reported late", 0, 1)
 		if len(table.crashes) != 1 || table.runs != 1 || len(table.suspects) != 1 {
-			t.Errorf("%s: %d ends, %d runs, %d requests are left", name, len(table.crashes), table.runs, len(table.suspects))
+			t.Errorf("%s: %d crashes, %d runs, %d requests left", name, len(table.crashes), table.runs, len(table.suspects))
 		}
 	}
-	table := NewTable()
-	endsOf(table, day, 0, "one", 0, 2*mostRunsEach)
-	if table.runs != mostRunsEach {
-		t.Errorf("%d runs of one end", table.runs)
+	table := NewCrashTable()
+	observeCrash(table, startTime, 0, "one", 0, 2*maxRunsPerCrash)
+	if table.runs != maxRunsPerCrash {
+		t.Errorf("%d runs of one crash", table.runs)
 	}
-	for i := range watchAfter {
-		endsOf(table, day, 0, fmt.Sprint("watched-", i), 0, mostWatched+9)
+	for i := range watchThreshold {
+		observeCrash(table, startTime, 0, fmt.Sprint("watched-", i), 0, maxWatched+9)
 	}
-	if n := len(table.Watched()); n != mostWatched {
+	if n := len(table.Watched()); n != maxWatched {
 		t.Errorf("%d requests are watched", n)
 	}
 }
 
-// TestFreedRequestsLeaveNothing checks that a good end of a held request, at no server that
-// ended, is forgotten once the request is free.
+// TestFreedRequestsLeaveNothing checks that a held request that succeeds, and is at no
+// crash in the table, leaves no entry behind once it is released.
 func TestFreedRequestsLeaveNothing(t *testing.T) {
-	s := newStory()
-	s.log[named("p")] = protocol.Quarantined{Fingerprint: named("p"), Held: true, Servers: 3, Until: day.Add(time.Hour).UnixMilli()}
-	s.table.Update(LoggedMsg{Entries: s.log.entries()})
-	s.ran("p")
-	s.pass(time.Second)
+	s := newScenario()
+	s.log[fingerprintOf("p")] = protocol.Quarantined{Fingerprint: fingerprintOf("p"), Held: true, Servers: 3, Until: startTime.Add(time.Hour).UnixMilli()}
+	s.table.Update(LogStateMsg{Entries: s.log.entries()})
+	s.succeed("p")
+	s.advance(time.Second)
 	if s.held("p") || len(s.table.suspects) != 0 {
-		t.Errorf("held %v, %d requests are kept", s.held("p"), len(s.table.suspects))
+		t.Errorf("held %v, %d suspects left", s.held("p"), len(s.table.suspects))
 	}
 }
 
-// TestObservationsReachEachLeader checks that what a gateway saw is told until the leader
-// of a term has it, and again to the next one, and that it stays bounded.
+// TestObservationsReachEachLeader checks that observations are reported until the leader of
+// a term acknowledges them, and again to the next leader, and that their number is bounded.
 func TestObservationsReachEachLeader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var o Observations
-		now, term := day, uint64(1)
+		now, term := startTime, uint64(1)
 		known := map[uint64]bool{}
 		t.Repeat(map[string]func(*rapid.T){
-			"see": func(t *rapid.T) {
+			"observe": func(t *rapid.T) {
 				runs := make([]protocol.ObservedRun, rapid.IntRange(1, 600).Draw(t, "runs"))
 				o.Add(protocol.Observation{Server: "s", Runs: runs}, now)
 			},
-			"tell": func(t *rapid.T) {
+			"report": func(t *rapid.T) {
 				list := o.Report(term, now)
 				if rapid.Bool().Draw(t, "lost") {
 					return
 				}
 				for _, row := range list {
 					if known[row.Number] {
-						t.Fatalf("%d was told again", row.Number)
+						t.Fatalf("observation %d was reported again", row.Number)
 					}
 					known[row.Number] = true
 				}
@@ -439,12 +440,12 @@
 			},
 			"later": func(*rapid.T) { now = now.Add(time.Minute) },
 			"": func(t *rapid.T) {
-				if rows, runs := o.Len(); rows > mostKept || (runs > mostKeptRuns && rows > 1) {
-					t.Fatalf("%d observations with %d runs are kept", rows, runs)
+				if rows, runs := o.Len(); rows > maxObservations || (runs > maxObservedRuns && rows > 1) {
+					t.Fatalf("%d observations with %d runs are stored", rows, runs)
 				}
 			},
 		})
-		for range mostKept/mostTold + 1 {
+		for range maxObservations/maxReported + 1 {
 			list := o.Report(term, now)
 			for _, row := range list {
 				known[row.Number] = true
@@ -453,29 +454,29 @@
 		}
 		for i := range o.rows {
 			if !known[o.rows[i].Number] {
-				t.Fatalf("%d was never told", o.rows[i].Number)
+				t.Fatalf("observation %d was never reported", o.rows[i].Number)
 			}
 		}
 	})
 }
 
-// TestSameRequest checks what makes two sends the same request.
+// TestSameRequest checks which parts of a request make up its fingerprint.
 func TestSameRequest(t *testing.T) {
 	base := Request{Caller: "w", Host: "h", Path: "/p?q", Body: []byte("body")}
 	for name, other := range map[string]Request{
-		"another caller": {Caller: "v", Host: "h", Path: "/p?q", Body: []byte("body")},
-		"another host":   {Caller: "w", Host: "i", Path: "/p?q", Body: []byte("body")},
-		"another path":   {Caller: "w", Host: "h", Path: "/p?r", Body: []byte("body")},
-		"another body":   {Caller: "w", Host: "h", Path: "/p?q", Body: []byte("bodi")},
-		"moved borders":  {Caller: "wh", Host: "", Path: "/p?q", Body: []byte("body")},
+		"another caller":   {Caller: "v", Host: "h", Path: "/p?q", Body: []byte("body")},
+		"another host":     {Caller: "w", Host: "i", Path: "/p?q", Body: []byte("body")},
+		"another path":     {Caller: "w", Host: "h", Path: "/p?r", Body: []byte("body")},
+		"another body":     {Caller: "w", Host: "h", Path: "/p?q", Body: []byte("bodi")},
+		"shifted boundary": {Caller: "wh", Host: "", Path: "/p?q", Body: []byte("body")},
 	} {
 		if other.Fingerprint() == base.Fingerprint() {
-			t.Errorf("%s has the same fingerprint", name)
+			t.Errorf("%s: same fingerprint", name)
 		}
 	}
 	same := base
 	same.Body = slices.Clone(base.Body)
 	if same.Fingerprint() != base.Fingerprint() || same.Fingerprint().Quick != base.QuickHash() {
-		t.Error("the same request has another fingerprint")
+		t.Error("an equal request has another fingerprint")
 	}
 }
--- a/coordination/quarantine/well.go
+++ b/coordination/quarantine/well.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// wellKept bounds what is kept, at 16 bytes each: a gateway has up to some 200 requests a
-// second, of which the latest 10 s matter.
-const wellKept = 2048
+// successSlots is the size of the cache, at 16 bytes each. A gateway has up to some 200
+// requests per second, of which the last 10 s matter.
+const successSlots = 2048
 
-// WellEnds are when requests last ended well at one gateway, by their quick hash. A newer
-// one may take the place of another.
-type WellEnds struct {
-	began time.Time
-	rows  []wellEnd
+// SuccessCache holds when requests last succeeded at one gateway, by their quick hash. It is
+// direct-mapped: an entry may overwrite that of another request.
+type SuccessCache struct {
+	epoch time.Time
+	slots []success
 }
 
-// wellEnd is one row.
-type wellEnd struct {
+// success is an entry of the cache.
+type success struct {
 	quick uint64
-	at    time.Duration // at is since began.
+	at    time.Duration // at is the time since epoch.
 }
 
-// NewWellEnds returns none.
-func NewWellEnds(now time.Time) *WellEnds {
-	return &WellEnds{began: now, rows: make([]wellEnd, wellKept)}
+// NewSuccessCache returns an empty cache.
+func NewSuccessCache(now time.Time) *SuccessCache {
+	return &SuccessCache{epoch: now, slots: make([]success, successSlots)}
 }
 
-// Note notes a good end.
-func (w *WellEnds) Note(quick uint64, now time.Time) {
-	w.rows[quick%wellKept] = wellEnd{quick: quick, at: now.Sub(w.began)}
+// Add records a success.
+func (c *SuccessCache) Add(quick uint64, now time.Time) {
+	c.slots[quick%successSlots] = success{quick: quick, at: now.Sub(c.epoch)}
 }
 
-// Ago returns how long before a time a request last ended well, and false where none is
-// known of the last trustTime.
-func (w *WellEnds) Ago(quick uint64, now time.Time) (time.Duration, bool) {
-	row := w.rows[quick%wellKept]
-	ago := now.Sub(w.began) - row.at
-	return max(1, ago), row.quick == quick && ago <= trustTime
+// Age returns how long ago a request last succeeded, and false if no success within
+// trustTime is known.
+func (c *SuccessCache) Age(quick uint64, now time.Time) (time.Duration, bool) {
+	slot := c.slots[quick%successSlots]
+	age := now.Sub(c.epoch) - slot.at
+	return max(1, age), slot.quick == quick && age <= trustTime
 }
