--- a/coordination/limit/coordinator.go
+++ b/coordination/limit/coordinator.go
@@ -43,9 +43,9 @@
 // NewCoordinator returns a coordinator that nobody has asked yet.
 func NewCoordinator() *Coordinator { return &Coordinator{asked: map[string]asked{}} }
 
-// Ask takes a limiter's demand and returns its grant. The slots are those of the
+// HandleDemand takes a limiter's demand and returns its grant. The slots are those of the
 // whole pool, the instances those that may send to it.
-func (c *Coordinator) Ask(m protocol.DemandMsg, slots, instances int, now time.Time) protocol.GrantMsg {
+func (c *Coordinator) HandleDemand(m protocol.DemandMsg, slots, instances int, now time.Time) protocol.GrantMsg {
 	_, known := c.asked[m.From]
 	c.asked[m.From] = asked{rows: m.Rows, at: now}
 	if !known || now.Sub(c.divided) >= Interval(instances)/4 {
@@ -83,8 +83,8 @@
 	}
 }
 
-// Total returns how many slots all limiters together could use now.
-func (c *Coordinator) Total(instances int, now time.Time) int {
+// TotalDemand returns how many slots all limiters together could use now.
+func (c *Coordinator) TotalDemand(instances int, now time.Time) int {
 	total := 0
 	for _, a := range c.asked {
 		if now.Sub(a.at) > Lease(instances) {
--- a/coordination/limit/experiment_test.go
+++ b/coordination/limit/experiment_test.go
@@ -282,7 +282,7 @@
 		}
 		f.carryOut(g, step, f.limiters[g].Update(PoolMsg{Slots: slots, Instances: fakeLimiters, Now: clock(step)}))
 		m := protocol.DemandMsg{From: fmt.Sprint("entry-", g), Rows: f.limiters[g].Demand()}
-		grant := f.pool.Ask(m, slots, fakeLimiters, clock(step))
+		grant := f.pool.HandleDemand(m, slots, fakeLimiters, clock(step))
 		f.at(step+answerSteps, func() {
 			f.carryOut(g, step+answerSteps, f.limiters[g].Update(GrantMsg{GrantMsg: grant, Until: clock(step + 4*askSteps), Now: clock(step + answerSteps)}))
 		})
--- a/coordination/limit/limit_test.go
+++ b/coordination/limit/limit_test.go
@@ -185,7 +185,7 @@
 				rows = append(rows, protocol.Demand{Workspace: "small", Share: 1, Queued: [2]int{50}})
 			}
 			now := began.Add(time.Duration(round*9+limiter) * time.Millisecond)
-			grant := c.Ask(protocol.DemandMsg{From: fmt.Sprint("entry-", limiter), Rows: rows}, 72, 9, now)
+			grant := c.HandleDemand(protocol.DemandMsg{From: fmt.Sprint("entry-", limiter), Rows: rows}, 72, 9, now)
 			for _, row := range grant.Rows {
 				switch row.Workspace {
 				case "large":
@@ -207,9 +207,9 @@
 func TestCoordinatorForgets(t *testing.T) {
 	c := NewCoordinator()
 	rows := []protocol.Demand{{Workspace: "w", Share: 1, Queued: [2]int{10}}}
-	c.Ask(protocol.DemandMsg{From: "gone", Rows: rows}, 10, 2, began)
-	both := c.Ask(protocol.DemandMsg{From: "stays", Rows: rows}, 10, 2, began)
-	after := c.Ask(protocol.DemandMsg{From: "stays", Rows: rows}, 10, 2, began.Add(2*time.Second))
+	c.HandleDemand(protocol.DemandMsg{From: "gone", Rows: rows}, 10, 2, began)
+	both := c.HandleDemand(protocol.DemandMsg{From: "stays", Rows: rows}, 10, 2, began)
+	after := c.HandleDemand(protocol.DemandMsg{From: "stays", Rows: rows}, 10, 2, began.Add(2*time.Second))
 	if both.Rows[0].Slots[0] != 5 || after.Rows[0].Slots[0] != 10 {
 		t.Errorf("granted %v beside the other limiter, %v after it fell silent", both.Rows, after.Rows)
 	}
@@ -260,9 +260,9 @@
 func TestCoordinatorGrows(t *testing.T) {
 	c := NewCoordinator()
 	rows := []protocol.Demand{{Workspace: "w", Share: 1, Queued: [2]int{10}}}
-	c.Ask(protocol.DemandMsg{From: "first", Rows: rows}, 10, 1, began)
-	c.Ask(protocol.DemandMsg{From: "first", Rows: rows}, 10, 360, began.Add(time.Second))
-	grant := c.Ask(protocol.DemandMsg{From: "second", Rows: rows}, 10, 360, began.Add(time.Second+Interval(360)))
+	c.HandleDemand(protocol.DemandMsg{From: "first", Rows: rows}, 10, 1, began)
+	c.HandleDemand(protocol.DemandMsg{From: "first", Rows: rows}, 10, 360, began.Add(time.Second))
+	grant := c.HandleDemand(protocol.DemandMsg{From: "second", Rows: rows}, 10, 360, began.Add(time.Second+Interval(360)))
 	if grant.Rows[0].Slots[0] != 5 {
 		t.Errorf("the second of two limiters was granted %v of 10 slots", grant.Rows)
 	}
--- a/transport/limits.go
+++ b/transport/limits.go
@@ -187,7 +187,7 @@
 		c = limit.NewCoordinator()
 		l.pools[m.Pool] = c
 	}
-	return c.Ask(m, slots, instances, now)
+	return c.HandleDemand(m, slots, instances, now)
 }
 
 // carryOut tells those who wait. It needs l.mu.
@@ -260,7 +260,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c := l.pools[pool]; c != nil {
-		return c.Total(l.instances(), clock.Now())
+		return c.TotalDemand(l.instances(), clock.Now())
 	}
 	return 0
 }
