--- a/coordination/limit/experiment_test.go
+++ b/coordination/limit/experiment_test.go
@@ -120,7 +120,7 @@
 	f := &fakeWorld{way: w, chance: rand.New(rand.NewPCG(seed, 11)), rate: rate, span: spanSteps, down: -1, later: map[int][]func(){}}
 	f.pool = NewCoordinator()
 	for g := range fakeLimiters {
-		f.limiters[g] = NewLimiter(Config{Queue: 256})
+		f.limiters[g] = NewLimiter(Config{MaxQueued: 256})
 		f.waiting[g] = map[uint64]*fakeTask{}
 		f.budgets[g] = retry.New(began)
 	}
@@ -212,7 +212,7 @@
 	s := fakeSpaces[t.space]
 	f.carryOut(t.limiter, step, f.limiters[t.limiter].Update(ArriveMsg{
 		ID: t.id, Workspace: s.name, Share: s.share, Priority: priority,
-		Latest: clock(t.deadline), Deadline: clock(t.deadline), Now: clock(step),
+		StartBy: clock(t.deadline), Deadline: clock(t.deadline), Now: clock(step),
 	}))
 }
 
@@ -284,7 +284,7 @@
 		m := protocol.DemandMsg{From: fmt.Sprint("entry-", g), Rows: f.limiters[g].Demand()}
 		grant := f.pool.HandleDemand(m, slots, fakeLimiters, clock(step))
 		f.at(step+answerSteps, func() {
-			f.carryOut(g, step+answerSteps, f.limiters[g].Update(GrantMsg{GrantMsg: grant, Until: clock(step + 4*askSteps), Now: clock(step + answerSteps)}))
+			f.carryOut(g, step+answerSteps, f.limiters[g].Update(GrantMsg{GrantMsg: grant, ExpiresAt: clock(step + 4*askSteps), Now: clock(step + answerSteps)}))
 		})
 	}
 }
--- a/coordination/limit/limit.go
+++ b/coordination/limit/limit.go
@@ -49,7 +49,7 @@
 
 // Config bounds a limiter.
 type Config struct {
-	Queue int // Queue is how many requests may wait.
+	MaxQueued int // Queue is how many requests may wait.
 }
 
 // Limiter is the limit of one pool on one instance. [Limiter.Update] is
@@ -129,7 +129,7 @@
 	s := l.space(m.Workspace, m.Share)
 	r := &request{id: m.ID, space: s, class: protocol.ClassOf(m.Priority), priority: m.Priority, latest: l.latest(m)}
 	l.requests[r.id] = r
-	if m.Taken || (len(s.queue[r.class]) == 0 && l.mayStart(s, r.class)) {
+	if m.Admitted || (len(s.queue[r.class]) == 0 && l.mayStart(s, r.class)) {
 		l.begin(r, m.Now)
 		return []Cmd{StartCmd{ID: r.id}}
 	}
@@ -137,7 +137,7 @@
 		return []Cmd{l.refuse(r)}
 	}
 	l.enqueue(r)
-	if l.queued <= l.cfg.Queue {
+	if l.queued <= l.cfg.MaxQueued {
 		return nil
 	}
 	last := l.last()
@@ -179,10 +179,10 @@
 
 // latest is when a request must begin to end by its deadline.
 func (l *Limiter) latest(m ArriveMsg) time.Time {
-	if begin := m.Deadline.Add(-l.service - spreads*l.spread); !m.Deadline.IsZero() && begin.Before(m.Latest) {
+	if begin := m.Deadline.Add(-l.service - spreads*l.spread); !m.Deadline.IsZero() && begin.Before(m.StartBy) {
 		return begin
 	}
-	return m.Latest
+	return m.StartBy
 }
 
 func (l *Limiter) space(name string, share int) *space {
@@ -308,7 +308,7 @@
 
 // granted takes a coordinator's grant in place of the one before.
 func (l *Limiter) granted(m GrantMsg) {
-	l.until, l.spare = m.Until, m.Spare
+	l.until, l.spare = m.ExpiresAt, m.Spare
 	for _, s := range l.spaces {
 		s.limit = [protocol.Classes]int{}
 	}
--- a/coordination/limit/limit_test.go
+++ b/coordination/limit/limit_test.go
@@ -56,7 +56,7 @@
 // requests, and nothing waits while a slot of its own or a spare one is free.
 func TestLimiter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		g := NewLimiter(Config{Queue: rapid.IntRange(0, 8).Draw(t, "queue")})
+		g := NewLimiter(Config{MaxQueued: rapid.IntRange(0, 8).Draw(t, "queue")})
 		n := naiveLimiter{waiting: map[uint64]ArriveMsg{}, running: map[uint64]ArriveMsg{}}
 		now, id := began, uint64(0)
 		g.Update(PoolMsg{Slots: rapid.IntRange(0, 12).Draw(t, "slots"), Instances: 3, Now: now})
@@ -71,8 +71,8 @@
 					Workspace: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "workspace"),
 					Share:     rapid.IntRange(1, 9).Draw(t, "share"),
 					Priority:  protocol.Priority(rapid.IntRange(-1, 1).Draw(t, "priority")),
-					Latest:    now.Add(time.Duration(rapid.IntRange(0, 9).Draw(t, "latest")) * time.Second),
-					Taken:     rapid.IntRange(0, 9).Draw(t, "taken") == 0,
+					StartBy:   now.Add(time.Duration(rapid.IntRange(0, 9).Draw(t, "latest")) * time.Second),
+					Admitted:  rapid.IntRange(0, 9).Draw(t, "taken") == 0,
 					Now:       now,
 				}
 				n.waiting[id] = m
@@ -85,14 +85,14 @@
 					cmds = g.Update(DoneMsg{ID: done, Now: now})
 				}
 			case 3:
-				m := GrantMsg{Until: now.Add(time.Second), Now: now}
+				m := GrantMsg{ExpiresAt: now.Add(time.Second), Now: now}
 				m.Spare = rapid.IntRange(1, 3).Draw(t, "spare")
 				m.Rows = []protocol.Grant{{Workspace: "a", Slots: [2]int{rapid.IntRange(0, 4).Draw(t, "a"), 1}}}
 				cmds = g.Update(m)
 			case 4:
 				cmds = g.Update(TickMsg{Now: now})
 				for _, m := range n.waiting {
-					if !m.Latest.After(now) && !refuses(cmds, m.ID) {
+					if !m.StartBy.After(now) && !refuses(cmds, m.ID) {
 						t.Fatalf("request %d still waits after its time", m.ID)
 					}
 				}
@@ -154,11 +154,11 @@
 // TestHighPriorityGoesFirst fills a limiter and looks at the order in which the
 // waiting begin: high before normal within a workspace, low behind all.
 func TestHighPriorityGoesFirst(t *testing.T) {
-	g := NewLimiter(Config{Queue: 10})
+	g := NewLimiter(Config{MaxQueued: 10})
 	g.Update(PoolMsg{Slots: 1, Instances: 1, Now: began})
 	latest := began.Add(time.Hour)
 	for i, p := range []protocol.Priority{protocol.PriorityNormal, protocol.PriorityLow, protocol.PriorityNormal, protocol.PriorityHigh} {
-		g.Update(ArriveMsg{ID: uint64(i), Workspace: "a", Share: 1, Priority: p, Latest: latest, Now: began})
+		g.Update(ArriveMsg{ID: uint64(i), Workspace: "a", Share: 1, Priority: p, StartBy: latest, Now: began})
 	}
 	var order []uint64
 	for running := uint64(0); ; {
@@ -218,11 +218,11 @@
 // TestLimiterGoesOnAlone lets the grant run out: the limiter goes on with its even
 // part of the pool.
 func TestLimiterGoesOnAlone(t *testing.T) {
-	g := NewLimiter(Config{Queue: 100})
+	g := NewLimiter(Config{MaxQueued: 100})
 	g.Update(PoolMsg{Slots: 12, Instances: 3, Now: began})
-	g.Update(GrantMsg{GrantMsg: protocol.GrantMsg{Spare: 1}, Until: began.Add(time.Second), Now: began})
+	g.Update(GrantMsg{GrantMsg: protocol.GrantMsg{Spare: 1}, ExpiresAt: began.Add(time.Second), Now: began})
 	for id := range uint64(10) {
-		g.Update(ArriveMsg{ID: id, Workspace: "w", Share: 1, Latest: began.Add(time.Hour), Now: began})
+		g.Update(ArriveMsg{ID: id, Workspace: "w", Share: 1, StartBy: began.Add(time.Hour), Now: began})
 	}
 	if got := g.Demand()[0].Running[0]; got != 1 {
 		t.Errorf("%d run under a grant of one spare slot", got)
@@ -236,10 +236,10 @@
 // TestQueueKeepsShares has one workspace fill the queue before another one
 // comes: the newcomer waits too, and the latest of those that fill it give way.
 func TestQueueKeepsShares(t *testing.T) {
-	g := NewLimiter(Config{Queue: 6})
+	g := NewLimiter(Config{MaxQueued: 6})
 	g.Update(PoolMsg{Slots: 1, Instances: 1, Now: began})
 	arrive := func(id uint64, workspace string) []Cmd {
-		return g.Update(ArriveMsg{ID: id, Workspace: workspace, Share: 1, Latest: began.Add(time.Hour), Now: began})
+		return g.Update(ArriveMsg{ID: id, Workspace: workspace, Share: 1, StartBy: began.Add(time.Hour), Now: began})
 	}
 	for id := range uint64(8) {
 		arrive(id, "first")
--- a/coordination/limit/message.go
+++ b/coordination/limit/message.go
@@ -15,9 +15,9 @@
 	Workspace string
 	Share     int
 	Priority  protocol.Priority
-	Latest    time.Time // Latest is when it must have begun.
+	StartBy   time.Time // Latest is when it must have begun.
 	Deadline  time.Time // Deadline is when it must have ended; zero for never.
-	Taken     bool      // Taken says that the system took it on before: it waits for nothing.
+	Admitted  bool      // Taken says that the system took it on before: it waits for nothing.
 	Now       time.Time
 }
 
@@ -30,8 +30,8 @@
 // GrantMsg is the coordinator's answer.
 type GrantMsg struct {
 	protocol.GrantMsg
-	Until time.Time // Until is when the grant runs out.
-	Now   time.Time
+	ExpiresAt time.Time // Until is when the grant runs out.
+	Now       time.Time
 }
 
 // PoolMsg tells what this instance itself knows of the pool.
--- a/transport/limits.go
+++ b/transport/limits.go
@@ -69,7 +69,7 @@
 }
 
 // LimitConfig returns the bounds of an instance's limiters.
-func LimitConfig(s *settings.Settings) limit.Config { return limit.Config{Queue: s.Limits.Queue} }
+func LimitConfig(s *settings.Settings) limit.Config { return limit.Config{MaxQueued: s.Limits.Queue} }
 
 // Meter shows the number of questions to coordinators among the meters.
 func (l *Limits) Meter(r metrics.Registry) {
@@ -153,7 +153,7 @@
 		}
 		return
 	}
-	g.carryOut(g.Update(limit.GrantMsg{GrantMsg: grant, Until: now.Add(limit.Lease(l.instances())), Now: now}))
+	g.carryOut(g.Update(limit.GrantMsg{GrantMsg: grant, ExpiresAt: now.Add(limit.Lease(l.instances())), Now: now}))
 }
 
 // coordinator asks the member that ranks first for the pool.
--- a/transport/limits_test.go
+++ b/transport/limits_test.go
@@ -19,9 +19,9 @@
 	tables := state.NewTables()
 	tables.Backends.SetList([]protocol.Instance{{ID: "e", Kind: protocol.InstanceEngine}}, time.Now())
 	tables.Backends.SetReports([]state.ReportRow{{Server: "e", Report: protocol.LoadReport{Models: []string{"m"}, Slots: 1}, At: time.Now()}})
-	l := NewLimits(tables, nil, zerolog.Nop(), "entry-1", limit.Config{Queue: 10})
+	l := NewLimits(tables, nil, zerolog.Nop(), "entry-1", limit.Config{MaxQueued: 10})
 	for range 3 {
-		l.Enter("m", limit.ArriveMsg{Workspace: "w", Share: 1, Latest: time.Now().Add(time.Hour)})
+		l.Enter("m", limit.ArriveMsg{Workspace: "w", Share: 1, StartBy: time.Now().Add(time.Hour)})
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	began := time.Now()
--- a/transport/slot.go
+++ b/transport/slot.go
@@ -21,9 +21,9 @@
 		Workspace: x.request.Key.Workspace,
 		Share:     share,
 		Priority:  x.request.Priority,
-		Latest:    clock.Now().Add(x.g.settings.Limits.QueueWait),
+		StartBy:   clock.Now().Add(x.g.settings.Limits.QueueWait),
 		Deadline:  x.request.Deadline,
-		Taken:     taken,
+		Admitted:  taken,
 	})
 	x.leavePool = leave
 	return decision
