--- a/coordination/limit/coordinator.go
+++ b/coordination/limit/coordinator.go
@@ -9,73 +9,72 @@
 )
 
 const (
-	// askEvery is the least time between two questions of a limiter. It grows with
-	// the instances, so that the coordinator's load does not.
-	askEvery       = 100 * time.Millisecond
-	askEveryMember = 5 * time.Millisecond
-	// lasts is how many such times a grant lasts, and a demand counts.
-	lasts = 4
+	// minInterval is the least time between two demands of a limiter. The interval grows with
+	// the number of instances, so that the coordinator's load stays bounded.
+	minInterval         = 100 * time.Millisecond
+	intervalPerInstance = 5 * time.Millisecond
+	// leaseIntervals is how many intervals a grant lasts and a demand is remembered.
+	leaseIntervals = 4
 )
 
-// Interval is the time between two questions of a limiter, by the number of
-// instances.
+// Interval returns the time between two demands of a limiter, for a number of instances.
 func Interval(instances int) time.Duration {
-	return max(askEvery, time.Duration(instances)*askEveryMember)
+	return max(minInterval, time.Duration(instances)*intervalPerInstance)
 }
 
-// Lease is how long a grant lasts.
-func Lease(instances int) time.Duration { return lasts * Interval(instances) }
+// Lease returns how long a grant lasts, for a number of instances.
+func Lease(instances int) time.Duration { return leaseIntervals * Interval(instances) }
 
-// Coordinator divides a pool's slots between the limiters of all instances. It
-// remembers what each one last asked for until that is too old.
+// Coordinator divides a pool's slots between the limiters of all instances. It remembers
+// the last demand of each limiter for the time of a lease.
 type Coordinator struct {
-	asked   map[string]asked
-	divided time.Time
-	grants  map[string]protocol.GrantMsg
+	demands   map[string]limiterDemand
+	dividedAt time.Time
+	grants    map[string]protocol.GrantMsg
 }
 
-// asked is a limiter's last demand.
-type asked struct {
+// limiterDemand is the last demand of a limiter.
+type limiterDemand struct {
 	rows []protocol.Demand
 	at   time.Time
 }
 
-// NewCoordinator returns a coordinator that nobody has asked yet.
-func NewCoordinator() *Coordinator { return &Coordinator{asked: map[string]asked{}} }
+// NewCoordinator returns a coordinator without demands.
+func NewCoordinator() *Coordinator { return &Coordinator{demands: map[string]limiterDemand{}} }
 
-// HandleDemand takes a limiter's demand and returns its grant. The slots are those of the
-// whole pool, the instances those that may send to it.
+// HandleDemand processes a limiter's demand and returns its grant. slots is the number of
+// slots of the whole pool, instances the number of instances that may send to it.
 func (c *Coordinator) HandleDemand(m protocol.DemandMsg, slots, instances int, now time.Time) protocol.GrantMsg {
-	_, known := c.asked[m.From]
-	c.asked[m.From] = asked{rows: m.Rows, at: now}
-	if !known || now.Sub(c.divided) >= Interval(instances)/4 {
-		c.divide(slots, instances, now)
+	_, known := c.demands[m.From]
+	c.demands[m.From] = limiterDemand{rows: m.Rows, at: now}
+	if !known || now.Sub(c.dividedAt) >= Interval(instances)/4 {
+		c.recomputeGrants(slots, instances, now)
 	}
 	return c.grants[m.From]
 }
 
-// divide shares the slots out: first between workspaces, then each one's
-// between the limiters that ask for it.
-func (c *Coordinator) divide(slots, instances int, now time.Time) {
-	for from, a := range c.asked {
-		if now.Sub(a.at) > Lease(instances) {
-			delete(c.asked, from)
+// recomputeGrants divides the slots: first between workspaces, then the slots of each
+// workspace between the limiters that demand them.
+func (c *Coordinator) recomputeGrants(slots, instances int, now time.Time) {
+	for from, demand := range c.demands {
+		if now.Sub(demand.at) > Lease(instances) {
+			delete(c.demands, from)
 		}
 	}
 	limiters := c.limiters()
-	total := c.total(limiters)
-	given := divide(slots, total)
-	c.divided, c.grants = now, map[string]protocol.GrantMsg{}
-	left := slots
+	total := c.sumDemands(limiters)
+	allocated := divideAmongWorkspaces(slots, total)
+	c.dividedAt, c.grants = now, map[string]protocol.GrantMsg{}
+	unused := slots
 	for i := range total {
-		left -= given[i][protocol.ClassRegular] + given[i][protocol.ClassLow]
+		unused -= allocated[i][protocol.ClassRegular] + allocated[i][protocol.ClassLow]
 		for class := range protocol.Classes {
-			c.split(limiters, total[i].Workspace, class, given[i][class])
+			c.divideAmongLimiters(limiters, total[i].Workspace, class, allocated[i][class])
 		}
 	}
-	// What nobody asks for is lent out evenly, one slot at the least, so that a
-	// limiter can begin something before it was granted anything.
-	spare := max(1, left/max(1, instances))
+	// Slots without demand are lent out evenly, at least one to each limiter, so that a
+	// limiter can start requests before it has a grant.
+	spare := max(1, unused/max(1, instances))
 	for _, from := range limiters {
 		grant := c.grants[from]
 		grant.Spare = spare
@@ -86,31 +85,31 @@
 // TotalDemand returns how many slots all limiters together could use now.
 func (c *Coordinator) TotalDemand(instances int, now time.Time) int {
 	total := 0
-	for _, a := range c.asked {
-		if now.Sub(a.at) > Lease(instances) {
+	for _, demand := range c.demands {
+		if now.Sub(demand.at) > Lease(instances) {
 			continue
 		}
-		for i := range a.rows {
-			total += a.rows[i].Want(protocol.ClassRegular) + a.rows[i].Want(protocol.ClassLow)
+		for i := range demand.rows {
+			total += demand.rows[i].Want(protocol.ClassRegular) + demand.rows[i].Want(protocol.ClassLow)
 		}
 	}
 	return total
 }
 
 func (c *Coordinator) limiters() []string {
-	names := make([]string, 0, len(c.asked))
-	for from := range c.asked {
+	names := make([]string, 0, len(c.demands))
+	for from := range c.demands {
 		names = append(names, from)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// total adds up the limiters' demands by workspace, sorted by its name.
-func (c *Coordinator) total(limiters []string) []protocol.Demand {
+// sumDemands adds up the limiters' demands by workspace, sorted by name.
+func (c *Coordinator) sumDemands(limiters []string) []protocol.Demand {
 	sums := map[string]*protocol.Demand{}
 	for _, from := range limiters {
-		for _, row := range c.asked[from].rows {
+		for _, row := range c.demands[from].rows {
 			s := sums[row.Workspace]
 			if s == nil {
 				s = &protocol.Demand{Workspace: row.Workspace}
@@ -131,19 +130,19 @@
 	return rows
 }
 
-// split divides what a workspace has in a class between the limiters.
-func (c *Coordinator) split(limiters []string, workspace string, class, slots int) {
+// divideAmongLimiters divides a workspace's slots of a class between the limiters.
+func (c *Coordinator) divideAmongLimiters(limiters []string, workspace string, class, slots int) {
 	var wants []want
 	var from []string
 	for _, limiter := range limiters {
-		for _, row := range c.asked[limiter].rows {
+		for _, row := range c.demands[limiter].rows {
 			if n := row.Want(class); row.Workspace == workspace && n > 0 {
 				wants = append(wants, want{weight: 1, slots: n})
 				from = append(from, limiter)
 			}
 		}
 	}
-	for i, n := range fair(slots, wants) {
+	for i, n := range maxMinFair(slots, wants) {
 		grant := c.grants[from[i]]
 		grant.Rows = addGrant(grant.Rows, workspace, class, n)
 		c.grants[from[i]] = grant
@@ -158,19 +157,19 @@
 	return rows
 }
 
-// divide shares slots out between workspaces: by their shares for regular
-// requests, and what is left likewise for those of low priority.
-func divide(slots int, rows []protocol.Demand) [][protocol.Classes]int {
-	given := make([][protocol.Classes]int, len(rows))
+// divideAmongWorkspaces divides slots between workspaces by their shares: first for regular
+// requests, then the rest for requests of low priority.
+func divideAmongWorkspaces(slots int, rows []protocol.Demand) [][protocol.Classes]int {
+	allocated := make([][protocol.Classes]int, len(rows))
 	for class := range protocol.Classes {
 		wants := make([]want, len(rows))
 		for i := range rows {
 			wants[i] = want{weight: rows[i].Share, slots: rows[i].Want(class)}
 		}
-		for i, n := range fair(slots, wants) {
-			given[i][class] = n
+		for i, n := range maxMinFair(slots, wants) {
+			allocated[i][class] = n
 			slots -= n
 		}
 	}
-	return given
+	return allocated
 }
--- a/coordination/limit/fair.go
+++ b/coordination/limit/fair.go
@@ -2,17 +2,17 @@
 
 import "container/heap"
 
-// want is what one party asks for, and its weight against the others.
+// want is the number of slots that one party demands, and its weight.
 type want struct {
 	weight int
 	slots  int
 }
 
-// fair divides slots by weighted max-min fairness: nobody gets more than it
-// wants, and what one leaves goes to the others by their weights. Whole slots
-// are given one after the other to whoever has the least for its weight, by
-// the method of Sainte-Laguë, which favors neither the large nor the small.
-func fair(slots int, wants []want) []int {
+// maxMinFair divides slots by weighted max-min fairness: no party gets more than it demands,
+// and what one leaves goes to the others by their weights. Whole slots are assigned one at a
+// time to the party with the least for its weight, by the Sainte-Laguë method, which favors
+// neither large nor small parties.
+func maxMinFair(slots int, wants []want) []int {
 	got := make([]int, len(wants))
 	queue := make(fairQueue, 0, len(wants))
 	for i, w := range wants {
@@ -22,50 +22,50 @@
 	}
 	heap.Init(&queue)
 	for ; slots > 0 && len(queue) > 0; slots-- {
-		t := &queue[0]
-		i := t.index
+		next := &queue[0]
+		i := next.index
 		got[i]++
 		if got[i] == wants[i].slots {
 			heap.Pop(&queue)
 			continue
 		}
-		t.due = (float64(got[i]) + 0.5) / float64(max(1, wants[i].weight))
+		next.due = (float64(got[i]) + 0.5) / float64(max(1, wants[i].weight))
 		heap.Fix(&queue, 0)
 	}
 	return got
 }
 
-// entry is when a party is due for its next slot; the lowest is next.
+// entry is a party in the queue; the lowest due value gets the next slot.
 type entry struct {
 	index int
 	due   float64
 }
 
-// fairQueue has the party that is due next in front.
+// fairQueue is a heap with the party that gets the next slot at its root.
 type fairQueue []entry
 
 // Len implements heap.Interface.
-func (l fairQueue) Len() int { return len(l) }
+func (q fairQueue) Len() int { return len(q) }
 
-// Less implements heap.Interface. Ties go by position, so that every instance
-// divides alike.
-func (l fairQueue) Less(i, j int) bool {
-	if l[i].due != l[j].due {
-		return l[i].due < l[j].due
+// Less implements heap.Interface. Ties are broken by position, so that the result is
+// deterministic.
+func (q fairQueue) Less(i, j int) bool {
+	if q[i].due != q[j].due {
+		return q[i].due < q[j].due
 	}
-	return l[i].index < l[j].index
+	return q[i].index < q[j].index
 }
 
 // Swap implements heap.Interface.
-func (l fairQueue) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
+func (q fairQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
-func (l *fairQueue) Push(x any) { *l = append(*l, x.(entry)) }
+func (q *fairQueue) Push(x any) { *q = append(*q, x.(entry)) }
 
 // Pop implements heap.Interface.
-func (l *fairQueue) Pop() any {
-	old := *l
+func (q *fairQueue) Pop() any {
+	old := *q
 	last := old[len(old)-1]
-	*l = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return last
 }
--- a/coordination/limit/limit.go
+++ b/coordination/limit/limit.go
@@ -1,28 +1,27 @@
-// Package limit shares a pool of backend servers out between workspaces, over
+// Package limit divides the capacity of a pool of backend servers between workspaces, across
 // all instances.
 //
-// A pool is what serves one model; its slots are the requests that its servers
-// run at once within the latency target. A workspace's share is of the whole
-// pool, whichever instances its callers come through, and no instance knows
-// the whole. Two parts work together:
+// A pool consists of the servers of one model. Its slots are the requests that its servers
+// run at once within the latency target. A workspace's share refers to the whole pool,
+// whichever instances its callers use, and no instance sees all requests. Two parts work
+// together:
 //
-//   - A [Limiter], one a pool on each instance, lets a request begin while its
-//     workspace has a slot left, keeps it waiting while that can still meet its
-//     deadline, and else refuses it at once with when to come back.
-//   - A [Coordinator] divides the slots by what all limiters ask for. It is the
-//     instance that ranks first for the pool by rendezvous hashing among the
-//     live members, so it needs no election, and it keeps nothing: the limiters
-//     tell it again every moment.
+//   - A [Limiter], one per pool on each instance, starts a request if its workspace has a
+//     free slot. Otherwise it queues the request if it can still meet its deadline, or
+//     refuses it at once with a Retry-After.
+//   - A [Coordinator] divides the slots by the demands of all limiters. It runs on the
+//     instance that ranks first for the pool by rendezvous hashing among the live members,
+//     so it needs no election. It stores nothing: the limiters repeat their demands all the
+//     time.
 //
-// A grant is a lease. When it runs out, since the coordinator is gone or cut
-// off, the limiter goes on with its even part of the pool. Two coordinators at the
-// same time, while views of the membership differ, give out too much for a
-// moment; the servers' own queues take that. Limits need not be exact, they
-// must always let some work begin.
+// A grant is a lease. When it expires because the coordinator failed or cannot be reached,
+// the limiter uses its even part of the pool. While views of the membership differ, two
+// coordinators may grant too much for a short time; the queues of the servers absorb that.
+// Limits need not be exact, but they must always let some requests start.
 //
-// Requests of low priority get what all others leave, so work that can wait
-// overnight never takes a slot that a caller waits for. High priority goes
-// first within its workspace only: no workspace can mark its way past another.
+// Requests of low priority get the slots that all others leave, so batch requests never take
+// a slot that a caller waits for. High priority counts only within its workspace: it gives
+// a workspace no precedence over others.
 package limit
 
 import (
@@ -34,73 +33,73 @@
 )
 
 const (
-	// firstService is how long a request is taken to hold its slot before one
-	// was measured.
-	firstService = 2 * time.Second
-	// serviceWeight is the weight of the latest request in the mean.
-	serviceWeight = 0.1
-	// spreads is how many mean deviations above the mean a request is taken to
-	// last when it is asked whether it still ends in time.
-	spreads = 2
-	// leastRetry and mostRetry bound when a refused caller is told to come back.
-	leastRetry = 200 * time.Millisecond
-	mostRetry  = 30 * time.Second
+	// initialServiceTime is how long a request is assumed to hold its slot before the first
+	// measurement.
+	initialServiceTime = 2 * time.Second
+	// serviceTimeWeight is the weight of the latest request in the moving averages.
+	serviceTimeWeight = 0.1
+	// deviationFactor is how many mean deviations above the mean a request is assumed to
+	// last when the limiter checks whether it can meet its deadline.
+	deviationFactor = 2
+	// minRetryAfter and maxRetryAfter bound the Retry-After of refused requests.
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = 30 * time.Second
 )
 
-// Config bounds a limiter.
+// Config configures a limiter.
 type Config struct {
-	MaxQueued int // Queue is how many requests may wait.
+	MaxQueued int // MaxQueued is how many requests may be queued.
 }
 
-// Limiter is the limit of one pool on one instance. [Limiter.Update] is
+// Limiter limits the requests of one pool on one instance. [Limiter.Update] is
 // deterministic and changes the limiter in place.
 type Limiter struct {
-	cfg       Config
-	spaces    map[string]*space
-	names     []string // names are the workspaces, sorted.
-	requests  map[uint64]*request
-	queued    int
-	spare     int
-	until     time.Time // until is when the grant runs out.
-	slots     int
-	instances int
-	service   time.Duration // service is how long a request holds its slot, in the mean.
-	spread    time.Duration // spread is the mean deviation from that.
+	cfg            Config
+	workspaces     map[string]*workspace
+	names          []string // names are the names of the workspaces, sorted.
+	requests       map[uint64]*request
+	queued         int
+	spare          int
+	grantExpiresAt time.Time // grantExpiresAt is the end of the grant's lease.
+	slots          int
+	instances      int
+	serviceTime    time.Duration // serviceTime is the mean time that a request holds its slot.
+	deviation      time.Duration // deviation is the mean deviation of the service time.
 }
 
-// space is one workspace at the limiter.
-type space struct {
+// workspace is the state of one workspace.
+type workspace struct {
 	demand protocol.Demand
 	limit  [protocol.Classes]int
 	queue  [protocol.Classes][]*request
 }
 
-// request is one that holds a slot or waits for one.
+// request is a running or queued request.
 type request struct {
-	id       uint64
-	space    *space
-	class    int
-	priority protocol.Priority
-	latest   time.Time
-	began    time.Time // began is zero while it waits.
+	id        uint64
+	workspace *workspace
+	class     int
+	priority  protocol.Priority
+	startBy   time.Time
+	startedAt time.Time // startedAt is zero while the request is queued.
 }
 
-// NewLimiter returns a limiter that limits nothing until it is told of the pool.
+// NewLimiter returns a limiter that limits nothing until it gets a PoolMsg with slots.
 func NewLimiter(cfg Config) *Limiter {
-	return &Limiter{cfg: cfg, spaces: map[string]*space{}, requests: map[uint64]*request{}, service: firstService, instances: 1}
+	return &Limiter{cfg: cfg, workspaces: map[string]*workspace{}, requests: map[uint64]*request{}, serviceTime: initialServiceTime, instances: 1}
 }
 
-// Update applies a message and returns what to do.
+// Update processes a message and returns the commands to execute.
 func (l *Limiter) Update(m Msg) []Cmd {
 	switch m := m.(type) {
 	case ArriveMsg:
 		return l.arrive(m)
 	case DoneMsg:
 		l.done(m)
-		return l.start(m.Now)
+		return l.startQueued(m.Now)
 	case GrantMsg:
-		l.granted(m)
-		return l.start(m.Now)
+		l.applyGrant(m)
+		return l.startQueued(m.Now)
 	case PoolMsg:
 		l.slots, l.instances = m.Slots, max(1, m.Instances)
 		return l.tick(m.Now)
@@ -110,57 +109,57 @@
 	return nil
 }
 
-// Demand returns what the limiter's callers ask for, by workspace.
+// Demand returns the running and queued requests by workspace.
 func (l *Limiter) Demand() []protocol.Demand {
 	rows := make([]protocol.Demand, 0, len(l.names))
 	for _, name := range l.names {
-		rows = append(rows, l.spaces[name].demand)
+		rows = append(rows, l.workspaces[name].demand)
 	}
 	return rows
 }
 
-// Queued returns how many requests wait.
+// Queued returns the number of queued requests.
 func (l *Limiter) Queued() int { return l.queued }
 
-// Idle reports whether the limiter holds no request.
+// Idle reports whether there are no running or queued requests.
 func (l *Limiter) Idle() bool { return len(l.requests) == 0 }
 
 func (l *Limiter) arrive(m ArriveMsg) []Cmd {
-	s := l.space(m.Workspace, m.Share)
-	r := &request{id: m.ID, space: s, class: protocol.ClassOf(m.Priority), priority: m.Priority, latest: l.latest(m)}
+	w := l.findOrAddWorkspace(m.Workspace, m.Share)
+	r := &request{id: m.ID, workspace: w, class: protocol.ClassOf(m.Priority), priority: m.Priority, startBy: l.startBy(m)}
 	l.requests[r.id] = r
-	if m.Admitted || (len(s.queue[r.class]) == 0 && l.mayStart(s, r.class)) {
-		l.begin(r, m.Now)
+	if m.Admitted || (len(w.queue[r.class]) == 0 && l.mayStart(w, r.class)) {
+		l.markStarted(r, m.Now)
 		return []Cmd{StartCmd{ID: r.id}}
 	}
-	if m.Now.Add(l.wait(r)).After(r.latest) {
+	if m.Now.Add(l.estimateWait(r)).After(r.startBy) {
 		return []Cmd{l.refuse(r)}
 	}
 	l.enqueue(r)
 	if l.queued <= l.cfg.MaxQueued {
 		return nil
 	}
-	last := l.last()
-	l.unqueue(last)
-	return []Cmd{l.refuse(last)}
+	evicted := l.evictionCandidate()
+	l.dequeue(evicted)
+	return []Cmd{l.refuse(evicted)}
 }
 
-// refuse turns away a request that is in no queue.
+// refuse removes a request that is not queued and returns its refusal.
 func (l *Limiter) refuse(r *request) Cmd {
 	delete(l.requests, r.id)
-	return RefuseCmd{ID: r.id, RetryAfter: retryAfter(r.id, l.wait(r))}
+	return RefuseCmd{ID: r.id, RetryAfter: retryAfter(r.id, l.estimateWait(r))}
 }
 
-// last returns the request that must give way when the queue is full: the
-// latest of the workspace with the longest queue for its share, those of low
-// priority before all others. So nobody can fill the queue against the rest.
-func (l *Limiter) last() *request {
+// evictionCandidate returns the request to refuse when the queue is full: the last one of
+// the workspace with the longest queue for its share, first among requests of low priority.
+// This way no workspace can fill the queue at the expense of the others.
+func (l *Limiter) evictionCandidate() *request {
 	for class := protocol.Classes - 1; class >= 0; class-- {
-		var longest *space
+		var longest *workspace
 		for _, name := range l.names {
-			s := l.spaces[name]
-			if len(s.queue[class]) > 0 && (longest == nil || longest.queuedLess(s, class)) {
-				longest = s
+			w := l.workspaces[name]
+			if len(w.queue[class]) > 0 && (longest == nil || longest.hasShorterQueue(w, class)) {
+				longest = w
 			}
 		}
 		if longest != nil {
@@ -171,110 +170,110 @@
 	return nil
 }
 
-// queuedLess reports whether s has less of a class in its queue for its share
+// hasShorterQueue reports whether s has fewer queued requests of a class for its share
 // than o.
-func (s *space) queuedLess(o *space, class int) bool {
-	return len(s.queue[class])*max(1, o.demand.Share) < len(o.queue[class])*max(1, s.demand.Share)
+func (w *workspace) hasShorterQueue(o *workspace, class int) bool {
+	return len(w.queue[class])*max(1, o.demand.Share) < len(o.queue[class])*max(1, w.demand.Share)
 }
 
-// latest is when a request must begin to end by its deadline.
-func (l *Limiter) latest(m ArriveMsg) time.Time {
-	if begin := m.Deadline.Add(-l.service - spreads*l.spread); !m.Deadline.IsZero() && begin.Before(m.StartBy) {
-		return begin
+// startBy returns when a request must start: by its StartBy, and early enough to meet its
+// deadline.
+func (l *Limiter) startBy(m ArriveMsg) time.Time {
+	if startBy := m.Deadline.Add(-l.serviceTime - deviationFactor*l.deviation); !m.Deadline.IsZero() && startBy.Before(m.StartBy) {
+		return startBy
 	}
 	return m.StartBy
 }
 
-func (l *Limiter) space(name string, share int) *space {
-	s := l.spaces[name]
-	if s == nil {
-		s = &space{demand: protocol.Demand{Workspace: name}}
-		l.spaces[name] = s
+func (l *Limiter) findOrAddWorkspace(name string, share int) *workspace {
+	w := l.workspaces[name]
+	if w == nil {
+		w = &workspace{demand: protocol.Demand{Workspace: name}}
+		l.workspaces[name] = w
 		i, _ := slices.BinarySearch(l.names, name)
 		l.names = slices.Insert(l.names, i, name)
 	}
-	s.demand.Share = share
-	return s
+	w.demand.Share = share
+	return w
 }
 
-// enqueue puts a request behind those of its workspace with the same priority
-// or a higher one.
+// enqueue inserts a request behind those of its workspace with the same or a higher priority.
 func (l *Limiter) enqueue(r *request) {
-	queue := r.space.queue[r.class]
+	queue := r.workspace.queue[r.class]
 	i := slices.IndexFunc(queue, func(o *request) bool { return o.priority < r.priority })
 	if i < 0 {
 		i = len(queue)
 	}
-	r.space.queue[r.class] = slices.Insert(queue, i, r)
-	r.space.demand.Queued[r.class]++
+	r.workspace.queue[r.class] = slices.Insert(queue, i, r)
+	r.workspace.demand.Queued[r.class]++
 	l.queued++
 }
 
-func (l *Limiter) unqueue(r *request) {
-	queue := r.space.queue[r.class]
-	r.space.queue[r.class] = slices.DeleteFunc(queue, func(o *request) bool { return o == r })
-	r.space.demand.Queued[r.class]--
+func (l *Limiter) dequeue(r *request) {
+	queue := r.workspace.queue[r.class]
+	r.workspace.queue[r.class] = slices.DeleteFunc(queue, func(o *request) bool { return o == r })
+	r.workspace.demand.Queued[r.class]--
 	l.queued--
 }
 
-func (l *Limiter) begin(r *request, now time.Time) {
-	r.began = now
-	r.space.demand.Running[r.class]++
+func (l *Limiter) markStarted(r *request, now time.Time) {
+	r.startedAt = now
+	r.workspace.demand.Running[r.class]++
 }
 
-// mayStart reports whether a request of a class may begin now.
-func (l *Limiter) mayStart(s *space, class int) bool {
-	if l.slots == 0 || s.demand.Running[class] < s.limit[class] {
+// mayStart reports whether a request of a class may start now.
+func (l *Limiter) mayStart(w *workspace, class int) bool {
+	if l.slots == 0 || w.demand.Running[class] < w.limit[class] {
 		return true
 	}
-	if class == protocol.ClassLow && l.regularWaits() {
+	if class == protocol.ClassLow && l.regularQueued() {
 		return false
 	}
 	return l.borrowed() < l.spare
 }
 
-// borrowed counts the slots in use beyond the workspaces' own.
+// borrowed counts the slots in use beyond the limits of the workspaces.
 func (l *Limiter) borrowed() int {
 	n := 0
-	for _, s := range l.spaces {
+	for _, w := range l.workspaces {
 		for class := range protocol.Classes {
-			n += max(0, s.demand.Running[class]-s.limit[class])
+			n += max(0, w.demand.Running[class]-w.limit[class])
 		}
 	}
 	return n
 }
 
-func (l *Limiter) regularWaits() bool {
-	for _, s := range l.spaces {
-		if len(s.queue[protocol.ClassRegular]) > 0 {
+func (l *Limiter) regularQueued() bool {
+	for _, w := range l.workspaces {
+		if len(w.queue[protocol.ClassRegular]) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// start lets those begin that may, the workspace with the least for its share
-// first.
-func (l *Limiter) start(now time.Time) []Cmd {
+// startQueued starts the queued requests that may start, first those of the workspace that
+// runs the fewest for its share.
+func (l *Limiter) startQueued(now time.Time) []Cmd {
 	var cmds []Cmd
 	for {
 		r := l.next()
 		if r == nil {
 			return cmds
 		}
-		l.unqueue(r)
-		l.begin(r, now)
+		l.dequeue(r)
+		l.markStarted(r, now)
 		cmds = append(cmds, StartCmd{ID: r.id})
 	}
 }
 
 func (l *Limiter) next() *request {
 	for class := range protocol.Classes {
-		var best *space
+		var best *workspace
 		for _, name := range l.names {
-			s := l.spaces[name]
-			if len(s.queue[class]) > 0 && l.mayStart(s, class) && (best == nil || s.less(best, class)) {
-				best = s
+			w := l.workspaces[name]
+			if len(w.queue[class]) > 0 && l.mayStart(w, class) && (best == nil || w.runsFewer(best, class)) {
+				best = w
 			}
 		}
 		if best != nil {
@@ -284,9 +283,9 @@
 	return nil
 }
 
-// less reports whether s has less of a class for its share than o.
-func (s *space) less(o *space, class int) bool {
-	return s.demand.Running[class]*max(1, o.demand.Share) < o.demand.Running[class]*max(1, s.demand.Share)
+// runsFewer reports whether s runs fewer requests of a class for its share than o.
+func (w *workspace) runsFewer(o *workspace, class int) bool {
+	return w.demand.Running[class]*max(1, o.demand.Share) < o.demand.Running[class]*max(1, w.demand.Share)
 }
 
 func (l *Limiter) done(m DoneMsg) {
@@ -295,99 +294,98 @@
 		return
 	}
 	delete(l.requests, m.ID)
-	if r.began.IsZero() {
-		l.unqueue(r)
+	if r.startedAt.IsZero() {
+		l.dequeue(r)
 		return
 	}
-	r.space.demand.Running[r.class]--
-	took := m.Now.Sub(r.began)
-	l.spread += time.Duration(serviceWeight * float64((took-l.service).Abs()-l.spread))
-	l.service += time.Duration(serviceWeight * float64(took-l.service))
-	l.service = max(l.service, time.Millisecond)
+	r.workspace.demand.Running[r.class]--
+	took := m.Now.Sub(r.startedAt)
+	l.deviation += time.Duration(serviceTimeWeight * float64((took-l.serviceTime).Abs()-l.deviation))
+	l.serviceTime += time.Duration(serviceTimeWeight * float64(took-l.serviceTime))
+	l.serviceTime = max(l.serviceTime, time.Millisecond)
 }
 
-// granted takes a coordinator's grant in place of the one before.
-func (l *Limiter) granted(m GrantMsg) {
-	l.until, l.spare = m.ExpiresAt, m.Spare
-	for _, s := range l.spaces {
-		s.limit = [protocol.Classes]int{}
+// applyGrant replaces the coordinator's previous grant.
+func (l *Limiter) applyGrant(m GrantMsg) {
+	l.grantExpiresAt, l.spare = m.ExpiresAt, m.Spare
+	for _, w := range l.workspaces {
+		w.limit = [protocol.Classes]int{}
 	}
 	for _, row := range m.Rows {
-		if s := l.spaces[row.Workspace]; s != nil {
-			s.limit = row.Slots
+		if w := l.workspaces[row.Workspace]; w != nil {
+			w.limit = row.Slots
 		}
 	}
 }
 
-// tick refuses what can no longer begin in time, goes on alone when the grant
-// has run out, and forgets workspaces that ask for nothing.
+// tick refuses requests that can no longer start in time, removes idle workspaces, and
+// divides the slots locally if the grant has expired.
 func (l *Limiter) tick(now time.Time) []Cmd {
 	var cmds []Cmd
-	for _, r := range l.late(now) {
-		l.unqueue(r)
+	for _, r := range l.expired(now) {
+		l.dequeue(r)
 		cmds = append(cmds, l.refuse(r))
 	}
 	l.names = slices.DeleteFunc(l.names, func(name string) bool {
-		s := l.spaces[name]
-		idle := s.demand.Want(protocol.ClassRegular)+s.demand.Want(protocol.ClassLow) == 0
+		w := l.workspaces[name]
+		idle := w.demand.Want(protocol.ClassRegular)+w.demand.Want(protocol.ClassLow) == 0
 		if idle {
-			delete(l.spaces, name)
+			delete(l.workspaces, name)
 		}
 		return idle
 	})
-	if l.slots > 0 && now.After(l.until) {
-		l.alone()
+	if l.slots > 0 && now.After(l.grantExpiresAt) {
+		l.divideLocally()
 	}
-	return append(cmds, l.start(now)...)
+	return append(cmds, l.startQueued(now)...)
 }
 
-// late returns the waiting requests whose time to begin has passed.
-func (l *Limiter) late(now time.Time) []*request {
-	var late []*request
+// expired returns the queued requests that can no longer start in time.
+func (l *Limiter) expired(now time.Time) []*request {
+	var expired []*request
 	for _, name := range l.names {
-		for _, queue := range l.spaces[name].queue {
+		for _, queue := range l.workspaces[name].queue {
 			for _, r := range queue {
-				if !r.latest.After(now) {
-					late = append(late, r)
+				if !r.startBy.After(now) {
+					expired = append(expired, r)
 				}
 			}
 		}
 	}
-	return late
+	return expired
 }
 
-// alone divides this instance's even part of the pool, rounded up, between its
-// own workspaces.
-func (l *Limiter) alone() {
+// divideLocally divides this instance's even part of the pool, rounded up, between its
+// workspaces.
+func (l *Limiter) divideLocally() {
 	part := (l.slots + l.instances - 1) / l.instances
 	rows := l.Demand()
-	given := divide(part, rows)
+	allocated := divideAmongWorkspaces(part, rows)
 	used := 0
 	for i, name := range l.names {
-		l.spaces[name].limit = given[i]
-		used += given[i][protocol.ClassRegular] + given[i][protocol.ClassLow]
+		l.workspaces[name].limit = allocated[i]
+		used += allocated[i][protocol.ClassRegular] + allocated[i][protocol.ClassLow]
 	}
 	l.spare = max(1, part-used)
 }
 
-// wait estimates how long a request waits if it joins its queue now: those
-// ahead of it, each for as long as a request holds its slot, over the slots
-// that its workspace has.
-func (l *Limiter) wait(r *request) time.Duration {
+// estimateWait estimates how long a request waits if it joins its queue now: the number of
+// requests ahead of it, times the mean service time, divided by the slots of its workspace.
+func (l *Limiter) estimateWait(r *request) time.Duration {
 	ahead := 1
-	for _, o := range r.space.queue[r.class] {
+	for _, o := range r.workspace.queue[r.class] {
 		if o.priority >= r.priority {
 			ahead++
 		}
 	}
-	slots := max(1, r.space.limit[r.class], r.space.demand.Running[r.class])
-	return l.service * time.Duration(ahead) / time.Duration(slots)
+	slots := max(1, r.workspace.limit[r.class], r.workspace.demand.Running[r.class])
+	return l.serviceTime * time.Duration(ahead) / time.Duration(slots)
 }
 
-// retryAfter spreads refused callers over as long again as the wait, so that
-// they do not come back together.
+// retryAfter spreads refused requests over an interval as long as the wait, so that they
+// are not sent again all at once.
 func retryAfter(id uint64, wait time.Duration) time.Duration {
-	const golden = 0.6180339887498949 // Its multiples spread evenly, however many.
-	_, part := math.Modf(float64(id) * golden)
-	return max(leastRetry, min(wait+time.Duration(part*float64(wait)), mostRetry))
+	const goldenRatio = 0.6180339887498949 // Its multiples modulo 1 are evenly spread, for any number of them.
+	_, fraction := math.Modf(float64(id) * goldenRatio)
+	return max(minRetryAfter, min(wait+time.Duration(fraction*float64(wait)), maxRetryAfter))
 }
--- a/coordination/limit/message.go
+++ b/coordination/limit/message.go
@@ -9,39 +9,39 @@
 // Msg is a message to [Limiter.Update].
 type Msg interface{ msg() }
 
-// ArriveMsg is a request that wants a slot.
+// ArriveMsg is a request that needs a slot.
 type ArriveMsg struct {
 	ID        uint64
 	Workspace string
 	Share     int
 	Priority  protocol.Priority
-	StartBy   time.Time // Latest is when it must have begun.
-	Deadline  time.Time // Deadline is when it must have ended; zero for never.
-	Admitted  bool      // Taken says that the system took it on before: it waits for nothing.
+	StartBy   time.Time // StartBy is when the request must have started.
+	Deadline  time.Time // Deadline is when the request must have ended; zero for no deadline.
+	Admitted  bool      // Admitted means that the system admitted the request before: it starts at once.
 	Now       time.Time
 }
 
-// DoneMsg is a request that gives its slot, or its place in the queue, back.
+// DoneMsg is a request that has ended, or leaves the queue.
 type DoneMsg struct {
 	ID  uint64
 	Now time.Time
 }
 
-// GrantMsg is the coordinator's answer.
+// GrantMsg is a grant of the coordinator.
 type GrantMsg struct {
 	protocol.GrantMsg
-	ExpiresAt time.Time // Until is when the grant runs out.
+	ExpiresAt time.Time // ExpiresAt is the end of the grant's lease.
 	Now       time.Time
 }
 
-// PoolMsg tells what this instance itself knows of the pool.
+// PoolMsg is what this instance knows of the pool.
 type PoolMsg struct {
-	Slots     int // Slots are those of all servers of the pool; 0 means that nothing is limited.
-	Instances int // Instances are those that may send to the pool.
+	Slots     int // Slots is the number of slots of all servers in the pool; 0 means no limit.
+	Instances int // Instances is the number of instances that may send to the pool.
 	Now       time.Time
 }
 
-// TickMsg is the passing of time.
+// TickMsg reports the current time.
 type TickMsg struct{ Now time.Time }
 
 func (ArriveMsg) msg() {}
@@ -53,11 +53,11 @@
 // Cmd is a command from [Limiter.Update].
 type Cmd interface{ cmd() }
 
-// StartCmd lets a request begin.
+// StartCmd starts a request.
 type StartCmd struct{ ID uint64 }
 
-// RefuseCmd turns a request away, which has not run. RetryAfter is when a slot
-// for it should be free.
+// RefuseCmd refuses a request, which has not run. RetryAfter is when a slot should be free
+// for it.
 type RefuseCmd struct {
 	ID         uint64
 	RetryAfter time.Duration
