--- a/coordination/quarantine/fleet_test.go
+++ b/coordination/quarantine/fleet_test.go
@@ -170,7 +170,8 @@
 	return a
 }
 
-// advanceServers completes the requests that are due.
+// advanceServers completes the requests that are due, and crashes the servers of those that
+// are harmful.
 func (f *fleet) advanceServers() {
 	for i, s := range f.servers {
 		var left []*fleetRun
