--- a/coordination/scale/regions.go
+++ b/coordination/scale/regions.go
@@ -10,108 +10,111 @@
 )
 
 const (
-	// acrossPart is what a server's worth of requests that goes to another region costs,
-	// as a part of a server at the full price: 26 kB/s of requests and answers a server
-	// came to 0.07 of one where bytes and servers are priced; the rest is for answers that
-	// come later.
-	acrossPart = 0.1
-	// reclaimablePart is what a reclaimable server costs as a part of the full price:
-	// platforms ask for 0.1 to 0.4.
-	reclaimablePart = 0.2
-	// lostPart is the part of the time in which some domain is without its servers. It is
-	// an estimate on the safe side: ten domains a day that lack them for some minutes come
-	// to less. With 0.5 the layouts of the tests are the same at acrossPart.
-	lostPart = 0.1
+	// crossRegionCost is the cost of sending one server's worth of requests to another
+	// region, as a fraction of a full-price server. At 26 kB/s of requests and answers per
+	// server, the traffic came to 0.07 of a server at the prices of both; the remainder
+	// accounts for the added latency.
+	crossRegionCost = 0.1
+	// reclaimableCost is the cost of a reclaimable server as a fraction of the full price.
+	// Platforms charge 0.1 to 0.4.
+	reclaimableCost = 0.2
+	// domainLossShare is the fraction of the time during which some failure domain is
+	// without its servers. It is a conservative estimate: ten domains a day, each without
+	// servers for some minutes, come to less. At 0.5, the layouts in the tests are the same
+	// with crossRegionCost.
+	domainLossShare = 0.1
 )
 
-// PlannerOption changes a new planner.
+// PlannerOption configures a new planner.
 type PlannerOption func(*Planner)
 
-// WithTopology sets where the failure domains lie; without it they all are near.
+// WithTopology sets the regions of the failure domains. Without it, all domains are in one
+// region.
 func WithTopology(t *topology.Topology) PlannerOption { return func(p *Planner) { p.topology = t } }
 
-// regions holds what is needed to lay out one service's servers over several regions.
-type regions struct {
-	topology *topology.Topology
-	parts    map[string]float64 // parts are of the load, by the callers' region.
-	across   float64            // across is what a server's worth of requests to another region costs, in servers at the full price.
-	spec     *protocol.ScalingSpec
-	domains  []domainState
+// regionPlanner lays out one service's servers over several regions.
+type regionPlanner struct {
+	topology  *topology.Topology
+	shares    map[string]float64 // shares are the fractions of the load by the callers' region.
+	crossCost float64            // crossCost is the cost of sending one server's worth of requests to another region, in full-price servers.
+	spec      *protocol.ScalingSpec
+	domains   []domainState
 }
 
-// regions returns how a service's load lies, or nil without several regions or without
-// load. It needs the service's entry in p.loads, which need makes.
-func (p *Planner) regions(s *Service, domains []domainState, now time.Time) *regions {
+// newRegionPlanner returns a planner for a service's load, or nil if there is only one
+// region or no load. It uses the service's entry in p.loads, which need creates.
+func (p *Planner) newRegionPlanner(s *Service, domains []domainState, now time.Time) *regionPlanner {
 	sum := 0.0
-	for _, work := range s.RunningByRegion {
-		sum += work
+	for _, running := range s.RunningByRegion {
+		sum += running
 	}
 	if !p.topology.Several() || sum <= 0 || len(domains) == 0 {
 		return nil
 	}
-	parts := map[string]float64{}
-	for region, work := range s.RunningByRegion {
-		parts[region] = work / sum
+	shares := map[string]float64{}
+	for region, running := range s.RunningByRegion {
+		shares[region] = running / sum
 	}
-	parts = p.loads[s.Spec.Name].meanParts(parts, now)
-	return &regions{topology: p.topology, parts: parts, across: acrossPart, spec: s.Spec.Scaling, domains: domains}
+	shares = p.loads[s.Spec.Name].meanShares(shares, now)
+	return &regionPlanner{topology: p.topology, shares: shares, crossCost: crossRegionCost, spec: s.Spec.Scaling, domains: domains}
 }
 
-// pinned returns how many servers at the full price each domain has or has ordered.
-func (p *Planner) pinned(service string, domains []domainState, now time.Time) []int {
-	pinned := make([]int, len(domains))
+// committed returns how many full-price servers each domain has or has recently ordered.
+func (p *Planner) committed(service string, domains []domainState, now time.Time) []int {
+	committed := make([]int, len(domains))
 	for i, d := range domains {
-		pinned[i] = d.full
+		committed[i] = d.fullPrice
 		last := p.orders[Order{Service: service, Domain: d.name}]
-		if !last.refused && now.Sub(last.at) < unfilledAfter {
-			pinned[i] = max(pinned[i], last.count)
+		if !last.refused && now.Sub(last.at) < reorderAfter {
+			committed[i] = max(committed[i], last.count)
 		}
 	}
-	return pinned
+	return committed
 }
 
-// reclaimable returns the cheapest of three ways to lay reclaimable servers out, all of
-// which bear the loss of the fullest domains: over all regions evenly, which is given;
-// with each region's need in its own domains; and with head-room in each region for the
-// loss of its fullest domain, so that nothing goes across then.
-func (r *regions) reclaimable(even []int, need int) []int {
-	best, least := even, r.cost(even, need)
+// layoutReclaimable returns the cheapest of three layouts of reclaimable servers, all of
+// which tolerate the loss of the fullest domains: the given one, even over all regions; one
+// that meets each region's need in its own domains; and one with additional servers in each
+// region for the loss of its fullest domain, so that no requests leave the region in that
+// case.
+func (r *regionPlanner) layoutReclaimable(even []int, need int) []int {
+	best, lowest := even, r.cost(even, need)
 	enough := min(need, remaining(even))
 	for _, spare := range []int{0, 1} {
-		layout := r.within(need, spare)
-		// One that is cut short where servers at the full price are in the way costs less,
-		// but does not bear as much.
-		if cost := r.cost(layout, need); cost < least && remaining(layout) >= enough {
-			best, least = layout, cost
+		layout := r.layoutByRegion(need, spare)
+		// A layout that is cut short because full-price servers take up the room costs
+		// less, but tolerates fewer losses.
+		if cost := r.cost(layout, need); cost < lowest && remaining(layout) >= enough {
+			best, lowest = layout, cost
 		}
 	}
 	return best
 }
 
-// remaining returns how many servers of a layout are left without its fullest domains. One
-// domain at the least is not lost.
+// remaining returns how many servers of a layout are left after the loss of its fullest
+// domains. At least one domain is never lost.
 func remaining(layout []int) int {
-	return sum(layout) - fullest(layout, min(lostDomains, len(layout)-1))
+	return sum(layout) - sumLargest(layout, min(toleratedDomainLosses, len(layout)-1))
 }
 
-// within lays servers out so that each region carries its need without some of its
+// layoutByRegion lays servers out so that each region meets its need without spare of its
 // domains, as far as it has that many.
-func (r *regions) within(need, spare int) []int {
+func (r *regionPlanner) layoutByRegion(need, spare int) []int {
 	layout := make([]int, len(r.domains))
 	for i, d := range r.domains {
 		region := r.topology.Region(d.name)
-		left := max(1, r.size(region)-spare)
-		layout[i] = min(r.spec.Max, int(math.Ceil(r.parts[region]*float64(need)/float64(left))))
+		left := max(1, r.domainCount(region)-spare)
+		layout[i] = min(r.spec.Max, int(math.Ceil(r.shares[region]*float64(need)/float64(left))))
 	}
-	spread(layout, need, r.spec)
+	spreadReclaimable(layout, need, r.spec)
 	for i, d := range r.domains {
-		layout[i] = min(layout[i], max(0, r.spec.Max-d.full))
+		layout[i] = min(layout[i], max(0, r.spec.Max-d.fullPrice))
 	}
 	return layout
 }
 
-// size returns how many domains a region has.
-func (r *regions) size(region string) int {
+// domainCount returns the number of domains in a region.
+func (r *regionPlanner) domainCount(region string) int {
 	n := 0
 	for _, d := range r.domains {
 		if r.topology.Region(d.name) == region {
@@ -121,9 +124,10 @@
 	return n
 }
 
-// cost returns what a layout costs a second, in the unit of the domains' prices: its servers, and what goes across while nothing
-// and while any one domain is lost.
-func (r *regions) cost(layout []int, need int) float64 {
+// cost returns the cost of a layout per second, in the unit of the domains' prices: its
+// servers, and the requests sent to other regions while no domain is lost and while any one
+// domain is lost.
+func (r *regionPlanner) cost(layout []int, need int) float64 {
 	servers, price := 0.0, 0.0
 	for i, d := range r.domains {
 		servers += d.price * float64(layout[i])
@@ -133,22 +137,23 @@
 	for i := range r.domains {
 		without := slices.Clone(layout)
 		without[i] = 0
-		lost += r.crossing(without, need) / float64(len(r.domains))
+		lost += r.crossRegionServers(without, need) / float64(len(r.domains))
 	}
-	return reclaimablePart*servers + r.across*price*((1-lostPart)*r.crossing(layout, need)+lostPart*lost)
+	return reclaimableCost*servers + r.crossCost*price*((1-domainLossShare)*r.crossRegionServers(layout, need)+domainLossShare*lost)
 }
 
-// crossing returns how many servers' worth of requests a layout sends to other regions.
-func (r *regions) crossing(layout []int, need int) float64 {
+// crossRegionServers returns how many servers' worth of requests a layout sends to other
+// regions.
+func (r *regionPlanner) crossRegionServers(layout []int, need int) float64 {
 	short := 0.0
-	for region, part := range r.parts {
-		short += max(0, part*float64(need)-float64(r.sum(region, layout)))
+	for region, share := range r.shares {
+		short += max(0, share*float64(need)-float64(r.regionTotal(region, layout)))
 	}
 	return short
 }
 
-// sum adds up a region's servers.
-func (r *regions) sum(region string, counts []int) int {
+// regionTotal returns the number of servers in a region.
+func (r *regionPlanner) regionTotal(region string, counts []int) int {
 	n := 0
 	for i, d := range r.domains {
 		if r.topology.Region(d.name) == region {
@@ -158,17 +163,17 @@
 	return n
 }
 
-// full puts those servers at the full price that are to be added where their region is
-// short of servers, unless another domain is cheaper by more than the way across costs.
-// Those that are there, or on their way, stay, wherever the load has moved since.
-func (r *regions) full(want, pinned []int) []int {
+// placeFullPrice places additional full-price servers in the regions that are short of
+// servers, unless another domain is cheaper by more than the cost of cross-region requests.
+// Servers that exist or have been ordered stay, wherever the load has moved since.
+func (r *regionPlanner) placeFullPrice(want, committed []int) []int {
 	placed, added := make([]int, len(want)), 0
 	for i, d := range r.domains {
-		placed[i] = max(min(want[i], pinned[i]), min(want[i], r.spec.Min-d.reclaimable))
+		placed[i] = max(min(want[i], committed[i]), min(want[i], r.spec.Min-d.reclaimable))
 		added += want[i] - placed[i]
 	}
 	for i, d := range r.domains {
-		stay := max(0, min(added, pinned[i]-placed[i], r.spec.Max-d.reclaimable-placed[i]))
+		stay := max(0, min(added, committed[i]-placed[i], r.spec.Max-d.reclaimable-placed[i]))
 		placed[i] += stay
 		added -= stay
 	}
@@ -177,42 +182,42 @@
 		total += float64(d.reclaimable)
 	}
 	for ; added > 0; added-- {
-		i := r.next(placed, total)
+		i := r.nextDomain(placed, total)
 		if i < 0 {
-			return want // No domain has room: the layout without regions is as good.
+			return want // No domain has room: fall back to the layout without regions.
 		}
 		placed[i]++
 	}
 	return placed
 }
 
-// next returns the domain that is to have the next server at the full price; -1 for none.
-func (r *regions) next(placed []int, total float64) int {
+// nextDomain returns the index of the domain for the next full-price server; -1 for none.
+func (r *regionPlanner) nextDomain(placed []int, total float64) int {
 	price := 0.0
 	for _, d := range r.domains {
 		price += d.price / float64(len(r.domains))
 	}
-	best, least := -1, 0.0
+	best, lowest := -1, 0.0
 	for i, d := range r.domains {
 		if d.reclaimable+placed[i] >= r.spec.Max {
 			continue
 		}
-		cost := d.price - r.across*price*r.shortfall(r.topology.Region(d.name), placed, total)
-		if best < 0 || cost < least {
-			best, least = i, cost
+		cost := d.price - r.crossCost*price*r.shortfall(r.topology.Region(d.name), placed, total)
+		if best < 0 || cost < lowest {
+			best, lowest = i, cost
 		}
 	}
 	return best
 }
 
-// shortfall returns which part of one more server, from 0 to 1, a region lacks beside what
-// it would have if all servers were laid out by need.
-func (r *regions) shortfall(region string, placed []int, total float64) float64 {
-	have := float64(r.sum(region, placed))
+// shortfall returns how much of one more server, 0 to 1, a region lacks compared with a
+// layout of all servers by need.
+func (r *regionPlanner) shortfall(region string, placed []int, total float64) float64 {
+	have := float64(r.regionTotal(region, placed))
 	for _, d := range r.domains {
 		if r.topology.Region(d.name) == region {
 			have += float64(d.reclaimable)
 		}
 	}
-	return min(1, max(0, r.parts[region]*total-have))
+	return min(1, max(0, r.shares[region]*total-have))
 }
--- a/coordination/scale/scale.go
+++ b/coordination/scale/scale.go
@@ -1,13 +1,13 @@
 // Package scale plans how many servers a service has in each failure domain.
 //
-// Reclaimable servers cost a small part of the full price and may be taken away,
-// a whole domain's at once. So they are spread over the domains, enough of them
-// that the others carry the load when those of two domains are gone, and servers
-// at the full price stay only where the service's least number asks for them, or
-// while too few reclaimable ones serve.
+// Reclaimable servers cost a fraction of the full price, but the platform may take them
+// away, all those of a domain at once. The planner therefore spreads them over the domains
+// and orders enough that the remaining domains carry the load when two domains have lost
+// theirs. Full-price servers are kept only where the service's minimum requires them, or
+// while too few reclaimable servers are running.
 //
-// [Planner.Plan] is a function of what the gateways and the platform's list
-// tell, of the orders sent before, and of the time that comes with the message.
+// [Planner.Plan] depends only on the reports of the gateways, the platform's list, the
+// orders sent before, and the time given in the message.
 package scale
 
 import (
@@ -20,29 +20,28 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// MarketReclaimable marks servers that may be taken away.
+// MarketReclaimable marks servers that the platform may take away.
 const MarketReclaimable = "reclaimable"
 
-// Service is a service whose servers are ours to order, with what its requests
-// ask for.
+// Service is a service that the planner may scale, with its current load.
 type Service struct {
 	Spec            *protocol.ServiceSpec
-	Running         float64            // Work is how many requests run at once, in the mean of the last second.
-	BegunAnswers    int64              // Begun counts answers that began, since the gateways' start.
-	SlowAnswers     int64              // Slow counts those of them that used up much of their target.
-	InitialServers  int                // Base is how many servers the service had when it was first seen.
-	Provisional     bool               // Guessed says that Base may still rise: only reclaimable servers are ordered then.
-	RunningByRegion map[string]float64 // Regions are Work by the gateways' region; empty where all lie in one.
+	Running         float64            // Running is the number of concurrent requests, averaged over the last second.
+	BegunAnswers    int64              // BegunAnswers counts answers that began since the gateways started.
+	SlowAnswers     int64              // SlowAnswers counts those that took up much of their target latency.
+	InitialServers  int                // InitialServers is the number of servers when the service was first seen.
+	Provisional     bool               // Provisional means that InitialServers may still rise; only reclaimable servers are ordered then.
+	RunningByRegion map[string]float64 // RunningByRegion is Running by the gateways' region; empty with a single region.
 }
 
-// PlanMsg asks for the orders of the moment.
+// PlanMsg is a request for the orders that are due.
 type PlanMsg struct {
 	Services []Service
 	Servers  []protocol.Instance
 	Now      time.Time
 }
 
-// Order is how many servers a service is to have in a failure domain.
+// Order sets the number of servers of a service in a failure domain.
 type Order struct {
 	Service     string
 	Domain      string
@@ -51,71 +50,77 @@
 }
 
 const (
-	// fillAim is the part of the slots that is to be in use.
-	fillAim = 0.5
-	// basePart of the servers that a service had at first are taken for its need
-	// until its answers tell more.
-	basePart = 0.75
-	// fillMost and leastPart are the same for servers at the full price.
-	fillMost  = 0.8
-	leastPart = 0.7
-	// sinceMemory is how long a peak of the load counts.
-	sinceMemory = 20 * time.Second
-	// lostDomains may lose their reclaimable servers at about the same time.
-	lostDomains = 2
-	// refusedPause is how long no order follows one that was refused.
-	refusedPause = 2 * time.Second
-	// settle is between two orders of the same kind for the same domain.
-	settle = time.Second
-	// unfilledAfter an order that was taken it is sent again if the servers are not
-	// there: the platform may have had no room for all of them.
-	unfilledAfter = 8 * time.Second
-	// refusedFor after a refused order reclaimable servers count as unavailable.
-	refusedFor = 3 * time.Second
-	// shrinkAfter is how long fewer servers have been enough before some go.
-	shrinkAfter = 6 * time.Second
+	// targetUtilization is the fraction of the slots that should be in use.
+	targetUtilization = 0.5
+	// initialNeedShare is the fraction of InitialServers that is assumed to be needed until
+	// the answers show more.
+	initialNeedShare = 0.75
+	// maxUtilization and initialMinShare replace the two values above when the need for
+	// full-price servers is computed.
+	maxUtilization  = 0.8
+	initialMinShare = 0.7
+	// peakWindow is how long a peak of the load counts.
+	peakWindow = 20 * time.Second
+	// toleratedDomainLosses is how many domains may lose their reclaimable servers at about
+	// the same time.
+	toleratedDomainLosses = 2
+	// refusalPause is how long no order follows a refused one.
+	refusalPause = 2 * time.Second
+	// settleTime is the shortest time between two orders of the same kind for the same
+	// domain.
+	settleTime = time.Second
+	// reorderAfter is when an accepted order is sent again if its servers have not
+	// appeared: the platform may not have had room for all of them.
+	reorderAfter = 8 * time.Second
+	// unavailableAfterRefusal is how long reclaimable servers count as unavailable after a
+	// refused order.
+	unavailableAfterRefusal = 3 * time.Second
+	// shrinkDelay is how long fewer servers must have been sufficient before some are
+	// removed.
+	shrinkDelay = 6 * time.Second
 )
 
-// Planner remembers the orders that were sent.
+// Planner plans the orders and remembers those that were sent.
 type Planner struct {
-	orders   map[Order]sent // orders are by an Order whose Count is 0.
+	orders   map[Order]sentOrder // orders are indexed by an Order with Count 0.
 	loads    map[string]*load
 	topology *topology.Topology
 }
 
-type sent struct {
-	count   int
-	at      time.Time
-	refused bool
-	grew    bool // grew says that the order was for more than the one before.
-	filled  bool // filled says that as many servers have been there since.
+// sentOrder is the last order of a kind for a domain.
+type sentOrder struct {
+	count     int
+	at        time.Time
+	refused   bool
+	increased bool // increased means that the order asked for more servers than the previous one.
+	filled    bool // filled means that all ordered servers have been present since.
 }
 
-// New returns a planner that has ordered nothing.
+// New returns a planner without orders.
 func New(opts ...PlannerOption) *Planner {
-	p := &Planner{orders: map[Order]sent{}, loads: map[string]*load{}}
+	p := &Planner{orders: map[Order]sentOrder{}, loads: map[string]*load{}}
 	for _, opt := range opts {
 		opt(p)
 	}
 	return p
 }
 
-// RecordOrder notes what became of an order.
+// RecordOrder records whether the platform accepted an order.
 func (p *Planner) RecordOrder(o Order, taken bool, now time.Time) {
 	key := o
 	key.Count = 0
-	p.orders[key] = sent{count: o.Count, at: now, refused: !taken, grew: o.Count > p.orders[key].count}
+	p.orders[key] = sentOrder{count: o.Count, at: now, refused: !taken, increased: o.Count > p.orders[key].count}
 }
 
-// domainState is what a service has in one failure domain.
+// domainState describes the servers of a service in one failure domain.
 type domainState struct {
 	name        string
 	price       float64
-	reclaimable int // reclaimable are those that serve.
-	full        int
+	reclaimable int // reclaimable counts the reclaimable servers that are running.
+	fullPrice   int
 }
 
-// Plan returns the orders to send now.
+// Plan returns the orders that are due.
 func (p *Planner) Plan(m PlanMsg) []Order {
 	var orders []Order
 	for i := range m.Services {
@@ -125,49 +130,48 @@
 }
 
 func (p *Planner) plan(s *Service, servers []protocol.Instance, now time.Time) []Order {
-	domains := survey(s.Spec, servers)
+	domains := domainStates(s.Spec, servers)
 	if s.idle() {
-		p.expect(s.Spec.Name, domains, now)
+		p.countOrdered(s.Spec.Name, domains, now)
 	}
-	need, least := p.need(s, now)
-	wantReclaimable, wantFull := targets(s.Spec.Scaling, domains, need, least, p.unavailable(s.Spec.Name, now))
-	if r := p.regions(s, domains, now); r != nil {
-		wantReclaimable = r.reclaimable(wantReclaimable, need)
-		wantFull = r.full(wantFull, p.pinned(s.Spec.Name, domains, now))
+	need, minNeed := p.need(s, now)
+	wantReclaimable, wantFull := targets(s.Spec.Scaling, domains, need, minNeed, p.unavailable(s.Spec.Name, now))
+	if r := p.newRegionPlanner(s, domains, now); r != nil {
+		wantReclaimable = r.layoutReclaimable(wantReclaimable, need)
+		wantFull = r.placeFullPrice(wantFull, p.committed(s.Spec.Name, domains, now))
 	}
 	var orders []Order
 	for i, d := range domains {
-		orders = p.order(orders, s.Spec.Name, d, wantReclaimable[i], true, now)
+		orders = p.appendOrder(orders, s.Spec.Name, d, wantReclaimable[i], true, now)
 	}
-	orders = p.oneProbe(orders, s.Spec.Name, now)
+	orders = p.limitProbes(orders, s.Spec.Name, now)
 	for i, d := range domains {
 		if !s.Provisional {
-			orders = p.order(orders, s.Spec.Name, d, wantFull[i], false, now)
+			orders = p.appendOrder(orders, s.Spec.Name, d, wantFull[i], false, now)
 		}
 	}
 	return orders
 }
 
-// idle reports whether nobody has asked the service for anything yet.
+// idle reports whether the service has not received any request yet.
 func (s *Service) idle() bool { return s.BegunAnswers == 0 && s.Running == 0 }
 
-// expect counts the reclaimable servers that were ordered as if they served
-// already: while nobody asks for anything, those at the full price need not stay
-// until they do. A server that leaves serves on for about as long as another
-// takes to start.
-func (p *Planner) expect(service string, domains []domainState, now time.Time) {
+// countOrdered counts reclaimable servers as soon as they are ordered: while the service is
+// idle, full-price servers need not stay until the others have started. A leaving server
+// continues to serve for about as long as another takes to start.
+func (p *Planner) countOrdered(service string, domains []domainState, now time.Time) {
 	for i := range domains {
 		d := &domains[i]
 		last := p.orders[Order{Service: service, Domain: d.name, Reclaimable: true}]
-		if !last.refused && now.Sub(last.at) < unfilledAfter {
+		if !last.refused && now.Sub(last.at) < reorderAfter {
 			d.reclaimable = max(d.reclaimable, last.count)
 		}
 	}
 }
 
-// need is how many servers carry the load of late in time, and how few carry it
-// at all, for which servers at the full price are worth it.
-func (p *Planner) need(s *Service, now time.Time) (need, least int) {
+// need returns how many servers handle the recent load within the target latency, and the
+// minimum that can handle it at all, which is what full-price servers are ordered for.
+func (p *Planner) need(s *Service, now time.Time) (need, minNeed int) {
 	l := p.loads[s.Spec.Name]
 	if l == nil {
 		l = newLoad(s, now)
@@ -177,14 +181,14 @@
 	slots := max(1, s.Spec.Slots)
 	work := l.peak(s.Running, now) / float64(slots)
 	base := float64(s.InitialServers)
-	need = int(math.Ceil(max(work/fillAim, basePart*base*l.factor)))
-	least = int(math.Ceil(max(work/fillMost, leastPart*base)))
-	most := l.most(now)
-	return max(1, min(need, most)), max(1, min(least, most))
+	need = int(math.Ceil(max(work/targetUtilization, initialNeedShare*base*l.needFactor)))
+	minNeed = int(math.Ceil(max(work/maxUtilization, initialMinShare*base)))
+	limit := l.maxNeed(now)
+	return max(1, min(need, limit)), max(1, min(minNeed, limit))
 }
 
-// survey counts what there is in each failure domain, the cheapest first.
-func survey(spec *protocol.ServiceSpec, servers []protocol.Instance) []domainState {
+// domainStates counts a service's servers in each failure domain, cheapest domain first.
+func domainStates(spec *protocol.ServiceSpec, servers []protocol.Instance) []domainState {
 	rows := map[string]*domainState{}
 	for name, price := range spec.Scaling.DomainPrices {
 		rows[name] = &domainState{name: name, price: price}
@@ -202,7 +206,7 @@
 		if in.Market == MarketReclaimable {
 			d.reclaimable++
 		} else {
-			d.full++
+			d.fullPrice++
 		}
 	}
 	domains := make([]domainState, 0, len(rows))
@@ -218,41 +222,40 @@
 	return domains
 }
 
-// oneProbe leaves at most one order for reclaimable servers among those that were
-// refused before, and none soon after another refusal: while none are to be had
-// anywhere, one domain is asked for all, in turn. Six domains that were each asked
-// every 2 s gave 64 refusals in 22 s, one for all gave 29 in 31 s.
-func (p *Planner) oneProbe(orders []Order, service string, now time.Time) []Order {
+// limitProbes removes all but one of the orders that repeat a refused one, and all of them
+// soon after another refusal. While no reclaimable servers are available anywhere, the
+// domains are thus probed one at a time, in turn. Probing each of six domains every 2 s
+// gave 64 refusals in 22 s; probing one at a time gave 29 in 31 s.
+func (p *Planner) limitProbes(orders []Order, service string, now time.Time) []Order {
 	probe, longest := Order{}, time.Time{}
 	for _, o := range orders {
-		if last, again := p.refusedBefore(o); again && (longest.IsZero() || last.at.Before(longest)) {
+		if last, again := p.previousOrder(o); again && (longest.IsZero() || last.at.Before(longest)) {
 			probe, longest = o, last.at
 		}
 	}
-	if p.refusedWithin(service, refusedPause, now) {
+	if p.refusedWithin(service, refusalPause, now) {
 		probe = Order{}
 	}
 	return slices.DeleteFunc(orders, func(o Order) bool {
-		_, again := p.refusedBefore(o)
+		_, again := p.previousOrder(o)
 		return again && o != probe
 	})
 }
 
-// refusedBefore returns the order before for the same servers, and whether it was
-// refused.
-func (p *Planner) refusedBefore(o Order) (sent, bool) {
+// previousOrder returns the previous order for the same servers and whether it was refused.
+func (p *Planner) previousOrder(o Order) (sentOrder, bool) {
 	o.Count = 0
 	last := p.orders[o]
 	return last, last.refused
 }
 
-// unavailable reports whether reclaimable servers of a service were refused lately.
+// unavailable reports whether reclaimable servers of a service were refused recently.
 func (p *Planner) unavailable(service string, now time.Time) bool {
-	return p.refusedWithin(service, refusedFor, now)
+	return p.refusedWithin(service, unavailableAfterRefusal, now)
 }
 
-// refusedWithin reports whether reclaimable servers of a service were refused within
-// a time.
+// refusedWithin reports whether reclaimable servers of a service were refused within the
+// given time.
 func (p *Planner) refusedWithin(service string, within time.Duration, now time.Time) bool {
 	for key, last := range p.orders {
 		if key.Service == service && key.Reclaimable && last.refused && now.Sub(last.at) < within {
@@ -262,20 +265,19 @@
 	return false
 }
 
-// targets returns how many servers of either kind each domain is to have. While
-// there are no reclaimable ones to be had, those at the full price also make up
-// for the domains whose reclaimable ones are the most: they may be the next to lose
-// them, within a second of one another, and then it would be too late. Standing by
-// for two domains instead of one serves 0.59 instead of 0.36 in the worst two
-// seconds of a day that loses three domains within a second, and takes 0 to 0.03
-// of the price of servers more on other days.
-func targets(spec *protocol.ScalingSpec, domains []domainState, need, least int, unavailable bool) (reclaimable, full []int) {
+// targets returns how many servers of either kind each domain should have. While
+// reclaimable servers are unavailable, full-price servers also stand in for the domains
+// with the most reclaimable ones. These may be lost next, within a second of one another,
+// and replacements would start too late. Standing in for two domains instead of one raises
+// the served fraction in the worst two seconds of a day that loses three domains within a
+// second from 0.36 to 0.59, and adds 0 to 0.03 to the cost of servers on other days.
+func targets(spec *protocol.ScalingSpec, domains []domainState, need, minNeed int, unavailable bool) (reclaimable, full []int) {
 	n := len(domains)
 	reclaimable, full = make([]int, n), make([]int, n)
 	if n == 0 {
 		return reclaimable, full
 	}
-	spread(reclaimable, need, spec)
+	spreadReclaimable(reclaimable, need, spec)
 	serving := 0
 	each := make([]int, n)
 	for i := range domains {
@@ -283,55 +285,55 @@
 		serving += each[i]
 	}
 	if unavailable {
-		serving -= fullest(each, lostDomains)
+		serving -= sumLargest(each, toleratedDomainLosses)
 	}
 	for i, d := range domains {
-		// The least number counts for both kinds together: what serves for less
-		// lets the others go, once it does.
+		// The minimum applies to both kinds together, so reclaimable servers replace
+		// full-price ones once they are running.
 		full[i] = max(0, spec.Min-d.reclaimable)
 	}
-	if serving < least {
-		keep(full, reclaimable, domains, spec.Max, least-serving)
+	if serving < minNeed {
+		keepFullPrice(full, reclaimable, domains, spec.Max, minNeed-serving)
 	}
-	makeUp(full, domains, spec.Max, least-serving)
+	addFullPrice(full, domains, spec.Max, minNeed-serving)
 	for i, d := range domains {
-		reclaimable[i] = min(reclaimable[i], max(0, spec.Max-d.full))
+		reclaimable[i] = min(reclaimable[i], max(0, spec.Max-d.fullPrice))
 	}
 	return reclaimable, full
 }
 
-// keep has those at the full price stay while too few reclaimable ones serve.
-// Beyond what is short, those go that are in the way of reclaimable ones, where
-// the domain has no room for both.
-func keep(full, reclaimable []int, domains []domainState, most, short int) {
+// keepFullPrice keeps full-price servers while too few reclaimable ones are running. Of
+// those beyond the shortage, it removes the ones that take up room for reclaimable servers
+// in domains that cannot hold both.
+func keepFullPrice(full, reclaimable []int, domains []domainState, limit, short int) {
 	spare := -short
 	for _, d := range domains {
-		spare += d.full
+		spare += d.fullPrice
 	}
 	for i, d := range domains {
-		inTheWay := max(0, min(spare, d.full+reclaimable[i]-most, d.full))
+		inTheWay := max(0, min(spare, d.fullPrice+reclaimable[i]-limit, d.fullPrice))
 		spare -= inTheWay
-		full[i] = max(full[i], min(d.full-inTheWay, most-d.reclaimable))
+		full[i] = max(full[i], min(d.fullPrice-inTheWay, limit-d.reclaimable))
 	}
 }
 
-// makeUp puts what is short at the full price into the cheapest domains that have
+// addFullPrice orders the missing servers at the full price, in the cheapest domains with
 // room.
-func makeUp(full []int, domains []domainState, most, short int) {
+func addFullPrice(full []int, domains []domainState, limit, short int) {
 	short -= sum(full)
 	for i := 0; i < len(full) && short > 0; i++ {
-		more := max(0, min(short, most-domains[i].reclaimable-full[i]))
+		more := max(0, min(short, limit-domains[i].reclaimable-full[i]))
 		full[i] += more
 		short -= more
 	}
 }
 
-// spread puts reclaimable servers into the domains so that without the fullest
-// ones there are still as many as needed. One domain at the least is not lost.
-func spread(dst []int, need int, spec *protocol.ScalingSpec) {
-	lost := min(lostDomains, len(dst)-1)
-	for sum(dst)-fullest(dst, lost) < need {
-		// The emptiest domain takes the next one; among equals the cheapest.
+// spreadReclaimable distributes reclaimable servers so that enough are left without the
+// fullest domains. At least one domain is never lost.
+func spreadReclaimable(dst []int, need int, spec *protocol.ScalingSpec) {
+	lost := min(toleratedDomainLosses, len(dst)-1)
+	for sum(dst)-sumLargest(dst, lost) < need {
+		// The emptiest domain receives the next server; among equals, the cheapest.
 		i := minIndex(dst)
 		if dst[i] >= spec.Max {
 			break
@@ -343,8 +345,8 @@
 	}
 }
 
-// fullest adds up the n largest.
-func fullest(list []int, n int) int {
+// sumLargest returns the sum of the n largest values.
+func sumLargest(list []int, n int) int {
 	sorted := slices.Sorted(slices.Values(list))
 	return sum(sorted[max(0, len(sorted)-n):])
 }
@@ -367,23 +369,23 @@
 	return best
 }
 
-// shrinkAfter is how long fewer servers have to be enough after an order. Those
-// at the full price that follow others out go soon: each costs as much as
-// several reclaimable ones.
-func (s sent) shrinkAfter(reclaimable bool) time.Duration {
-	if reclaimable || s.grew {
-		return shrinkAfter
+// shrinkDelay returns how long after an order fewer servers must have been sufficient.
+// Full-price servers are removed soon unless the last order added some, because each costs
+// as much as several reclaimable ones.
+func (s sentOrder) shrinkDelay(reclaimable bool) time.Duration {
+	if reclaimable || s.increased {
+		return shrinkDelay
 	}
-	return settle
+	return settleTime
 }
 
-// order appends an order if it differs from the last one, which the platform
-// keeps to, or if that one was refused a while ago.
-func (p *Planner) order(orders []Order, service string, d domainState, want int, reclaimable bool, now time.Time) []Order {
+// appendOrder appends an order if it differs from the last one, which the platform
+// maintains, or if that one was refused a while ago.
+func (p *Planner) appendOrder(orders []Order, service string, d domainState, want int, reclaimable bool, now time.Time) []Order {
 	o := Order{Service: service, Domain: d.name, Count: want, Reclaimable: reclaimable}
 	key := o
 	key.Count = 0
-	have := d.full
+	have := d.fullPrice
 	if reclaimable {
 		have = d.reclaimable
 	}
@@ -394,7 +396,7 @@
 			return orders
 		}
 	case last.refused:
-		if now.Sub(last.at) < refusedPause || have == want {
+		if now.Sub(last.at) < refusalPause || have == want {
 			return orders
 		}
 	case last.count == want:
@@ -403,17 +405,17 @@
 			p.orders[key] = last
 			return orders
 		}
-		// Servers that were there and are gone were taken away: others are asked for at
-		// once, so that servers at the full price start before the next domain goes where
-		// none are to be had. On a day that loses four domains within six seconds, 0.92 of
-		// the worth of the two seconds behind it is served instead of 0.61. Those that never
-		// came may only be late.
-		if !last.filled && now.Sub(last.at) < unfilledAfter {
+		// Servers that were present and are missing now were taken away. Replacements are
+		// ordered at once, so that full-price servers start before the next domain is lost
+		// if none are available. On a day that loses four domains within six seconds, the
+		// two seconds after it serve 0.92 of their value instead of 0.61. Servers that
+		// never appeared may only be late.
+		if !last.filled && now.Sub(last.at) < reorderAfter {
 			return orders
 		}
-	case last.count < want && now.Sub(last.at) < settle:
+	case last.count < want && now.Sub(last.at) < settleTime:
 		return orders
-	case last.count > want && now.Sub(last.at) < last.shrinkAfter(reclaimable):
+	case last.count > want && now.Sub(last.at) < last.shrinkDelay(reclaimable):
 		return orders
 	}
 	return append(orders, o)
