--- a/cmd/weldctl/status.go
+++ b/cmd/weldctl/status.go
@@ -84,7 +84,7 @@
 	for i := range views {
 		v := &views[i]
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%d of %d\t%d\t%dms\t%s\n",
-			v.ID.Name, v.Domain, v.Region, v.Role, v.Term, v.Leader.Name, v.Applied, v.Last, v.Document, v.LeaseEnd, relaysFor(v.Relay))
+			v.ID.Name, v.Domain, v.Region, v.Role, v.Term, v.Leader.Name, v.Applied, v.Last, v.Document, v.LeaseLeftMS, relaysFor(v.Relay))
 	}
 	_ = w.Flush() // Writes to the terminal.
 }
--- a/coordination/group/status.go
+++ b/coordination/group/status.go
@@ -11,14 +11,14 @@
 // Status is a group's state for the dump.
 type Status struct {
 	replicate.Status
-	Group    uint64 `json:"group"`
-	Applied  uint64 `json:"applied"`
-	Claims   int    `json:"claims"`
-	Full     bool   `json:"full"` // Full says that the disk has only its reserve left.
-	Number   uint64 `json:"number"`
-	LeaseEnd int64  `json:"lease_left_ms"` // LeaseEnd is how long the lease still runs.
-	Document uint64 `json:"document"`      // Document is the number of the opaque document that holds.
-	Settled  bool   `json:"settled"`       // Settled says that a leader has applied all that earlier ones committed.
+	Group       uint64 `json:"group"`
+	Applied     uint64 `json:"applied"`
+	Claims      int    `json:"claims"`
+	Full        bool   `json:"full"` // Full says that the disk has only its reserve left.
+	Number      uint64 `json:"number"`
+	LeaseLeftMS int64  `json:"lease_left_ms"` // LeaseEnd is how long the lease still runs.
+	Document    uint64 `json:"document"`      // Document is the number of the opaque document that holds.
+	Settled     bool   `json:"settled"`       // Settled says that a leader has applied all that earlier ones committed.
 	// Quiet is how long ago the latest command had been committed, by the time of day,
 	// when this replica was settled as the leader.
 	Quiet time.Duration `json:"quiet"`
@@ -48,10 +48,10 @@
 	g.refreshTrips(now)
 	g.noteElection(&s, now)
 	s.RoundTrips, s.Rounds = g.trips.all, g.trips.rounds
-	s.LeaseEnd = max(0, (s.Lease - now).Milliseconds())
+	s.LeaseLeftMS = max(0, (s.Lease - now).Milliseconds())
 	g.meters.timeout.Update(s.Timeout.Milliseconds())
 	g.meters.term.Update(int64(s.Term))
-	g.meters.lease.Update(s.LeaseEnd)
+	g.meters.lease.Update(s.LeaseLeftMS)
 	g.status.Store(&s)
 	if before == nil || before.leadership() != s.leadership() {
 		next := make(chan struct{})
@@ -68,7 +68,7 @@
 }
 
 func (s *Status) leadership() leadership {
-	return leadership{term: s.Term, leader: s.Leader, settled: s.Settled, leased: s.LeaseEnd > 0}
+	return leadership{term: s.Term, leader: s.Leader, settled: s.Settled, leased: s.LeaseLeftMS > 0}
 }
 
 // Changed returns a channel that is closed when another replica leads, or when
--- a/internal/soak/leader_test.go
+++ b/internal/soak/leader_test.go
@@ -13,7 +13,7 @@
 			if i == besides {
 				continue
 			}
-			if s, err := c.Status(i); err == nil && s.Role == "leader" && s.Settled && s.LeaseEnd > 0 {
+			if s, err := c.Status(i); err == nil && s.Role == "leader" && s.Settled && s.LeaseLeftMS > 0 {
 				return i
 			}
 		}
--- a/internal/soak/move_test.go
+++ b/internal/soak/move_test.go
@@ -120,7 +120,7 @@
 			continue
 		}
 		for i := range c.Size.Controls {
-			if s, err := c.Status(i); err == nil && s.LeaseEnd > 0 {
+			if s, err := c.Status(i); err == nil && s.LeaseLeftMS > 0 {
 				c.Proc(fmt.Sprintf("control-%d", i)).Kill()
 				return
 			}
--- a/internal/soak/notice_test.go
+++ b/internal/soak/notice_test.go
@@ -127,7 +127,7 @@
 			continue
 		}
 		for i := range c.Size.Controls {
-			if s, err := c.Status(i); err == nil && s.LeaseEnd > 0 {
+			if s, err := c.Status(i); err == nil && s.LeaseLeftMS > 0 {
 				c.procs[i].Kill()
 				if err := c.procs[i].Start(); err != nil {
 					t.Fatal(err)
--- a/internal/soak/paths_test.go
+++ b/internal/soak/paths_test.go
@@ -189,8 +189,8 @@
 		began := time.Now()
 		next := leaderOf(t, c, leader)
 		t.Logf("%v: another led %v behind the cut, timeout %v", link, time.Since(began), before.Timeout)
-		if former, err := c.Status(leader); err != nil || former.LeaseEnd > 0 {
-			t.Errorf("%v: the one that is cut off has a lease of %d ms, %v", link, former.LeaseEnd, err)
+		if former, err := c.Status(leader); err != nil || former.LeaseLeftMS > 0 {
+			t.Errorf("%v: the one that is cut off has a lease of %d ms, %v", link, former.LeaseLeftMS, err)
 		}
 		if link == LinkSilent && o.Get(leader) {
 			t.Error("the one that is cut off read a configuration back")
