--- a/cmd/weldstreamd/control.go
+++ b/cmd/weldstreamd/control.go
@@ -159,7 +159,7 @@
 		control.WithExposure(control.Exposure{Share: n.Bounds.TrialShare, Slack: n.Bounds.TrialSlack, Unannounced: n.Bounds.OrderRepeat + announceMargin}),
 	}
 	if c.limits().Usage {
-		opts = append(opts, control.WithQuiet(func() time.Duration { return c.group.Status().Quiet }))
+		opts = append(opts, control.WithQuiet(func() time.Duration { return c.group.Status().SinceLastCommand }))
 	}
 	c.uplink = control.NewUplink(c.group, c.peers, platform.ParseNumbered, n.Bounds.QuotaWindow, opts...)
 	c.relay = control.NewRelay(c.uplink, c.links, c.name(), n.Peer, c.registry)
--- a/coordination/group/group_test.go
+++ b/coordination/group/group_test.go
@@ -93,14 +93,14 @@
 			later = before
 		}
 		ctx, g, end := startAlone(t, dir, !again, WithTimeOfDay(func() time.Time { return time.Now().Add(later) }))
-		first := g.Status().Quiet
+		first := g.Status().SinceLastCommand
 		if again && (first < before || first > before+time.Minute) {
 			t.Errorf("the latest command was logged %v ago, and it says %v", before, first)
 		}
 		if _, err := g.Propose(ctx, protocol.Command{Tally: &protocol.TallyMsg{Rows: []protocol.TallyRow{{Gateway: "g", Count: 1}}}}); err != nil {
 			t.Fatal(err)
 		}
-		if got := g.Status().Quiet; got != first {
+		if got := g.Status().SinceLastCommand; got != first {
 			t.Errorf("after a command of its own it says %v, before %v", got, first)
 		}
 		end()
--- a/coordination/group/status.go
+++ b/coordination/group/status.go
@@ -19,9 +19,9 @@
 	LeaseLeftMS int64  `json:"lease_left_ms"` // LeaseEnd is how long the lease still runs.
 	Document    uint64 `json:"document"`      // Document is the number of the opaque document that holds.
 	Settled     bool   `json:"settled"`       // Settled says that a leader has applied all that earlier ones committed.
-	// Quiet is how long ago the latest command had been committed, by the time of day,
+	// SinceLastCommand is how long ago the latest command had been committed, by the time of day,
 	// when this replica was settled as the leader.
-	Quiet time.Duration `json:"quiet"`
+	SinceLastCommand time.Duration `json:"quiet"`
 	// RoundTrips are between any two replicas, as pings observed them, and Rounds those
 	// of the leader's rounds, with the others' disks; the first are of use, and taken,
 	// where replicas lie in several regions.
@@ -39,10 +39,10 @@
 	before := g.status.Load()
 	s.Settled = g.replica.Settled(g.applied)
 	if before != nil {
-		s.Quiet = before.Quiet
+		s.SinceLastCommand = before.SinceLastCommand
 	}
 	if s.Settled && (before == nil || !before.Settled || before.Term != s.Term) {
-		s.Quiet = max(0, g.timeOfDay().Sub(time.UnixMilli(g.machine.Now())))
+		s.SinceLastCommand = max(0, g.timeOfDay().Sub(time.UnixMilli(g.machine.Now())))
 	}
 	now := g.now()
 	g.refreshTrips(now)
