--- a/coordination/group/api.go
+++ b/coordination/group/api.go
@@ -138,9 +138,9 @@
 	}
 }
 
-// Found makes this replica a founder, with others, of a new group. It refuses
+// Bootstrap makes this replica a founder, with others, of a new group. It refuses
 // once the folder belongs to a group, unless it is this one.
-func (g *Group) Found(ctx context.Context, group uint64, founders protocol.ReplicaMembers) error {
+func (g *Group) Bootstrap(ctx context.Context, group uint64, founders protocol.ReplicaMembers) error {
 	return g.run(ctx, func() error {
 		if g.folder.Group() == group {
 			return nil
--- a/coordination/group/group_test.go
+++ b/coordination/group/group_test.go
@@ -74,7 +74,7 @@
 			t.Error(err)
 		}
 	})
-	if err := g.Found(ctx, 7, protocol.ReplicaMembers{Voters: []protocol.ReplicaID{g.ID()}}); err != nil {
+	if err := g.Bootstrap(ctx, 7, protocol.ReplicaMembers{Voters: []protocol.ReplicaID{g.ID()}}); err != nil {
 		t.Fatal(err)
 	}
 	awaitVouching(ctx, t, g)
@@ -178,7 +178,7 @@
 		}
 	})
 	if found {
-		if err := g.Found(ctx, 7, protocol.ReplicaMembers{Voters: []protocol.ReplicaID{g.ID()}}); err != nil {
+		if err := g.Bootstrap(ctx, 7, protocol.ReplicaMembers{Voters: []protocol.ReplicaID{g.ID()}}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/coordination/group/place_test.go
+++ b/coordination/group/place_test.go
@@ -66,7 +66,7 @@
 		}
 	})
 	voters := []protocol.ReplicaID{g.ID(), {Name: "b", Incarnation: 1}, {Name: "c", Incarnation: 1}}
-	if err := g.Found(ctx, 7, protocol.ReplicaMembers{Voters: voters}); err != nil {
+	if err := g.Bootstrap(ctx, 7, protocol.ReplicaMembers{Voters: voters}); err != nil {
 		t.Fatal(err)
 	}
 	awaitVouching(ctx, t, g)
--- a/transport/bootstrap.go
+++ b/transport/bootstrap.go
@@ -108,7 +108,7 @@
 
 func (b *Bootstrap) foundGroup(ctx context.Context, members protocol.ReplicaMembers) {
 	args := FoundArgs{Group: randomGroup(), Founders: members}
-	if err := b.group.Found(ctx, args.Group, members); err != nil {
+	if err := b.group.Bootstrap(ctx, args.Group, members); err != nil {
 		b.note(err)
 		return
 	}
--- a/transport/replica.go
+++ b/transport/replica.go
@@ -319,7 +319,7 @@
 func (s *GroupService) Found(args FoundArgs, done *bool) error {
 	ctx, cancel := context.WithTimeout(s.ctx, serveTimeout)
 	defer cancel()
-	err := s.group.Found(ctx, args.Group, args.Founders)
+	err := s.group.Bootstrap(ctx, args.Group, args.Founders)
 	*done = err == nil
 	return err
 }
