--- a/coordination/group/api.go
+++ b/coordination/group/api.go
@@ -152,8 +152,8 @@
 	})
 }
 
-// Enter makes this replica one that will join a group as a learner.
-func (g *Group) Enter(ctx context.Context, group uint64) error {
+// JoinAsLearner makes this replica one that will join a group as a learner.
+func (g *Group) JoinAsLearner(ctx context.Context, group uint64) error {
 	return g.run(ctx, func() error {
 		if g.folder.Group() == group {
 			return nil
--- a/transport/bootstrap.go
+++ b/transport/bootstrap.go
@@ -81,7 +81,7 @@
 			least = least && b.self < name
 		}
 		if info.Group != 0 {
-			b.note(b.group.Enter(ctx, info.Group))
+			b.note(b.group.JoinAsLearner(ctx, info.Group))
 			return
 		}
 		members.Voters = append(members.Voters, info.ID)
@@ -99,7 +99,7 @@
 	for _, name := range b.names(protocol.ReplicaMembers{}) {
 		info := ReplicaInfo{}
 		if name != b.self && b.call(name, "Group.Info", true, &info) && info.Group != 0 {
-			b.note(b.group.Enter(ctx, info.Group))
+			b.note(b.group.JoinAsLearner(ctx, info.Group))
 			return true
 		}
 	}
