--- a/cmd/weldstreamd/control.go
+++ b/cmd/weldstreamd/control.go
@@ -148,7 +148,7 @@
 	}
 	c.calls = control.NewCalls(platform.NewSource(n.Source.Address, platform.WithLogger(c.log), platform.WithRegistry(c.registry)))
 	sender := transport.NewReplicaSender(work, c.tables, c.links, transport.WithAddresses(c.peerAddress))
-	c.group, err = group.Open(c.groupConfig(), n.DataDir, c.name(), sender, group.WithLogger(c.log), group.WithRegistry(c.registry), group.WithBusy(c.calls.Busy), group.WithDocument(func(number uint64, data []byte) { c.uplink.Install(number, data) }),
+	c.group, err = group.Open(c.groupConfig(), n.DataDir, c.name(), sender, group.WithLogger(c.log), group.WithRegistry(c.registry), group.WithMoveBlocker(c.calls.Busy), group.WithDocument(func(number uint64, data []byte) { c.uplink.Install(number, data) }),
 		group.WithRollouts(func(l protocol.RolloutLog) { c.uplink.InstallRollouts(l) }),
 		group.WithQuarantine(func(l protocol.QuarantineLog) { c.uplink.InstallQuarantine(l) }))
 	if err != nil {
--- a/coordination/group/place.go
+++ b/coordination/group/place.go
@@ -8,9 +8,9 @@
 	"github.com/weldstream/weldstream/coordination/roundtrip"
 )
 
-// WithBusy sets what tells whether something is under way that a move of leadership
+// WithMoveBlocker sets what tells whether something is under way that a move of leadership
 // would break off; without it nothing ever is.
-func WithBusy(f func() bool) Option { return func(g *Group) { g.busy = f } }
+func WithMoveBlocker(f func() bool) Option { return func(g *Group) { g.busy = f } }
 
 // HandOver has this replica, if it leads, hand leadership over to the one that is
 // best placed among the others, and returns once it leads no more. A proposal that is
