--- a/coordination/group/api.go
+++ b/coordination/group/api.go
@@ -9,7 +9,7 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// submit hands an input to the loop.
+// submit queues an input for the loop.
 func (g *Group) submit(ctx context.Context, in input) error {
 	select {
 	case g.inbox <- in:
@@ -21,13 +21,15 @@
 	}
 }
 
-func (g *Group) await(ctx context.Context, w *waiter) (protocol.Result, error) {
-	w.done = make(chan outcome, 1)
-	if err := g.submit(ctx, input{wait: w}); err != nil {
+// await submits a request and waits for its outcome. Once the request is queued, the end
+// of ctx or of the loop leaves the outcome unknown.
+func (g *Group) await(ctx context.Context, r *request) (protocol.Result, error) {
+	r.done = make(chan outcome, 1)
+	if err := g.submit(ctx, input{request: r}); err != nil {
 		return protocol.Result{}, err
 	}
 	select {
-	case o := <-w.done:
+	case o := <-r.done:
 		return o.result, o.err
 	case <-g.done:
 		return protocol.Result{}, ErrUnknown
@@ -36,58 +38,61 @@
 	}
 }
 
-// Propose has a command committed and returns what it came to.
-// replicate.ErrNotLeader, ErrDisk and ErrNoGroup mean that it was not proposed
-// here; any other error that it may be committed or not.
+// Propose proposes a command, waits until it is committed and applied, and returns
+// its result. With replicate.ErrNotLeader, ErrDisk and ErrNoGroup the command was not
+// proposed by this replica; after any other error it may or may not be committed.
 func (g *Group) Propose(ctx context.Context, c protocol.Command) (protocol.Result, error) {
-	return g.await(ctx, &waiter{command: &c})
+	return g.await(ctx, &request{command: &c})
 }
 
-// Confirm returns once everything that was committed before the call is
-// applied here, as a quorum confirms. Only the leader can.
+// Confirm is a read barrier: it returns once a quorum has confirmed this replica as the
+// leader and every entry committed before the call is applied here. It fails on a
+// replica that is not the leader.
 func (g *Group) Confirm(ctx context.Context) error {
-	_, err := g.await(ctx, &waiter{})
+	_, err := g.await(ctx, &request{})
 	return err
 }
 
-// Revision returns the accepted configuration as of the last batch.
+// Revision returns the number and content of the accepted configuration, as applied
+// after the latest batch.
 func (g *Group) Revision(ctx context.Context) (number uint64, config []byte, err error) {
-	got, err := inLoop(ctx, g, func() (accepted, error) {
+	got, err := inLoop(ctx, g, func() (numberedDocument, error) {
 		number, config := g.machine.Revision()
-		return accepted{number: number, config: config}, nil
+		return numberedDocument{number: number, data: config}, nil
 	})
-	return got.number, got.config, err
+	return got.number, got.data, err
 }
 
-// Document returns the opaque document that holds, as of the last batch.
+// Document returns the number and content of the current opaque document, as applied
+// after the latest batch.
 func (g *Group) Document(ctx context.Context) (number uint64, data []byte, err error) {
-	got, err := inLoop(ctx, g, func() (accepted, error) {
+	got, err := inLoop(ctx, g, func() (numberedDocument, error) {
 		number, data := g.machine.Document()
-		return accepted{number: number, config: data}, nil
+		return numberedDocument{number: number, data: data}, nil
 	})
-	return got.number, got.config, err
+	return got.number, got.data, err
 }
 
-// Rollouts returns the newest roll-out of each service, as of the last batch.
+// Rollouts returns the latest rollout of each service, as applied after the latest batch.
 func (g *Group) Rollouts(ctx context.Context) ([]protocol.Rollout, error) {
 	return inLoop(ctx, g, func() ([]protocol.Rollout, error) {
 		return g.machine.Rollouts(), nil
 	})
 }
 
-// accepted is a configuration with its number.
-type accepted struct {
+// numberedDocument is a configuration or an opaque document with its number.
+type numberedDocument struct {
 	number uint64
-	config []byte
+	data   []byte
 }
 
-// Remove takes a name out of the group.
+// Remove removes the replica with a name from the group's members.
 func (g *Group) Remove(ctx context.Context, name string) error {
-	_, err := g.await(ctx, &waiter{name: name})
+	_, err := g.await(ctx, &request{removeName: name})
 	return err
 }
 
-// Step takes a message of another replica of the same group.
+// Step passes on a message from another replica. Messages of other groups are ignored.
 func (g *Group) Step(ctx context.Context, group uint64, m replicate.Message) error {
 	return g.submit(ctx, input{do: func() {
 		if group == g.folder.Group() && group != 0 {
@@ -96,7 +101,7 @@
 	}})
 }
 
-// Join asks for a replica to be taken in, if this one leads its group.
+// Join asks the group to add a replica, if this replica is its leader.
 func (g *Group) Join(ctx context.Context, group uint64, id protocol.ReplicaID) error {
 	return g.submit(ctx, input{do: func() {
 		if group == g.folder.Group() && group != 0 && !g.failed {
@@ -105,15 +110,15 @@
 	}})
 }
 
-// run runs a func in the loop and waits for it.
-func (g *Group) run(ctx context.Context, f func() error) error {
+// runInLoop runs f in the loop and returns its error.
+func (g *Group) runInLoop(ctx context.Context, f func() error) error {
 	_, err := inLoop(ctx, g, func() (struct{}, error) { return struct{}{}, f() })
 	return err
 }
 
-// inLoop runs a func in the loop and returns what it returned. A caller that
-// gives up leaves the func to run later, so the func must hand its outcome
-// over by its result and not write it into what the caller reads.
+// inLoop runs f in the loop and returns its result. If ctx ends first, f still runs
+// later, so f must return its outcome and not write to variables that the caller reads:
+// that would be a data race.
 func inLoop[T any](ctx context.Context, g *Group, f func() (T, error)) (T, error) {
 	type result struct {
 		value T
@@ -138,31 +143,33 @@
 	}
 }
 
-// Bootstrap makes this replica a founder, with others, of a new group. It refuses
-// once the folder belongs to a group, unless it is this one.
+// Bootstrap makes this replica one of the founders, the initial members, of a new group.
+// It fails if the data folder already belongs to another group.
 func (g *Group) Bootstrap(ctx context.Context, group uint64, founders protocol.ReplicaMembers) error {
-	return g.run(ctx, func() error {
+	return g.runInLoop(ctx, func() error {
 		if g.folder.Group() == group {
 			return nil
 		}
 		if !founders.IsVoter(g.folder.ID()) {
-			return eris.New("this incarnation is not among the founders")
+			return eris.New("this replica's current incarnation is not listed as a founder")
 		}
-		return g.enter(group, &founders)
+		return g.assignGroup(group, &founders)
 	})
 }
 
-// JoinAsLearner makes this replica one that will join a group as a learner.
+// JoinAsLearner records the group that this replica will join as a learner.
 func (g *Group) JoinAsLearner(ctx context.Context, group uint64) error {
-	return g.run(ctx, func() error {
+	return g.runInLoop(ctx, func() error {
 		if g.folder.Group() == group {
 			return nil
 		}
-		return g.enter(group, nil)
+		return g.assignGroup(group, nil)
 	})
 }
 
-func (g *Group) enter(group uint64, founders *protocol.ReplicaMembers) error {
+// assignGroup writes the group, and its founders for a new one, to the data folder, and
+// starts the replica.
+func (g *Group) assignGroup(group uint64, founders *protocol.ReplicaMembers) error {
 	if err := g.folder.Found(group, founders); err != nil {
 		return err
 	}
--- a/coordination/group/apply.go
+++ b/coordination/group/apply.go
@@ -6,7 +6,9 @@
 	"github.com/weldstream/weldstream/state"
 )
 
-// apply applies committed entries and answers those who wait for them.
+// apply applies committed entries and answers the proposals at their indexes. Where the
+// entry's term differs from the proposal's, a new leader has replaced the proposed entry
+// at that index.
 func (g *Group) apply(entries []replicate.Entry) {
 	for i := range entries {
 		e := &entries[i]
@@ -15,12 +17,12 @@
 			result = g.applyCommand(e)
 		}
 		g.applied = e.Index
-		if w := g.atIndex[e.Index]; w != nil {
-			delete(g.atIndex, e.Index)
-			if w.term == e.Term {
-				w.done <- outcome{result: result}
+		if r := g.proposals[e.Index]; r != nil {
+			delete(g.proposals, e.Index)
+			if r.term == e.Term {
+				r.done <- outcome{result: result}
 			} else {
-				w.done <- outcome{err: ErrUnknown}
+				r.done <- outcome{err: ErrUnknown}
 			}
 		}
 	}
@@ -31,30 +33,32 @@
 func (g *Group) applyCommand(e *replicate.Entry) protocol.Result {
 	c, err := state.DecodeCommand(e.Data)
 	if err != nil {
-		// Every replica finds the same: the entry changes nothing.
+		// Decoding fails in the same way on every replica, so ignoring the entry keeps
+		// their states equal.
 		g.log.Error().Err(err).Uint64("index", e.Index).Msg("an entry cannot be read")
 		return protocol.Result{}
 	}
 	return g.machine.Apply(c)
 }
 
-// reportChanges hands on what the commands applied last have changed.
+// reportChanges calls the callbacks for each part of the state that has changed since it
+// was last reported.
 func (g *Group) reportChanges() {
 	number, config := g.machine.Revision()
-	if number > g.reported {
-		g.reported = number
+	if number > g.reportedRevision {
+		g.reportedRevision = number
 		g.revision(number, config)
 	}
-	if number, data := g.machine.Document(); number > g.reportedDoc {
-		g.reportedDoc = number
+	if number, data := g.machine.Document(); number > g.reportedDocument {
+		g.reportedDocument = number
 		g.document(number, data)
 	}
 	if changes := g.machine.RolloutChanges(); changes > g.reportedRollouts {
 		g.reportedRollouts = changes
 		g.rollouts(g.machine.RolloutLog())
 	}
-	if changes := g.machine.QuarantineChanges(); changes > g.reportedHeld {
-		g.reportedHeld = changes
+	if changes := g.machine.QuarantineChanges(); changes > g.reportedQuarantine {
+		g.reportedQuarantine = changes
 		g.quarantine(g.machine.QuarantineLog())
 	}
 }
--- a/coordination/group/group.go
+++ b/coordination/group/group.go
@@ -1,15 +1,15 @@
-// Package group drives one replica of a replication group: it gives the pure
-// step of package replicate its clock, its disk and its peers, and applies
-// what is committed to the state machine.
+// Package group runs one replica of a replication group: it supplies the deterministic
+// state machine of package replicate with a clock, a disk and peers, and applies
+// committed entries to the replicated state.
 //
-// One goroutine owns the replica and the folder. It takes what waits in its
-// inbox as one batch, runs the step over it, writes all that the batch has to
-// persist as one frame with one sync (group commit), and only then sends the
-// messages that depend on it. While it syncs, the next batch gathers.
+// One goroutine, the loop, owns the replica and the data folder. It processes the inputs
+// queued in its inbox as one batch, writes everything that the batch has to persist as
+// one frame with one sync (group commit), and only then sends the messages that depend
+// on it. Inputs that arrive during the sync form the next batch.
 //
-// A group is founded once, when all founders are up and none of them belongs
-// to a group yet. A replica whose folder is new while the others' are not is
-// one whose disk was lost, or a new one: it joins as a learner.
+// A group is bootstrapped once, when all founders are up and none of them belongs to a
+// group yet. A replica whose folder is new while those of the others are not is either
+// new or has lost its disk: it joins as a learner.
 package group
 
 import (
@@ -32,23 +32,23 @@
 // Errors of proposals and reads.
 var (
 	// ErrUnknown is returned when a proposal may or may not be committed.
-	ErrUnknown = eris.New("the outcome of the proposal is not known")
-	// ErrDisk is returned when this replica's disk failed.
+	ErrUnknown = eris.New("the outcome of the proposal is unknown")
+	// ErrDisk is returned after a write to this replica's disk has failed.
 	ErrDisk = eris.New("this replica's disk failed")
-	// ErrFull is returned when the disk has no room for more.
+	// ErrFull is returned when the disk has only its reserve left.
 	ErrFull = eris.New("this replica's disk is full")
-	// ErrNoGroup is returned before the group is founded or joined.
+	// ErrNoGroup is returned before the group is bootstrapped or joined.
 	ErrNoGroup = eris.New("this replica belongs to no group yet")
 )
 
 const (
 	inboxSize = 4096
-	// DefaultBatch is how many inputs are committed together at most.
-	DefaultBatch = 512
-	ticks        = 4 // ticks are so many in a heartbeat interval.
+	// DefaultBatch is the default of Config.Batch.
+	DefaultBatch      = 512
+	ticksPerHeartbeat = 4 // ticksPerHeartbeat is the number of ticks per heartbeat interval.
 )
 
-// Sender sends messages to other replicas, without waiting, and may lose them.
+// Sender sends messages to other replicas. It must not block, and may drop messages.
 type Sender interface {
 	Send(group uint64, m replicate.Message)
 }
@@ -56,49 +56,49 @@
 // Config tunes a group.
 type Config struct {
 	Replica         replicate.Config
-	SnapshotEntries int    // SnapshotEntries is how many entries are applied between two snapshots.
-	Batch           int    // Batch is how many inputs are committed together; 0 means the default.
-	Reserve         uint64 // Reserve is how many bytes of the disk are kept free for what must be finished.
-	// Rejoin has a damaged folder set aside, and the replica join the group anew as
-	// after a lost disk. Without it, as for a replica that is alone, damage stops
-	// the start.
+	SnapshotEntries int    // SnapshotEntries is the number of applied entries between two snapshots.
+	Batch           int    // Batch is the maximum number of inputs per batch; 0 means DefaultBatch.
+	Reserve         uint64 // Reserve is the disk space in bytes that is kept free to finish claims that were begun.
+	// Rejoin moves a damaged data folder aside and lets the replica rejoin the group as
+	// after the loss of its disk. Without it, as for the only replica of a group, Open
+	// fails on a damaged folder.
 	Rejoin bool
 }
 
-// Option changes a new group.
+// Option configures a new group.
 type Option func(*Group)
 
-// WithLogger sets the logger; without it nothing is logged.
+// WithLogger sets the logger; the default logs nothing.
 func WithLogger(l zerolog.Logger) Option { return func(g *Group) { g.log = l } }
 
-// WithRevision sets the func that is called with each accepted configuration.
+// WithRevision sets the callback for each accepted configuration.
 func WithRevision(f func(number uint64, config []byte)) Option {
 	return func(g *Group) { g.revision = f }
 }
 
-// WithDocument sets the func that is called with each opaque document that is accepted.
+// WithDocument sets the callback for each accepted opaque document.
 func WithDocument(f func(number uint64, data []byte)) Option {
 	return func(g *Group) { g.document = f }
 }
 
-// WithRollouts sets the func that is called with the roll-outs whenever one changes.
+// WithRollouts sets the callback that gets all rollouts whenever one changes.
 func WithRollouts(f func(protocol.RolloutLog)) Option {
 	return func(g *Group) { g.rollouts = f }
 }
 
-// WithQuarantine sets the func that is called with the quarantine whenever it changes.
+// WithQuarantine sets the callback that gets the quarantine whenever it changes.
 func WithQuarantine(f func(protocol.QuarantineLog)) Option {
 	return func(g *Group) { g.quarantine = f }
 }
 
-// WithTimeOfDay sets what tells the time of day, by which commands are stamped;
-// without it the machine's clock does.
+// WithTimeOfDay sets the wall clock that commands are timestamped with; the default is
+// the system clock.
 func WithTimeOfDay(f func() time.Time) Option { return func(g *Group) { g.timeOfDay = f } }
 
 // Group is one replica of a replication group.
 type Group struct {
-	timeOfDay func() time.Time
-	busy      func() bool
+	timeOfDay   func() time.Time
+	moveBlocked func() bool
 
 	meters   *meters
 	document func(number uint64, data []byte)
@@ -106,59 +106,60 @@
 
 	quarantine func(protocol.QuarantineLog)
 
-	dir      string
-	cfg      Config
-	id       protocol.ReplicaID
-	folder   *wal.Folder
-	loaded   *wal.Loaded
-	sender   Sender
-	log      zerolog.Logger
-	revision func(number uint64, config []byte)
-	inbox    chan input
-	done     chan struct{}
-	status   atomic.Pointer[Status]
-	changed  atomic.Pointer[chan struct{}] // changed is closed and replaced when who leads, or whether it vouches, changes.
-	began    time.Time
-
-	// The loop's own.
-	replica          *replicate.Replica
-	machine          *state.Machine
-	applied          uint64
-	waiting          map[uint64]*waiter // waiting are proposals and reads, by token.
-	atIndex          map[uint64]*waiter // atIndex are proposals, by index.
-	reads            []*waiter          // reads wait for an index to be applied.
-	token            uint64
-	hard             replicate.HardState
-	pending          []replicate.PersistCmd
-	held             []replicate.Message
-	reported         uint64 // reported is the number of the configuration last reported.
-	reportedDoc      uint64 // reportedDoc is the number of the document last reported.
-	reportedRollouts uint64 // reportedRollouts is the change of the roll-outs last reported.
-	reportedHeld     uint64 // reportedHeld is the change of the quarantine last reported.
-	snapshots        chan savedSnapshot
-	saving           bool
-	failed           bool
-	failedAt         time.Duration // failedAt is when the disk failed last, or was tried again.
-	full             bool
-	trips            roundTrips
-	campaignAt       time.Duration // campaignAt is when this replica began to campaign; 0 while it does not.
-	spaceAt          time.Duration // spaceAt is when the free space is asked for next.
+	dir       string
+	cfg       Config
+	id        protocol.ReplicaID
+	folder    *wal.Folder
+	loaded    *wal.Loaded
+	sender    Sender
+	log       zerolog.Logger
+	revision  func(number uint64, config []byte)
+	inbox     chan input
+	done      chan struct{}
+	status    atomic.Pointer[Status]
+	changed   atomic.Pointer[chan struct{}] // changed is closed and replaced whenever leadership changes.
+	startedAt time.Time
+
+	// The fields below are owned by the loop.
+	replica            *replicate.Replica
+	machine            *state.Machine
+	applied            uint64
+	requests           map[uint64]*request // requests are those that the replica has not answered yet, by token.
+	proposals          map[uint64]*request // proposals are in the log and not yet applied, by index.
+	reads              []*request          // reads are confirmed, and wait until their index is applied.
+	token              uint64
+	hardState          replicate.HardState
+	pending            []replicate.PersistCmd
+	afterSync          []replicate.Message // afterSync are sent after the next sync.
+	reportedRevision   uint64              // reportedRevision is the number of the latest configuration passed to the callback.
+	reportedDocument   uint64              // reportedDocument is the same for the opaque document.
+	reportedRollouts   uint64              // reportedRollouts is the count of rollout changes at the latest callback.
+	reportedQuarantine uint64              // reportedQuarantine is the same for the quarantine.
+	snapshots          chan savedSnapshot
+	savingSnapshot     bool
+	failed             bool
+	failedAt           time.Duration // failedAt is when the disk last failed, or reopening was last tried.
+	full               bool
+	trips              roundTrips
+	campaignStart      time.Duration // campaignStart is when this replica began to campaign; 0 if it is not campaigning.
+	nextSpaceCheck     time.Duration // nextSpaceCheck is when the free space is checked next.
 }
 
-// input is what the inbox takes: a message for the replica, or a request that
-// somebody waits for.
+// input is an item of the inbox: a message for the replica, a request whose caller waits
+// for the outcome, or a func to run.
 type input struct {
-	msg  replicate.Msg
-	wait *waiter
-	do   func() // do runs in the loop.
+	msg     replicate.Msg
+	request *request
+	do      func() // do is run in the loop.
 }
 
+// savedSnapshot is the outcome of writing a snapshot.
 type savedSnapshot struct {
 	meta replicate.SnapshotMeta
 	err  error
 }
 
-// Open opens the data folder of a replica. The group does nothing before Run.
+// Open opens the data folder of a replica. The replica is inactive until Run is called.
 func Open(cfg Config, dir, name string, sender Sender, opts ...Option) (*Group, error) {
 	if cfg.Batch == 0 {
 		cfg.Batch = DefaultBatch
@@ -173,17 +174,17 @@
 
 		quarantine: func(protocol.QuarantineLog) {},
 
-		meters:    noMeters(),
-		timeOfDay: time.Now,
-		busy:      func() bool { return false },
-		dir:       dir,
-		inbox:     make(chan input, inboxSize),
-		done:      make(chan struct{}),
-		began:     clock.Now(),
-		machine:   state.NewMachine(),
-		waiting:   map[uint64]*waiter{},
-		atIndex:   map[uint64]*waiter{},
-		snapshots: make(chan savedSnapshot, 1),
+		meters:      discardMeters(),
+		timeOfDay:   time.Now,
+		moveBlocked: func() bool { return false },
+		dir:         dir,
+		inbox:       make(chan input, inboxSize),
+		done:        make(chan struct{}),
+		startedAt:   clock.Now(),
+		machine:     state.NewMachine(),
+		requests:    map[uint64]*request{},
+		proposals:   map[uint64]*request{},
+		snapshots:   make(chan savedSnapshot, 1),
 	}
 	first := make(chan struct{})
 	g.changed.Store(&first)
@@ -200,8 +201,8 @@
 	return g, nil
 }
 
-// open opens the data folder, or a new one in place of a damaged one where the
-// others of the group hold what it held.
+// open opens the data folder. With Config.Rejoin a damaged folder is moved aside and
+// replaced by a new one, since the other members of the group hold its data.
 func (g *Group) open(name string) (err error) {
 	g.folder, g.loaded, err = wal.Open(g.dir, name)
 	if errors.Is(err, wal.ErrDamaged) && g.cfg.Rejoin {
@@ -218,6 +219,7 @@
 	return nil
 }
 
+// restoreLoaded restores the state from the snapshot in the data folder.
 func (g *Group) restoreLoaded() error {
 	if g.loaded.Torn > 0 {
 		g.log.Warn().Int64("bytes", g.loaded.Torn).Msg("a torn write was cut off the log")
@@ -229,16 +231,16 @@
 	return g.machine.Restore(g.loaded.Data)
 }
 
-// start makes the replica from what the folder holds.
+// start creates the replica from the contents of the data folder.
 func (g *Group) start() {
 	snap := g.loaded.Snapshot
 	if snap.Index == 0 {
 		snap.Members = g.folder.Founders()
 	}
-	g.hard = g.loaded.Hard
+	g.hardState = g.loaded.Hard
 	g.replica = replicate.New(g.cfg.Replica, replicate.Start{
 		ID:       g.folder.ID(),
-		Hard:     g.hard,
+		Hard:     g.hardState,
 		Snapshot: snap,
 		Entries:  g.loaded.Entries,
 		Now:      g.now(),
@@ -247,16 +249,16 @@
 	g.publish()
 }
 
-// now is on a monotonic clock.
-func (g *Group) now() time.Duration { return clock.Since(g.began) }
+// now returns the time since the start on a monotonic clock.
+func (g *Group) now() time.Duration { return clock.Since(g.startedAt) }
 
 // ID returns the replica's identity.
 func (g *Group) ID() protocol.ReplicaID { return g.id }
 
-// Run drives the replica until ctx ends.
+// Run runs the loop until ctx ends, and closes the data folder.
 func (g *Group) Run(ctx context.Context) error {
 	defer close(g.done)
-	tick := time.NewTicker(max(g.cfg.Replica.Heartbeat/ticks, time.Millisecond))
+	tick := time.NewTicker(max(g.cfg.Replica.Heartbeat/ticksPerHeartbeat, time.Millisecond))
 	defer tick.Stop()
 	for {
 		select {
@@ -264,10 +266,10 @@
 			g.failAll(ErrUnknown)
 			return g.folder.Close()
 		case <-tick.C:
-			g.update(replicate.TickMsg{Now: g.now(), Rand: rand.Uint64(), Busy: g.busy()})
+			g.update(replicate.TickMsg{Now: g.now(), Rand: rand.Uint64(), Busy: g.moveBlocked()})
 		case in := <-g.inbox:
-			g.take(in)
-			g.drain()
+			g.handleInput(in)
+			g.drainInbox()
 		case s := <-g.snapshots:
 			g.rotate(s)
 		}
@@ -279,40 +281,40 @@
 	}
 }
 
-// drain takes what else waits, up to a batch.
-func (g *Group) drain() {
+// drainInbox handles the inputs that are already queued, up to the size of a batch.
+func (g *Group) drainInbox() {
 	for range g.cfg.Batch - 1 {
 		select {
 		case in := <-g.inbox:
-			g.take(in)
+			g.handleInput(in)
 		default:
 			return
 		}
 	}
 }
 
-func (g *Group) take(in input) {
+func (g *Group) handleInput(in input) {
 	switch {
 	case in.do != nil:
 		in.do()
-	case in.wait == nil:
+	case in.request == nil:
 		if step, ok := in.msg.(replicate.StepMsg); ok {
 			step.Now = g.now()
 			in.msg = step
 		}
 		g.update(in.msg)
 	case g.failed:
-		in.wait.done <- outcome{err: ErrDisk}
+		in.request.done <- outcome{err: ErrDisk}
 	case g.folder.Group() == 0:
-		in.wait.done <- outcome{err: ErrNoGroup}
+		in.request.done <- outcome{err: ErrNoGroup}
 	default:
-		g.ask(in.wait)
+		g.startRequest(in.request)
 	}
 }
 
-// update has the replica take a message and carries out what follows. A lease that was
-// given up or cut is made known first: what is sent may let another replica lead before
-// this batch is on disk.
+// update passes a message to the replica and executes the commands that it returns. A
+// lease that was released or shortened is published first: the messages sent here may
+// let another replica become leader before this batch is on disk.
 func (g *Group) update(m replicate.Msg) {
 	cmds := g.replica.Update(m)
 	if g.replica.Lease() < g.status.Load().Lease {
@@ -336,56 +338,60 @@
 	case replicate.ApplyCmd:
 		g.apply(cmd.Entries)
 	case replicate.ProposedCmd:
-		g.proposed(cmd)
+		g.handleProposed(cmd)
 	case replicate.ReadCmd:
-		g.readable(cmd)
+		g.handleRead(cmd)
 	case replicate.RemoveCmd:
 		g.answer(cmd.Token, outcome{err: cmd.Err})
 	case replicate.HandoverCmd:
-		g.handedOver(cmd)
+		g.handoverDone(cmd)
 	case replicate.MoveCmd:
-		g.moving(cmd)
+		g.logMove(cmd)
 	case replicate.ElectedCmd:
 		g.log.Info().Uint64("term", cmd.Term).Msg("elected leader")
-		g.publish() // Before the others hear of it: they may send here whoever asks.
+		g.publish() // Before the others learn of it, since they may then redirect clients here.
 	case replicate.SteppedDownCmd:
 		g.log.Info().Uint64("term", cmd.Term).Msg("no longer leader")
 		g.failProposals()
 	}
 }
 
+// send sends a message now, or after the next sync if it depends on durable state.
 func (g *Group) send(cmd replicate.SendCmd) {
 	if cmd.Durable {
-		g.held = append(g.held, cmd.Message)
+		g.afterSync = append(g.afterSync, cmd.Message)
 		return
 	}
 	g.sender.Send(g.folder.Group(), cmd.Message)
 }
 
-// flush writes what the batch has to persist, with one sync, and then sends
-// what depended on it. The sync can bring up more of both.
+// flush persists the batch with one sync and then sends the messages that depend on it.
+// Reporting the sync to the replica can add further writes and messages, so it repeats
+// until there are no more.
 func (g *Group) flush() {
 	for len(g.pending) > 0 && !g.failed {
 		if err := g.write(); err != nil {
-			g.fail(err)
+			g.failDisk(err)
 			return
 		}
 	}
-	for _, m := range g.held {
+	for _, m := range g.afterSync {
 		g.sender.Send(g.folder.Group(), m)
 	}
-	g.held = g.held[:0]
+	g.afterSync = g.afterSync[:0]
 }
 
+// write writes all pending entries and the latest hard state with one sync, and reports
+// the sync to the replica.
 func (g *Group) write() error {
 	var entries []replicate.Entry
 	for _, p := range g.pending {
-		g.hard = p.Hard
+		g.hardState = p.Hard
 		entries = append(entries, p.Entries...)
 	}
 	g.pending = g.pending[:0]
 	began := time.Now()
-	if err := g.folder.Write(g.hard, entries); err != nil {
+	if err := g.folder.Write(g.hardState, entries); err != nil {
 		return err
 	}
 	g.meters.sync.UpdateSince(began)
@@ -397,12 +403,13 @@
 	return nil
 }
 
-// fail takes this replica out: it does not go on from memory.
-func (g *Group) fail(err error) {
+// failDisk takes this replica out of service after a failed write: its state in memory
+// may be ahead of the disk, so it must not go on from that.
+func (g *Group) failDisk(err error) {
 	g.failed, g.failedAt = true, g.now()
-	g.pending, g.held = nil, nil
+	g.pending, g.afterSync = nil, nil
 	g.log.Error().Err(err).Msg("the disk failed: this replica votes no more until its folder could be opened anew")
 	g.update(replicate.DiskFailedMsg{})
-	g.pending, g.held = nil, nil
+	g.pending, g.afterSync = nil, nil
 	g.failAll(ErrDisk)
 }
--- a/coordination/group/group_test.go
+++ b/coordination/group/group_test.go
@@ -11,30 +11,30 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// noSender loses every message: the group of these tests is alone.
-type noSender struct{}
+// discardSender drops every message: the group of these tests has one replica.
+type discardSender struct{}
 
 // Send implements Sender.
-func (noSender) Send(uint64, replicate.Message) {}
+func (discardSender) Send(uint64, replicate.Message) {}
 
-func openAlone(t *testing.T) *Group {
+func openSingle(t *testing.T) *Group {
 	t.Helper()
 	cfg := Config{
 		Replica:         replicate.Config{Election: 50 * time.Millisecond, Heartbeat: 10 * time.Millisecond, Batch: 1 << 20, Window: 8},
 		SnapshotEntries: 1 << 20,
 	}
-	g, err := Open(cfg, t.TempDir(), "entry-1", noSender{})
+	g, err := Open(cfg, t.TempDir(), "entry-1", discardSender{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return g
 }
 
-// TestRevisionGivenUp gives up questions while the loop is held up, as it is on
-// an instance that was frozen, and lets the loop go on at the same moment. The
-// race detector tells whether the loop still writes into what the caller reads.
-func TestRevisionGivenUp(t *testing.T) {
-	g := openAlone(t)
+// TestRevisionCancelled cancels calls of Revision while the loop is blocked, as on an
+// instance that was suspended, and unblocks it at the same moment. The race detector
+// reports it if the loop still writes to variables that the caller reads.
+func TestRevisionCancelled(t *testing.T) {
+	g := openSingle(t)
 	ctx, stop := context.WithCancel(context.Background())
 	var loop sync.WaitGroup
 	loop.Go(func() {
@@ -51,7 +51,7 @@
 		var asker sync.WaitGroup
 		asker.Go(func() {
 			if number, config, err := g.Revision(ask); err == nil && (number != 0 || config != nil) {
-				t.Errorf("number %d, configuration %q before there is any", number, config)
+				t.Errorf("got configuration %d %q before one was accepted", number, config)
 			}
 		})
 		giveUp()
@@ -62,10 +62,10 @@
 	loop.Wait()
 }
 
-// TestChangedTellsOfLeadership checks that whoever waits for a leader learns of each
-// step up to one that vouches, without asking again and again.
-func TestChangedTellsOfLeadership(t *testing.T) {
-	g := openAlone(t)
+// TestChangedSignalsLeadership checks that the channel of Changed signals each step until
+// the replica is a settled leader, so that callers need not poll.
+func TestChangedSignalsLeadership(t *testing.T) {
+	g := openSingle(t)
 	ctx, stop := context.WithTimeout(t.Context(), 10*time.Second)
 	defer stop()
 	var loop sync.WaitGroup
@@ -77,14 +77,15 @@
 	if err := g.Bootstrap(ctx, 7, protocol.ReplicaMembers{Voters: []protocol.ReplicaID{g.ID()}}); err != nil {
 		t.Fatal(err)
 	}
-	awaitVouching(ctx, t, g)
+	awaitLeadership(ctx, t, g)
 	stop()
 	loop.Wait()
 }
 
-// TestQuietTellsOfTheOutage checks that a replica that leads anew knows how long
-// before the latest command was logged, and that its own commands do not change that.
-func TestQuietTellsOfTheOutage(t *testing.T) {
+// TestSinceLastCommand checks that a replica that becomes the leader after a restart
+// reports the time since the latest command before it, and that commands of its own term
+// do not change that.
+func TestSinceLastCommand(t *testing.T) {
 	const before = 5 * time.Second
 	dir := t.TempDir()
 	for _, again := range []bool{false, true} {
@@ -92,28 +93,28 @@
 		if again {
 			later = before
 		}
-		ctx, g, end := startAlone(t, dir, !again, WithTimeOfDay(func() time.Time { return time.Now().Add(later) }))
+		ctx, g, end := startSingle(t, dir, !again, WithTimeOfDay(func() time.Time { return time.Now().Add(later) }))
 		first := g.Status().SinceLastCommand
 		if again && (first < before || first > before+time.Minute) {
-			t.Errorf("the latest command was logged %v ago, and it says %v", before, first)
+			t.Errorf("want SinceLastCommand of %v to a minute more, got %v", before, first)
 		}
 		if _, err := g.Propose(ctx, protocol.Command{Tally: &protocol.TallyMsg{Rows: []protocol.TallyRow{{Gateway: "g", Count: 1}}}}); err != nil {
 			t.Fatal(err)
 		}
 		if got := g.Status().SinceLastCommand; got != first {
-			t.Errorf("after a command of its own it says %v, before %v", got, first)
+			t.Errorf("SinceLastCommand is %v after a command of the same term, was %v before", got, first)
 		}
 		end()
 	}
 }
 
-// TestRolloutsAreReported checks that each change of a roll-out is reported once, and all of
-// them again by a replica that starts from its folder.
+// TestRolloutsAreReported checks that each change of a rollout is passed to the callback
+// once, and that a replica that restarts from its data folder passes them on again.
 func TestRolloutsAreReported(t *testing.T) {
 	dir := t.TempDir()
 	for _, again := range []bool{false, true} {
-		var reported []protocol.RolloutStage // reported are the stages, in the order in which the loop reported them.
-		ctx, g, end := startAlone(t, dir, !again, WithRollouts(func(l protocol.RolloutLog) { reported = append(reported, l.Latest[0].Stage) }))
+		var reported []protocol.RolloutStage // reported are the stages in the order of the callbacks.
+		ctx, g, end := startSingle(t, dir, !again, WithRollouts(func(l protocol.RolloutLog) { reported = append(reported, l.Latest[0].Stage) }))
 		want := []protocol.RolloutStage{protocol.RolloutMoving}
 		if !again {
 			for _, c := range []protocol.Command{
@@ -128,7 +129,7 @@
 			want = []protocol.RolloutStage{protocol.RolloutTrial, protocol.RolloutMoving}
 		}
 		if list, err := g.Rollouts(ctx); err != nil || len(list) != 1 || list[0].Stage != protocol.RolloutMoving {
-			t.Errorf("read %+v, %v", list, err)
+			t.Errorf("Rollouts returned %+v, %v; want one rollout in the last stage proposed", list, err)
 		}
 		end()
 		if !slices.Equal(reported, want) {
@@ -137,13 +138,13 @@
 	}
 }
 
-// TestQuarantineIsReported checks that each change of the quarantine is reported once, and
-// all of it again by a replica that starts from its folder.
+// TestQuarantineIsReported checks that each change of the quarantine is passed to the
+// callback once, and that a replica that restarts from its data folder passes it on again.
 func TestQuarantineIsReported(t *testing.T) {
 	dir := t.TempDir()
 	for _, again := range []bool{false, true} {
-		var reported []int // reported are how many entries there were.
-		ctx, g, end := startAlone(t, dir, !again, WithQuarantine(func(l protocol.QuarantineLog) { reported = append(reported, len(l.Entries)) }))
+		var reported []int // reported are the numbers of entries, by callback.
+		ctx, g, end := startSingle(t, dir, !again, WithQuarantine(func(l protocol.QuarantineLog) { reported = append(reported, len(l.Entries)) }))
 		want := []int{2}
 		if !again {
 			for _, n := range []uint64{1, 1, 2} { // The first one is sent again.
@@ -161,12 +162,12 @@
 	}
 }
 
-// startAlone runs a replica on a folder until it leads and vouches, at first as the
-// founder of a group of one. The func that it returns ends it.
-func startAlone(t *testing.T, dir string, found bool, opts ...Option) (ctx context.Context, g *Group, end func()) {
+// startSingle runs a replica on a data folder and waits until it is a settled leader. With
+// found it bootstraps a group of one first. The returned func stops the replica.
+func startSingle(t *testing.T, dir string, found bool, opts ...Option) (ctx context.Context, g *Group, end func()) {
 	t.Helper()
 	cfg := Config{Replica: replicate.Config{Election: 50 * time.Millisecond, Heartbeat: 10 * time.Millisecond, Batch: 1 << 20, Window: 8}, SnapshotEntries: 1 << 20}
-	g, err := Open(cfg, dir, "entry-1", noSender{}, opts...)
+	g, err := Open(cfg, dir, "entry-1", discardSender{}, opts...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,15 +183,15 @@
 			t.Fatal(err)
 		}
 	}
-	awaitVouching(ctx, t, g)
+	awaitLeadership(ctx, t, g)
 	return ctx, g, func() {
 		stop()
 		loop.Wait()
 	}
 }
 
-// awaitVouching waits until a group leads and vouches.
-func awaitVouching(ctx context.Context, t *testing.T, g *Group) {
+// awaitLeadership waits until a replica is a settled leader with a lease.
+func awaitLeadership(ctx context.Context, t *testing.T, g *Group) {
 	t.Helper()
 	for {
 		changed := g.Changed()
@@ -200,7 +201,7 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			t.Fatalf("nothing more was told; it is %+v", g.Status())
+			t.Fatalf("no further change was signaled; status %+v", g.Status())
 		}
 	}
 }
--- a/coordination/group/meters.go
+++ b/coordination/group/meters.go
@@ -6,43 +6,42 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// WithRegistry sets the registry of the group's meters: how long syncs take, the
-// term, and how long the lease still runs.
+// WithRegistry sets the registry of the group's metrics.
 func WithRegistry(r metrics.Registry) Option {
 	return func(g *Group) { g.meters = newMeters(r) }
 }
 
-// meters are the group's own figures.
+// meters are the group's metrics.
 type meters struct {
-	sync  metrics.Timer
-	term  metrics.Gauge
-	lease metrics.Gauge // lease is in milliseconds.
-
-	election  metrics.Timer   // election is from a first campaign until a leader is known.
-	timeout   metrics.Gauge   // timeout is the least election timeout, in milliseconds.
-	handovers metrics.Counter // handovers are those of this replica's leadership that came off.
-	moves     metrics.Counter // moves are those begun for a better place.
-	registry  metrics.Registry
+	sync      metrics.Timer
+	term      metrics.Gauge
+	leaseLeft metrics.Gauge // leaseLeft is the remaining time of the lease in milliseconds.
+
+	election        metrics.Timer   // election is the time from this replica's first campaign until a leader is known.
+	electionTimeout metrics.Gauge   // electionTimeout is the minimum election timeout in milliseconds.
+	handovers       metrics.Counter // handovers counts the completed handovers of this replica's leadership.
+	moves           metrics.Counter // moves counts the moves of leadership begun to shorten the quorum round trip.
+	registry        metrics.Registry
 }
 
-// trip is the round trip to another replica, in microseconds.
-func (m *meters) trip(to string) metrics.Gauge {
+// roundTrip returns the gauge of the round-trip time to another replica, in microseconds.
+func (m *meters) roundTrip(to string) metrics.Gauge {
 	return metrics.GetOrRegisterGauge(fmt.Sprintf("group.round_trip_us{to=%q}", to), m.registry)
 }
 
 func newMeters(r metrics.Registry) *meters {
 	return &meters{
-		sync:  metrics.GetOrRegisterTimer("group.sync", r),
-		term:  metrics.GetOrRegisterGauge("group.term", r),
-		lease: metrics.GetOrRegisterGauge("group.lease_left_ms", r),
-
-		election:  metrics.GetOrRegisterTimer("group.election", r),
-		timeout:   metrics.GetOrRegisterGauge("group.election_timeout_ms", r),
-		handovers: metrics.GetOrRegisterCounter("group.handovers", r),
-		moves:     metrics.GetOrRegisterCounter("group.moves", r),
-		registry:  r,
+		sync:      metrics.GetOrRegisterTimer("group.sync", r),
+		term:      metrics.GetOrRegisterGauge("group.term", r),
+		leaseLeft: metrics.GetOrRegisterGauge("group.lease_left_ms", r),
+
+		election:        metrics.GetOrRegisterTimer("group.election", r),
+		electionTimeout: metrics.GetOrRegisterGauge("group.election_timeout_ms", r),
+		handovers:       metrics.GetOrRegisterCounter("group.handovers", r),
+		moves:           metrics.GetOrRegisterCounter("group.moves", r),
+		registry:        r,
 	}
 }
 
-// noMeters returns meters that nobody reads.
-func noMeters() *meters { return newMeters(metrics.NewRegistry()) }
+// discardMeters returns meters in a registry that is not exported.
+func discardMeters() *meters { return newMeters(metrics.NewRegistry()) }
--- a/coordination/group/place.go
+++ b/coordination/group/place.go
@@ -8,44 +8,47 @@
 	"github.com/weldstream/weldstream/coordination/roundtrip"
 )
 
-// WithMoveBlocker sets what tells whether something is under way that a move of leadership
-// would break off; without it nothing ever is.
-func WithMoveBlocker(f func() bool) Option { return func(g *Group) { g.busy = f } }
+// WithMoveBlocker sets the func that reports whether work is in progress that a move of
+// leadership would interrupt; the default reports that there is none.
+func WithMoveBlocker(f func() bool) Option { return func(g *Group) { g.moveBlocked = f } }
 
-// HandOver has this replica, if it leads, hand leadership over to the one that is
-// best placed among the others, and returns once it leads no more. A proposal that is
-// held meanwhile is answered with replicate.ErrNotLeader: it was not proposed.
+// HandOver transfers leadership from this replica, if it is the leader, to the other
+// replica with the best round-trip times, and returns once it is no longer the leader.
+// Proposals that arrive during the transfer fail with replicate.ErrNotLeader: they were
+// not proposed.
 func (g *Group) HandOver(ctx context.Context) error {
-	_, err := g.await(ctx, &waiter{handover: true})
+	_, err := g.await(ctx, &request{handover: true})
 	return err
 }
 
-// tripsEvery is between two looks at the round trips for the dump and the meters.
-const tripsEvery = time.Second
+// tripsInterval is the time between two updates of the round trips in the status dump
+// and the metrics.
+const tripsInterval = time.Second
 
-// roundTrips are what the dump tells of the paths between replicas.
+// roundTrips are the round-trip times between replicas, for the status dump.
 type roundTrips struct {
-	at     time.Duration    // at is when they were read.
-	all    []roundtrip.Trip // all are those of pings between any two replicas.
-	rounds []roundtrip.Trip // rounds are those of the leader's rounds.
+	readAt time.Duration    // readAt is when they were last read from the replica.
+	pings  []roundtrip.Trip // pings are those of pings between any two replicas.
+	rounds []roundtrip.Trip // rounds are those of the leader's heartbeat rounds.
 }
 
-// refreshTrips reads the round trips anew, once each tripsEvery, for the dump and the meters.
+// refreshTrips updates the round trips for the status dump and the metrics, at most once
+// per tripsInterval.
 func (g *Group) refreshTrips(now time.Duration) {
-	if now-g.trips.at < tripsEvery && g.trips.at > 0 {
+	if now-g.trips.readAt < tripsInterval && g.trips.readAt > 0 {
 		return
 	}
-	g.trips.at = now
-	g.trips.all, g.trips.rounds = g.replica.Trips()
-	for _, t := range g.trips.all {
+	g.trips.readAt = now
+	g.trips.pings, g.trips.rounds = g.replica.Trips()
+	for _, t := range g.trips.pings {
 		if t.From == g.id.Name {
-			g.meters.trip(t.To).Update(t.Smoothed.Microseconds())
+			g.meters.roundTrip(t.To).Update(t.Smoothed.Microseconds())
 		}
 	}
 }
 
-// handedOver logs how a hand-over went.
-func (g *Group) handedOver(cmd replicate.HandoverCmd) {
+// handoverDone logs the outcome of a handover and answers its request.
+func (g *Group) handoverDone(cmd replicate.HandoverCmd) {
 	if cmd.Err != nil {
 		g.log.Warn().Err(cmd.Err).Msg("leadership was not handed over")
 	} else {
@@ -55,22 +58,23 @@
 	g.answer(cmd.Token, outcome{err: cmd.Err})
 }
 
-// moving logs a move of leadership with what it was chosen by.
-func (g *Group) moving(cmd replicate.MoveCmd) {
-	all, _ := g.replica.Trips() // The rounds wait for disks, which say nothing of the distance.
+// logMove logs a move of leadership with the round trips that it was chosen by.
+func (g *Group) logMove(cmd replicate.MoveCmd) {
+	all, _ := g.replica.Trips() // The times of rounds include disk syncs, which do not depend on distance.
 	g.meters.moves.Inc(1)
 	g.log.Info().Str("to", cmd.Move.To).Dur("before", cmd.Move.Before).Dur("after", cmd.Move.After).
 		Any("round_trips", all).Msg("leadership moves to where a quorum is nearer")
 }
 
-// noteElection measures from this replica's first campaign until it knows a leader.
-func (g *Group) noteElection(s *Status, now time.Duration) {
+// measureElection measures the time from this replica's first campaign until it knows a
+// leader.
+func (g *Group) measureElection(s *Status, now time.Duration) {
 	campaigning := s.Role == replicate.PreCandidate.String() || s.Role == replicate.Candidate.String()
 	switch {
-	case campaigning && g.campaignAt == 0:
-		g.campaignAt = now
-	case !s.Leader.IsZero() && g.campaignAt > 0:
-		g.meters.election.Update(now - g.campaignAt)
-		g.campaignAt = 0
+	case campaigning && g.campaignStart == 0:
+		g.campaignStart = now
+	case !s.Leader.IsZero() && g.campaignStart > 0:
+		g.meters.election.Update(now - g.campaignStart)
+		g.campaignStart = 0
 	}
 }
--- a/coordination/group/place_test.go
+++ b/coordination/group/place_test.go
@@ -10,18 +10,18 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// agreeing is a sender whose replicas vote for, and take, whatever they are sent. It
-// looks at what the state of the leader tells when its messages go out.
-type agreeing struct {
-	group   *Group
-	told    bool
-	leading bool // leading says that the leader vouched for its state at that moment.
-	heard   bool // heard says that the leader made itself known.
-	hidden  bool // hidden says that others heard of the leader before its state told.
+// agreeingPeers is a sender that answers for peers which grant every vote and accept every
+// entry. It records the leader's status at the time when messages are sent.
+type agreeingPeers struct {
+	group            *Group
+	handoverSent     bool
+	leasedAtHandover bool // leasedAtHandover reports whether the leader still had a lease at that time.
+	appendSent       bool // appendSent reports whether the leader has sent an append message.
+	sentBeforeStatus bool // sentBeforeStatus reports whether the first one was sent before the status showed the leader.
 }
 
-// Send implements Sender; it is called in the group's loop.
-func (a *agreeing) Send(group uint64, m replicate.Message) {
+// Send implements Sender. It is called in the group's loop.
+func (a *agreeingPeers) Send(group uint64, m replicate.Message) {
 	reply := replicate.Message{From: m.To, To: m.From, Term: m.Term, Round: m.Round}
 	switch m.Kind {
 	case replicate.PreVote:
@@ -29,13 +29,13 @@
 	case replicate.Vote:
 		reply.Kind = replicate.VoteReply
 	case replicate.Append:
-		if s := a.group.Status(); !a.heard {
-			a.heard, a.hidden = true, s.Role != replicate.Leader.String() || s.Term != m.Term
+		if s := a.group.Status(); !a.appendSent {
+			a.appendSent, a.sentBeforeStatus = true, s.Role != replicate.Leader.String() || s.Term != m.Term
 		}
 		reply.Kind, reply.Index = replicate.AppendReply, m.Index+uint64(len(m.Entries))
 	case replicate.Handover:
-		_, a.leading = a.group.Leads()
-		a.told = true
+		_, a.leasedAtHandover = a.group.Leads()
+		a.handoverSent = true
 		return
 	default:
 		return
@@ -43,15 +43,15 @@
 	_ = a.group.Step(context.Background(), group, reply) // The inbox has room.
 }
 
-// TestNoLeaseBehindAHandover checks that whoever asks is told that this replica leads
-// no more before another one is told to campaign, which then may lead at once; and that
-// it leads before the others hear of that.
-func TestNoLeaseBehindAHandover(t *testing.T) {
+// TestLeaseEndsBeforeHandover checks that the status ends the lease before the handover
+// message, with which another replica may become leader at once, is sent; and that the
+// status shows a new leader before its first append message is sent.
+func TestLeaseEndsBeforeHandover(t *testing.T) {
 	cfg := Config{
 		Replica:         replicate.Config{Election: time.Second, Heartbeat: 10 * time.Millisecond, Batch: 1 << 20, Window: 8},
 		SnapshotEntries: 1 << 20,
 	}
-	others := &agreeing{}
+	others := &agreeingPeers{}
 	g, err := Open(cfg, t.TempDir(), "a", others)
 	if err != nil {
 		t.Fatal(err)
@@ -69,16 +69,16 @@
 	if err := g.Bootstrap(ctx, 7, protocol.ReplicaMembers{Voters: voters}); err != nil {
 		t.Fatal(err)
 	}
-	awaitVouching(ctx, t, g)
+	awaitLeadership(ctx, t, g)
 	if err := g.HandOver(ctx); err != nil {
 		t.Fatal(err)
 	}
 	stop()
 	loop.Wait()
-	if !others.told || others.leading {
-		t.Errorf("told to campaign: %v, while the lease still counted: %v", others.told, others.leading)
+	if !others.handoverSent || others.leasedAtHandover {
+		t.Errorf("handover sent: %v, lease still valid at that time: %v; want true, false", others.handoverSent, others.leasedAtHandover)
 	}
-	if others.hidden {
-		t.Error("others heard of the leader before its state told that it leads")
+	if others.sentBeforeStatus {
+		t.Error("the first append message was sent before the status showed the leader")
 	}
 }
--- a/coordination/group/reopen.go
+++ b/coordination/group/reopen.go
@@ -7,18 +7,19 @@
 	"github.com/weldstream/weldstream/state/wal"
 )
 
-// reopenEvery is between two tries to go on after the disk failed.
-const reopenEvery = 500 * time.Millisecond
+// reopenInterval is the time between attempts to reopen the data folder after the disk
+// failed.
+const reopenInterval = 500 * time.Millisecond
 
-// reopenIfDue opens the folder anew some time after the disk failed, as a
-// restart of the process would: what is not on the disk is forgotten. A disk
-// that was full for a while so costs a replica no more than that while.
+// reopenIfDue reopens the data folder some time after the disk failed and discards all
+// state that is not on disk, as a restart of the process would. So a replica whose disk
+// was full for a time recovers by itself once there is space again.
 func (g *Group) reopenIfDue() {
-	if !g.failed || g.saving || g.now()-g.failedAt < reopenEvery {
+	if !g.failed || g.savingSnapshot || g.now()-g.failedAt < reopenInterval {
 		return
 	}
 	g.failedAt = g.now()
-	_ = g.folder.Close() // Nothing is written to it any more.
+	_ = g.folder.Close() // No writes follow, so an error does not matter.
 	folder, loaded, err := wal.Open(g.dir, g.id.Name)
 	if err != nil {
 		g.log.Warn().Err(err).Msg("the data folder cannot be opened yet")
--- a/coordination/group/snapshot.go
+++ b/coordination/group/snapshot.go
@@ -4,18 +4,18 @@
 	"github.com/weldstream/weldstream/coordination/replicate"
 )
 
-// snapshotIfDue copies the state and has it encoded and written beside the
-// loop, which goes on meanwhile.
+// snapshotIfDue copies the state and starts a goroutine that encodes and writes it, so
+// that the loop is not blocked.
 func (g *Group) snapshotIfDue() {
 	covered := g.replica.Status().Snapshot
-	if g.saving || g.failed || g.applied-covered < uint64(g.cfg.SnapshotEntries) {
+	if g.savingSnapshot || g.failed || g.applied-covered < uint64(g.cfg.SnapshotEntries) {
 		return
 	}
 	meta, ok := g.replica.SnapshotMetaAt(g.applied)
 	if !ok {
 		return
 	}
-	g.saving = true
+	g.savingSnapshot = true
 	image := g.machine.Image()
 	go func() {
 		data, err := image.Encode()
@@ -26,37 +26,37 @@
 	}()
 }
 
-// rotate begins a new segment behind a snapshot that is on disk.
+// rotate starts a new log segment after a snapshot has been written to disk.
 func (g *Group) rotate(s savedSnapshot) {
-	g.saving = false
+	g.savingSnapshot = false
 	if s.err != nil {
-		g.fail(s.err)
+		g.failDisk(s.err)
 		return
 	}
 	if g.failed || s.meta.Index <= g.replica.Status().Snapshot {
 		return
 	}
-	g.flush() // What is pending belongs into the old segment, or into the rest.
+	g.flush() // Pending entries go into the old segment or, after the snapshot, into the new one.
 	g.update(replicate.CompactedMsg{Snapshot: s.meta})
-	if err := g.folder.Rotate(s.meta.Index, g.hard, g.replica.Tail()); err != nil {
-		g.fail(err)
+	if err := g.folder.Rotate(s.meta.Index, g.hardState, g.replica.Tail()); err != nil {
+		g.failDisk(err)
 		return
 	}
 	g.log.Debug().Uint64("index", s.meta.Index).Msg("snapshot taken")
 }
 
-// restore takes a leader's snapshot in place of state and log.
+// restore replaces state and log by a snapshot from the leader.
 func (g *Group) restore(cmd replicate.RestoreCmd) {
 	for _, p := range g.pending {
-		g.hard = p.Hard
+		g.hardState = p.Hard
 	}
 	g.pending = g.pending[:0]
-	err := g.folder.SaveSnapshot(cmd.Snapshot, cmd.Data, g.hard, nil)
+	err := g.folder.SaveSnapshot(cmd.Snapshot, cmd.Data, g.hardState, nil)
 	if err == nil {
 		err = g.machine.Restore(cmd.Data)
 	}
 	if err != nil {
-		g.fail(err)
+		g.failDisk(err)
 		return
 	}
 	g.applied = cmd.Snapshot.Index
@@ -64,8 +64,8 @@
 	g.reportChanges()
 }
 
-// sendSnapshot reads the latest snapshot from disk and sends it, beside the
-// loop.
+// sendSnapshot starts a goroutine that reads the latest snapshot from disk and sends it,
+// so that the loop is not blocked.
 func (g *Group) sendSnapshot(cmd replicate.SendSnapshotCmd) {
 	folder, group, from := g.folder, g.folder.Group(), g.folder.ID()
 	go func() {
--- a/coordination/group/space.go
+++ b/coordination/group/space.go
@@ -7,15 +7,17 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-const spaceEvery = 250 * time.Millisecond
+// spaceCheckInterval is the time between two checks of the free disk space.
+const spaceCheckInterval = 250 * time.Millisecond
 
-// checkSpace asks for the free space now and then. A full disk is found out
-// before a write fails, while the outcome of every request is still known.
+// checkSpace checks the free disk space every spaceCheckInterval, so that a full disk is
+// detected before a write fails: after a failed write the outcomes of requests are
+// unknown.
 func (g *Group) checkSpace() {
-	if g.now() < g.spaceAt {
+	if g.now() < g.nextSpaceCheck {
 		return
 	}
-	g.spaceAt = g.now() + spaceEvery
+	g.nextSpaceCheck = g.now() + spaceCheckInterval
 	free, err := g.folder.Free()
 	full := err == nil && free < g.cfg.Reserve
 	if full != g.full {
@@ -24,20 +26,22 @@
 	g.full = full
 }
 
-// askFull refuses what would take up the reserve. For a claim this needs a
-// read: only if a quorum confirms that there is none is the request not run.
-func (g *Group) askFull(w *waiter) {
-	if w.command.Claim == nil {
+// startWithoutSpace rejects a command while only the reserve is left on the disk. A claim
+// is answered by a quorum read instead, without a write: the claimed request may be
+// reported as not run only if a quorum confirms that no claim of it exists.
+func (g *Group) startWithoutSpace(r *request) {
+	if r.command.Claim == nil {
 		g.answer(g.token, outcome{err: ErrFull})
 		return
 	}
 	g.update(replicate.ReadMsg{Token: g.token})
 }
 
-// peek is what a claim comes to without being written.
-func (g *Group) peek(w *waiter) protocol.Result {
-	if w.command == nil || w.command.Claim == nil {
+// readResult returns the result of a read: for a claim, what it would return without
+// being written.
+func (g *Group) readResult(r *request) protocol.Result {
+	if r.command == nil || r.command.Claim == nil {
 		return protocol.Result{}
 	}
-	return protocol.Result{Claim: g.machine.PeekClaim(w.command.Claim)}
+	return protocol.Result{Claim: g.machine.PeekClaim(r.command.Claim)}
 }
