--- a/coordination/group/api.go
+++ b/coordination/group/api.go
@@ -15,7 +15,7 @@
 	case g.inbox <- in:
 		return nil
 	case <-g.done:
-		return ErrUnknown
+		return ErrOutcomeUnknown
 	case <-ctx.Done():
 		return eris.Wrap(ctx.Err(), "replica is busy")
 	}
@@ -32,9 +32,9 @@
 	case o := <-r.done:
 		return o.result, o.err
 	case <-g.done:
-		return protocol.Result{}, ErrUnknown
+		return protocol.Result{}, ErrOutcomeUnknown
 	case <-ctx.Done():
-		return protocol.Result{}, ErrUnknown
+		return protocol.Result{}, ErrOutcomeUnknown
 	}
 }
 
@@ -137,7 +137,7 @@
 	case r := <-done:
 		return r.value, r.err
 	case <-g.done:
-		return none, ErrUnknown
+		return none, ErrOutcomeUnknown
 	case <-ctx.Done():
 		return none, eris.Wrap(ctx.Err(), "replica is busy")
 	}
--- a/coordination/group/apply.go
+++ b/coordination/group/apply.go
@@ -22,7 +22,7 @@
 			if r.term == e.Term {
 				r.done <- outcome{result: result}
 			} else {
-				r.done <- outcome{err: ErrUnknown}
+				r.done <- outcome{err: ErrOutcomeUnknown}
 			}
 		}
 	}
--- a/coordination/group/group.go
+++ b/coordination/group/group.go
@@ -31,8 +31,8 @@
 
 // Errors of proposals and reads.
 var (
-	// ErrUnknown is returned when a proposal may or may not be committed.
-	ErrUnknown = eris.New("the outcome of the proposal is unknown")
+	// ErrOutcomeUnknown is returned when a proposal may or may not be committed.
+	ErrOutcomeUnknown = eris.New("the outcome of the proposal is unknown")
 	// ErrDisk is returned after a write to this replica's disk has failed.
 	ErrDisk = eris.New("this replica's disk failed")
 	// ErrFull is returned when the disk has only its reserve left.
@@ -263,7 +263,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			g.failAll(ErrUnknown)
+			g.failAll(ErrOutcomeUnknown)
 			return g.folder.Close()
 		case <-tick.C:
 			g.update(replicate.TickMsg{Now: g.now(), Rand: rand.Uint64(), Busy: g.moveBlocked()})
--- a/coordination/group/waiter.go
+++ b/coordination/group/waiter.go
@@ -66,7 +66,7 @@
 func (g *Group) failProposals() {
 	for index, r := range g.proposals {
 		delete(g.proposals, index)
-		r.done <- outcome{err: ErrUnknown}
+		r.done <- outcome{err: ErrOutcomeUnknown}
 	}
 	for _, r := range g.reads {
 		r.done <- outcome{err: replicate.ErrNotLeader}
