--- a/coordination/member/member.go
+++ b/coordination/member/member.go
@@ -90,7 +90,7 @@
 	switch m := m.(type) {
 	case TickMsg:
 		return s.tick(m)
-	case NewsMsg:
+	case GossipMsg:
 		return s.news(m)
 	case ProbedMsg:
 		return s.probed(m)
@@ -244,7 +244,7 @@
 }
 
 // news takes in records from another instance.
-func (s *State) news(m NewsMsg) []Cmd {
+func (s *State) news(m GossipMsg) []Cmd {
 	var cmds []Cmd
 	fresh := false
 	for _, rec := range m.News.Members {
--- a/coordination/member/message.go
+++ b/coordination/member/message.go
@@ -15,8 +15,8 @@
 	Rand uint64 // Rand is fresh randomness.
 }
 
-// NewsMsg is what another instance sent.
-type NewsMsg struct {
+// GossipMsg is what another instance sent.
+type GossipMsg struct {
 	News protocol.GossipMsg
 	Now  time.Time
 	Rand uint64
@@ -55,7 +55,7 @@
 }
 
 func (TickMsg) msg()          {}
-func (NewsMsg) msg()          {}
+func (GossipMsg) msg()        {}
 func (ProbedMsg) msg()        {}
 func (SelfMsg) msg()          {}
 func (ServerLeavingMsg) msg() {}
@@ -80,7 +80,7 @@
 }
 
 // SyncCmd sends all records; the answer, all of the other's, comes back as a
-// [NewsMsg].
+// [GossipMsg].
 type SyncCmd struct {
 	Address string
 	News    protocol.GossipMsg
