--- a/coordination/member/member.go
+++ b/coordination/member/member.go
@@ -247,27 +247,27 @@
 func (s *State) news(m GossipMsg) []Cmd {
 	var cmds []Cmd
 	fresh := false
-	for _, rec := range m.News.Members {
+	for _, rec := range m.Gossip.Members {
 		if s.merge(rec, m.Now) {
 			fresh = true
 			cmds = append(cmds, s.revision(rec)...)
 		}
 	}
-	for _, l := range m.News.Leaving {
+	for _, l := range m.Gossip.Leaving {
 		if _, ok := s.leaving[l.Server]; !ok && !expired(l, m.Now) {
 			s.leaving[l.Server] = &leavingRow{Leaving: l, sends: s.sends()}
 			fresh = true
 			cmds = append(cmds, LeavingCmd{Leaving: l})
 		}
 	}
-	for _, j := range m.News.Joined {
+	for _, j := range m.Gossip.Joined {
 		if _, ok := s.joined[j.Instance.ID]; !ok && m.Now.Sub(j.Seen) <= protocol.JoinedRetention {
 			s.joined[j.Instance.ID] = &joinedRow{Joined: j, sends: s.sends()}
 			fresh = true
 			cmds = append(cmds, JoinedCmd{Joined: j})
 		}
 	}
-	if fresh && !m.News.Full {
+	if fresh && !m.Gossip.Full {
 		cmds = append(cmds, s.push(m.Rand)...)
 	}
 	return cmds
--- a/coordination/member/member_test.go
+++ b/coordination/member/member_test.go
@@ -63,7 +63,7 @@
 		return false
 	}
 	c.sent++
-	c.update(c.view(address), GossipMsg{News: n, Now: c.now, Rand: c.rnd.Uint64()})
+	c.update(c.view(address), GossipMsg{Gossip: n, Now: c.now, Rand: c.rnd.Uint64()})
 	return true
 }
 
@@ -75,7 +75,7 @@
 		c.reach(cmd.Address, cmd.News)
 	case SyncCmd:
 		if c.reach(cmd.Address, cmd.News) {
-			c.update(v, GossipMsg{News: c.view(cmd.Address).Full(), Now: c.now, Rand: c.rnd.Uint64()})
+			c.update(v, GossipMsg{Gossip: c.view(cmd.Address).Full(), Now: c.now, Rand: c.rnd.Uint64()})
 		}
 	case LeavingCmd:
 		c.told[v.self][cmd.Leaving.Server] = true
@@ -171,7 +171,7 @@
 		}
 		c.now = c.now.Add(protocol.JoinedRetention)
 		c.run(5)
-		c.views[0].Update(GossipMsg{News: protocol.GossipMsg{From: "late", Joined: []protocol.Joined{joined}}, Now: c.now})
+		c.views[0].Update(GossipMsg{Gossip: protocol.GossipMsg{From: "late", Joined: []protocol.Joined{joined}}, Now: c.now})
 		for _, v := range c.views {
 			if rows := v.Full().Joined; len(rows) != 0 {
 				t.Errorf("%d instances: %s keeps %v", n, v.self, rows)
@@ -238,7 +238,7 @@
 		}
 	}
 	old := protocol.GossipMsg{From: "late", Leaving: []protocol.Leaving{{Server: "e1", Seen: c.now.Add(-2 * protocol.LeavingRetention)}}}
-	if cmds := c.views[0].Update(GossipMsg{News: old, Now: c.now}); len(cmds) > 0 || len(c.views[0].Full().Leaving) > 0 {
+	if cmds := c.views[0].Update(GossipMsg{Gossip: old, Now: c.now}); len(cmds) > 0 || len(c.views[0].Full().Leaving) > 0 {
 		t.Errorf("a late copy was taken in: %v", cmds)
 	}
 }
--- a/coordination/member/message.go
+++ b/coordination/member/message.go
@@ -17,9 +17,9 @@
 
 // GossipMsg is what another instance sent.
 type GossipMsg struct {
-	News protocol.GossipMsg
-	Now  time.Time
-	Rand uint64
+	Gossip protocol.GossipMsg
+	Now    time.Time
+	Rand   uint64
 }
 
 // ProbedMsg is the outcome of a [ProbeCmd].
--- a/transport/membership.go
+++ b/transport/membership.go
@@ -193,7 +193,7 @@
 		m.log.Debug().Str("address", cmd.Address).Err(err).Msg("synchronization failed")
 		return
 	}
-	m.post(ctx, member.GossipMsg{News: reply, Now: clock.Now(), Rand: rand.Uint64()})
+	m.post(ctx, member.GossipMsg{Gossip: reply, Now: clock.Now(), Rand: rand.Uint64()})
 }
 
 func (m *Membership) fetch(cmd member.FetchCmd) {
@@ -230,13 +230,13 @@
 // Ping takes in news; that it answers is the sign of life.
 func (s *MemberService) Ping(news protocol.GossipMsg, ok *bool) error {
 	*ok = true
-	s.m.post(s.ctx, member.GossipMsg{News: news, Now: clock.Now(), Rand: rand.Uint64()})
+	s.m.post(s.ctx, member.GossipMsg{Gossip: news, Now: clock.Now(), Rand: rand.Uint64()})
 	return nil
 }
 
 // Sync takes in all of another instance's records and returns all of this one's.
 func (s *MemberService) Sync(news protocol.GossipMsg, reply *protocol.GossipMsg) error {
-	s.m.post(s.ctx, member.GossipMsg{News: news, Now: clock.Now(), Rand: rand.Uint64()})
+	s.m.post(s.ctx, member.GossipMsg{Gossip: news, Now: clock.Now(), Rand: rand.Uint64()})
 	full := make(chan protocol.GossipMsg, 1)
 	select {
 	case s.m.syncs <- full:
