--- a/coordination/member/member.go
+++ b/coordination/member/member.go
@@ -181,7 +181,7 @@
 		name := s.order[0]
 		s.order = s.order[1:]
 		if r := s.rows[name]; r != nil && r.State < protocol.MemberDead {
-			return []Cmd{ProbeCmd{Name: name, Address: r.Address, News: s.pending(), Via: s.via(name, rnd)}}
+			return []Cmd{ProbeCmd{Name: name, Address: r.Address, Gossip: s.pending(), Via: s.via(name, rnd)}}
 		}
 	}
 	return nil
--- a/coordination/member/member_test.go
+++ b/coordination/member/member_test.go
@@ -70,7 +70,7 @@
 func (c *cluster) execute(v *State, cmd Cmd) {
 	switch cmd := cmd.(type) {
 	case ProbeCmd:
-		c.update(v, ProbedMsg{Name: cmd.Name, Alive: c.reach(cmd.Address, cmd.News), Now: c.now, Rand: c.rnd.Uint64()})
+		c.update(v, ProbedMsg{Name: cmd.Name, Alive: c.reach(cmd.Address, cmd.Gossip), Now: c.now, Rand: c.rnd.Uint64()})
 	case PushCmd:
 		c.reach(cmd.Address, cmd.News)
 	case SyncCmd:
--- a/coordination/member/message.go
+++ b/coordination/member/message.go
@@ -69,7 +69,7 @@
 type ProbeCmd struct {
 	Name    string
 	Address string
-	News    protocol.GossipMsg
+	Gossip  protocol.GossipMsg
 	Via     []string
 }
 
--- a/transport/membership.go
+++ b/transport/membership.go
@@ -168,7 +168,7 @@
 
 func (m *Membership) probe(ctx context.Context, cmd member.ProbeCmd) {
 	var ok bool
-	alive := m.links.Call(cmd.Address, "Member.Ping", cmd.News, &ok, probeTimeout) == nil
+	alive := m.links.Call(cmd.Address, "Member.Ping", cmd.Gossip, &ok, probeTimeout) == nil
 	for _, via := range cmd.Via {
 		if alive {
 			break
