--- a/coordination/member/member.go
+++ b/coordination/member/member.go
@@ -321,7 +321,7 @@
 	var cmds []Cmd
 	for _, name := range s.pick(s.cfg.Fanout, rnd) {
 		if n := s.pending(); len(n.Members)+len(n.Leaving)+len(n.Joined) > 0 {
-			cmds = append(cmds, PushCmd{Address: s.rows[name].Address, News: n})
+			cmds = append(cmds, PushCmd{Address: s.rows[name].Address, Gossip: n})
 		}
 	}
 	return cmds
--- a/coordination/member/member_test.go
+++ b/coordination/member/member_test.go
@@ -72,7 +72,7 @@
 	case ProbeCmd:
 		c.update(v, ProbedMsg{Name: cmd.Name, Alive: c.reach(cmd.Address, cmd.Gossip), Now: c.now, Rand: c.rnd.Uint64()})
 	case PushCmd:
-		c.reach(cmd.Address, cmd.News)
+		c.reach(cmd.Address, cmd.Gossip)
 	case SyncCmd:
 		if c.reach(cmd.Address, cmd.News) {
 			c.update(v, GossipMsg{Gossip: c.view(cmd.Address).Full(), Now: c.now, Rand: c.rnd.Uint64()})
--- a/coordination/member/message.go
+++ b/coordination/member/message.go
@@ -76,7 +76,7 @@
 // PushCmd sends news and awaits nothing.
 type PushCmd struct {
 	Address string
-	News    protocol.GossipMsg
+	Gossip  protocol.GossipMsg
 }
 
 // SyncCmd sends all records; the answer, all of the other's, comes back as a
--- a/transport/membership.go
+++ b/transport/membership.go
@@ -182,7 +182,7 @@
 
 func (m *Membership) push(cmd member.PushCmd) {
 	var ok bool
-	if err := m.links.Call(cmd.Address, "Member.Ping", cmd.News, &ok, probeTimeout); err != nil {
+	if err := m.links.Call(cmd.Address, "Member.Ping", cmd.Gossip, &ok, probeTimeout); err != nil {
 		m.log.Debug().Str("address", cmd.Address).Err(err).Msg("push failed")
 	}
 }
