--- a/coordination/member/member.go
+++ b/coordination/member/member.go
@@ -192,7 +192,7 @@
 	var cmds []Cmd
 	for _, seed := range s.seeds {
 		if seed.Name != s.self {
-			cmds = append(cmds, SyncCmd{Address: seed.Address, News: s.full()})
+			cmds = append(cmds, SyncCmd{Address: seed.Address, Gossip: s.full()})
 		}
 	}
 	return cmds
@@ -214,12 +214,12 @@
 func (s *State) sync(rnd *rand.Rand) []Cmd {
 	var cmds []Cmd
 	for _, name := range s.pick(1, rnd) {
-		cmds = append(cmds, SyncCmd{Address: s.rows[name].Address, News: s.full()})
+		cmds = append(cmds, SyncCmd{Address: s.rows[name].Address, Gossip: s.full()})
 	}
 	if len(s.seeds) > 0 {
 		seed := s.seeds[rnd.IntN(len(s.seeds))]
 		if r := s.rows[seed.Name]; seed.Name != s.self && (r == nil || r.State >= protocol.MemberDead) {
-			cmds = append(cmds, SyncCmd{Address: seed.Address, News: s.full()})
+			cmds = append(cmds, SyncCmd{Address: seed.Address, Gossip: s.full()})
 		}
 	}
 	return cmds
--- a/coordination/member/member_test.go
+++ b/coordination/member/member_test.go
@@ -74,7 +74,7 @@
 	case PushCmd:
 		c.reach(cmd.Address, cmd.Gossip)
 	case SyncCmd:
-		if c.reach(cmd.Address, cmd.News) {
+		if c.reach(cmd.Address, cmd.Gossip) {
 			c.update(v, GossipMsg{Gossip: c.view(cmd.Address).Full(), Now: c.now, Rand: c.rnd.Uint64()})
 		}
 	case LeavingCmd:
--- a/coordination/member/message.go
+++ b/coordination/member/message.go
@@ -83,7 +83,7 @@
 // [GossipMsg].
 type SyncCmd struct {
 	Address string
-	News    protocol.GossipMsg
+	Gossip  protocol.GossipMsg
 }
 
 // LeavingCmd tells the tables of a leaving backend server.
--- a/transport/membership.go
+++ b/transport/membership.go
@@ -189,7 +189,7 @@
 
 func (m *Membership) sync(ctx context.Context, cmd member.SyncCmd) {
 	var reply protocol.GossipMsg
-	if err := m.links.Call(cmd.Address, "Member.Sync", cmd.News, &reply, syncTimeout); err != nil {
+	if err := m.links.Call(cmd.Address, "Member.Sync", cmd.Gossip, &reply, syncTimeout); err != nil {
 		m.log.Debug().Str("address", cmd.Address).Err(err).Msg("synchronization failed")
 		return
 	}
