--- a/coordination/member/member.go
+++ b/coordination/member/member.go
@@ -257,7 +257,7 @@
 		if _, ok := s.leaving[l.Server]; !ok && !expired(l, m.Now) {
 			s.leaving[l.Server] = &leavingRow{Leaving: l, sends: s.sends()}
 			fresh = true
-			cmds = append(cmds, LeavingCmd{Leaving: l})
+			cmds = append(cmds, ServerLeavingCmd{Leaving: l})
 		}
 	}
 	for _, j := range m.Gossip.Joined {
@@ -428,7 +428,7 @@
 		return nil
 	}
 	s.leaving[m.Leaving.Server] = &leavingRow{Leaving: m.Leaving, sends: s.sends()}
-	return append([]Cmd{LeavingCmd{Leaving: m.Leaving}}, s.push(m.Rand)...)
+	return append([]Cmd{ServerLeavingCmd{Leaving: m.Leaving}}, s.push(m.Rand)...)
 }
 
 func (s *State) serverJoined(m ServerJoinedMsg) []Cmd {
--- a/coordination/member/member_test.go
+++ b/coordination/member/member_test.go
@@ -77,7 +77,7 @@
 		if c.reach(cmd.Address, cmd.Gossip) {
 			c.update(v, GossipMsg{Gossip: c.view(cmd.Address).Full(), Now: c.now, Rand: c.rnd.Uint64()})
 		}
-	case LeavingCmd:
+	case ServerLeavingCmd:
 		c.told[v.self][cmd.Leaving.Server] = true
 	case JoinedCmd:
 		c.told[v.self][cmd.Joined.Instance.ID] = true
--- a/coordination/member/message.go
+++ b/coordination/member/message.go
@@ -86,8 +86,8 @@
 	Gossip  protocol.GossipMsg
 }
 
-// LeavingCmd tells the tables of a leaving backend server.
-type LeavingCmd struct{ Leaving protocol.Leaving }
+// ServerLeavingCmd tells the tables of a leaving backend server.
+type ServerLeavingCmd struct{ Leaving protocol.Leaving }
 
 // JoinedCmd tells the tables of a new backend server.
 type JoinedCmd struct{ Joined protocol.Joined }
@@ -98,9 +98,9 @@
 	Number  uint64
 }
 
-func (ProbeCmd) cmd()   {}
-func (PushCmd) cmd()    {}
-func (SyncCmd) cmd()    {}
-func (LeavingCmd) cmd() {}
-func (JoinedCmd) cmd()  {}
-func (FetchCmd) cmd()   {}
+func (ProbeCmd) cmd()         {}
+func (PushCmd) cmd()          {}
+func (SyncCmd) cmd()          {}
+func (ServerLeavingCmd) cmd() {}
+func (JoinedCmd) cmd()        {}
+func (FetchCmd) cmd()         {}
--- a/transport/membership.go
+++ b/transport/membership.go
@@ -157,7 +157,7 @@
 		go m.push(cmd)
 	case member.SyncCmd:
 		go m.sync(ctx, cmd)
-	case member.LeavingCmd:
+	case member.ServerLeavingCmd:
 		m.tables.Backends.MarkLeaving(cmd.Leaving)
 	case member.JoinedCmd:
 		m.tables.Backends.Join(cmd.Joined, clock.Now())
