--- a/coordination/member/member.go
+++ b/coordination/member/member.go
@@ -264,7 +264,7 @@
 		if _, ok := s.joined[j.Instance.ID]; !ok && m.Now.Sub(j.Seen) <= protocol.JoinedRetention {
 			s.joined[j.Instance.ID] = &joinedRow{Joined: j, sends: s.sends()}
 			fresh = true
-			cmds = append(cmds, JoinedCmd{Joined: j})
+			cmds = append(cmds, ServerJoinedCmd{Joined: j})
 		}
 	}
 	if fresh && !m.Gossip.Full {
--- a/coordination/member/member_test.go
+++ b/coordination/member/member_test.go
@@ -79,7 +79,7 @@
 		}
 	case ServerLeavingCmd:
 		c.told[v.self][cmd.Leaving.Server] = true
-	case JoinedCmd:
+	case ServerJoinedCmd:
 		c.told[v.self][cmd.Joined.Instance.ID] = true
 	case FetchCmd:
 		c.fetch[v.self] = max(c.fetch[v.self], cmd.Number)
--- a/coordination/member/message.go
+++ b/coordination/member/message.go
@@ -89,8 +89,8 @@
 // ServerLeavingCmd tells the tables of a leaving backend server.
 type ServerLeavingCmd struct{ Leaving protocol.Leaving }
 
-// JoinedCmd tells the tables of a new backend server.
-type JoinedCmd struct{ Joined protocol.Joined }
+// ServerJoinedCmd tells the tables of a new backend server.
+type ServerJoinedCmd struct{ Joined protocol.Joined }
 
 // FetchCmd fetches a configuration that another instance has in force.
 type FetchCmd struct {
@@ -102,5 +102,5 @@
 func (PushCmd) cmd()          {}
 func (SyncCmd) cmd()          {}
 func (ServerLeavingCmd) cmd() {}
-func (JoinedCmd) cmd()        {}
+func (ServerJoinedCmd) cmd()  {}
 func (FetchCmd) cmd()         {}
--- a/transport/membership.go
+++ b/transport/membership.go
@@ -159,7 +159,7 @@
 		go m.sync(ctx, cmd)
 	case member.ServerLeavingCmd:
 		m.tables.Backends.MarkLeaving(cmd.Leaving)
-	case member.JoinedCmd:
+	case member.ServerJoinedCmd:
 		m.tables.Backends.Join(cmd.Joined, clock.Now())
 	case member.FetchCmd:
 		go m.fetch(cmd)
