--- a/coordination/member/member.go
+++ b/coordination/member/member.go
@@ -312,7 +312,7 @@
 	if rec.Name == s.self || rec.Revision <= s.rows[s.self].Revision || rec.State >= protocol.MemberDead {
 		return nil
 	}
-	return []Cmd{FetchCmd{Address: rec.Address, Number: rec.Revision}}
+	return []Cmd{FetchConfigCmd{Address: rec.Address, Number: rec.Revision}}
 }
 
 // push sends what is news to a few random members at once.
--- a/coordination/member/member_test.go
+++ b/coordination/member/member_test.go
@@ -81,7 +81,7 @@
 		c.told[v.self][cmd.Leaving.Server] = true
 	case ServerJoinedCmd:
 		c.told[v.self][cmd.Joined.Instance.ID] = true
-	case FetchCmd:
+	case FetchConfigCmd:
 		c.fetch[v.self] = max(c.fetch[v.self], cmd.Number)
 	}
 }
--- a/coordination/member/message.go
+++ b/coordination/member/message.go
@@ -92,8 +92,8 @@
 // ServerJoinedCmd tells the tables of a new backend server.
 type ServerJoinedCmd struct{ Joined protocol.Joined }
 
-// FetchCmd fetches a configuration that another instance has in force.
-type FetchCmd struct {
+// FetchConfigCmd fetches a configuration that another instance has in force.
+type FetchConfigCmd struct {
 	Address string
 	Number  uint64
 }
@@ -103,4 +103,4 @@
 func (SyncCmd) cmd()          {}
 func (ServerLeavingCmd) cmd() {}
 func (ServerJoinedCmd) cmd()  {}
-func (FetchCmd) cmd()         {}
+func (FetchConfigCmd) cmd()   {}
--- a/transport/membership.go
+++ b/transport/membership.go
@@ -161,7 +161,7 @@
 		m.tables.Backends.MarkLeaving(cmd.Leaving)
 	case member.ServerJoinedCmd:
 		m.tables.Backends.Join(cmd.Joined, clock.Now())
-	case member.FetchCmd:
+	case member.FetchConfigCmd:
 		go m.fetch(cmd)
 	}
 }
@@ -196,7 +196,7 @@
 	m.post(ctx, member.GossipMsg{Gossip: reply, Now: clock.Now(), Rand: rand.Uint64()})
 }
 
-func (m *Membership) fetch(cmd member.FetchCmd) {
+func (m *Membership) fetch(cmd member.FetchConfigCmd) {
 	above, _ := m.tables.Revision()
 	var reply protocol.FetchConfigReplyMsg
 	if err := m.links.Call(cmd.Address, "Config.Fetch", protocol.FetchConfigMsg{Above: above}, &reply, syncTimeout); err != nil {
