--- a/cmd/weldstreamd/control.go
+++ b/cmd/weldstreamd/control.go
@@ -210,7 +210,7 @@
 		}
 	}
 	view := member.New(member.DefaultConfig(controlSuspect), self, seeds)
-	c.membership = transport.NewMembership(c.tables, c.links, c.log, controlGossip, view, func() member.SelfMsg { return member.SelfMsg{Ready: true} })
+	c.membership = transport.NewMembership(c.tables, c.links, c.log, controlGossip, view, func() member.SetSelfMsg { return member.SetSelfMsg{Ready: true} })
 	return nil
 }
 
--- a/cmd/weldstreamd/daemon.go
+++ b/cmd/weldstreamd/daemon.go
@@ -149,8 +149,8 @@
 	return transport.ConfigReady(d.tables)()
 }
 
-func (d *daemon) describe() member.SelfMsg {
-	return member.SelfMsg{Ready: d.gateway.Ready() == nil, Leaving: d.gateway.Stopping()}
+func (d *daemon) describe() member.SetSelfMsg {
+	return member.SetSelfMsg{Ready: d.gateway.Ready() == nil, Leaving: d.gateway.Stopping()}
 }
 
 func (d *daemon) serverLeaving(l protocol.Leaving) {
--- a/coordination/member/member.go
+++ b/coordination/member/member.go
@@ -94,7 +94,7 @@
 		return s.news(m)
 	case ProbedMsg:
 		return s.probed(m)
-	case SelfMsg:
+	case SetSelfMsg:
 		return s.change(m)
 	case ServerLeavingMsg:
 		return s.serverLeaving(m)
@@ -407,7 +407,7 @@
 }
 
 // change sets what this instance says of itself.
-func (s *State) change(m SelfMsg) []Cmd {
+func (s *State) change(m SetSelfMsg) []Cmd {
 	r := s.rows[s.self]
 	next := r.Member
 	next.Ready, next.Leaving = m.Ready, m.Leaving
--- a/coordination/member/member_test.go
+++ b/coordination/member/member_test.go
@@ -214,7 +214,7 @@
 func TestRevisionIsFetched(t *testing.T) {
 	c := newCluster(t, 30, 1)
 	c.run(100)
-	c.update(c.views[3], SelfMsg{Revision: 8, Now: c.now, Rand: c.rnd.Uint64()})
+	c.update(c.views[3], SetSelfMsg{Revision: 8, Now: c.now, Rand: c.rnd.Uint64()})
 	c.run(withinTicks)
 	for _, v := range c.views {
 		if v.self != "m3" && c.fetch[v.self] != 8 {
--- a/coordination/member/message.go
+++ b/coordination/member/message.go
@@ -30,8 +30,8 @@
 	Rand  uint64
 }
 
-// SelfMsg sets what this instance says of itself.
-type SelfMsg struct {
+// SetSelfMsg sets what this instance says of itself.
+type SetSelfMsg struct {
 	Ready    bool
 	Leaving  bool
 	Left     bool
@@ -57,7 +57,7 @@
 func (TickMsg) msg()          {}
 func (GossipMsg) msg()        {}
 func (ProbedMsg) msg()        {}
-func (SelfMsg) msg()          {}
+func (SetSelfMsg) msg()       {}
 func (ServerLeavingMsg) msg() {}
 func (ServerJoinedMsg) msg()  {}
 
--- a/transport/membership.go
+++ b/transport/membership.go
@@ -32,12 +32,12 @@
 	syncs  chan chan protocol.GossipMsg
 	leave  chan leaveOrder
 	left   bool // left says that this instance takes no part any more.
-	self   func() member.SelfMsg
+	self   func() member.SetSelfMsg
 }
 
 // NewMembership returns a membership that is not running. The func self tells
 // what the instance says of itself.
-func NewMembership(t *state.Tables, l *Links, log zerolog.Logger, every time.Duration, view *member.State, self func() member.SelfMsg) *Membership {
+func NewMembership(t *state.Tables, l *Links, log zerolog.Logger, every time.Duration, view *member.State, self func() member.SetSelfMsg) *Membership {
 	return &Membership{
 		tables: t,
 		links:  l,
@@ -74,7 +74,7 @@
 	}
 }
 
-func (m *Membership) describe() member.SelfMsg {
+func (m *Membership) describe() member.SetSelfMsg {
 	msg := m.self()
 	msg.Now, msg.Rand = clock.Now(), rand.Uint64()
 	msg.Revision, msg.Digest = m.tables.Revision()
@@ -132,7 +132,7 @@
 
 // leaveOrder asks the loop to spread that this instance has left.
 type leaveOrder struct {
-	msg  member.SelfMsg
+	msg  member.SetSelfMsg
 	done chan struct{}
 }
 
