--- a/coordination/member/member.go
+++ b/coordination/member/member.go
@@ -1,19 +1,18 @@
 // Package member keeps an instance's view of the cluster.
 //
-// It works as SWIM does. At each tick an instance probes one other, in a
-// random order that reaches all of them in turn; if that one does not answer,
-// a few others are asked to probe it; if none succeeds it is suspected, and
-// after a while held dead unless it refutes this by raising its version. So the
-// load on an instance does not grow with the cluster.
+// It implements the SWIM protocol. At each tick an instance probes one other member; the
+// members are probed round-robin in a random order. If the probed member does not answer,
+// a few others are asked to probe it. If none of them reaches it, it is suspected, and
+// declared dead after a timeout unless it refutes the suspicion by raising its version.
+// So the load on an instance does not grow with the cluster.
 //
-// What changed (a member's record, a backend server that leaves) spreads in two
-// ways: at once, when it is learned, to a few random members, who pass on what
-// is news to them; and with the probes. A full synchronization with one random
-// member now and then mends what both have missed.
+// Updates (a member's record, a backend server that is leaving or new) spread by gossip
+// in two ways: an instance that learns of one pushes it to a few random members at once,
+// and updates are piggybacked on probes. A periodic full synchronization with one random
+// member repairs what either side has missed.
 //
-// [State.Update] is deterministic: time and randomness come with the messages.
-// It owns its state, and what it returns are commands for the layer with the
-// sockets.
+// [State.Update] is deterministic: time and randomness come with the messages. A State
+// does no I/O; it returns commands for the network layer.
 package member
 
 import (
@@ -28,47 +27,47 @@
 
 // Config tunes the membership.
 type Config struct {
-	Fanout    int           // Fanout is how many members get news at once.
-	Indirect  int           // Indirect is how many members probe a silent one.
-	Suspect   time.Duration // Suspect is how long a suspicion stands before death.
-	SyncEvery int           // SyncEvery is the least number of ticks between synchronizations.
-	Forget    time.Duration // Forget is when the record of a dead member is dropped.
+	Fanout         int           // Fanout is the number of members to which updates are pushed at once.
+	Indirect       int           // Indirect is the number of members asked to probe one that did not answer.
+	SuspectTimeout time.Duration // SuspectTimeout is the time after which a suspected member is declared dead.
+	SyncEvery      int           // SyncEvery is the minimum number of ticks between full synchronizations.
+	DeadRetention  time.Duration // DeadRetention is how long the record of a dead member is kept.
 }
 
 // DefaultConfig returns the settings for ticks of 200 ms.
 func DefaultConfig(suspect time.Duration) Config {
-	return Config{Fanout: 3, Indirect: 2, Suspect: suspect, SyncEvery: 25, Forget: time.Hour}
+	return Config{Fanout: 3, Indirect: 2, SuspectTimeout: suspect, SyncEvery: 25, DeadRetention: time.Hour}
 }
 
-// row is a member with what only this instance knows of it.
+// row is a member's record with the state that is local to this instance.
 type row struct {
 	protocol.Member
-	since time.Time
-	sends int // sends is how often the record is still passed on.
+	since     time.Time
+	sendsLeft int // sendsLeft is how many more times the record is passed on.
 }
 
-// leavingRow is a leaving mark with the number of sends left.
+// leavingRow is the record of a leaving server with the number of sends left.
 type leavingRow struct {
 	protocol.Leaving
-	sends int
+	sendsLeft int
 }
 
 // joinedRow is the record of a new server with the number of sends left.
 type joinedRow struct {
 	protocol.Joined
-	sends int
+	sendsLeft int
 }
 
 // State is one instance's view of the cluster.
 type State struct {
-	cfg     Config
-	self    string
-	seeds   []protocol.Member // seeds are addresses to meet while nobody is known.
-	rows    map[string]*row
-	leaving map[string]*leavingRow
-	joined  map[string]*joinedRow
-	order   []string // order are the members still to be probed in this round.
-	ticks   int
+	cfg        Config
+	self       string
+	seeds      []protocol.Member // seeds are contacted while no other member is known.
+	rows       map[string]*row
+	leaving    map[string]*leavingRow
+	joined     map[string]*joinedRow
+	probeOrder []string // probeOrder are the members not yet probed in this round.
+	ticks      int
 }
 
 // New returns the view of an instance that knows only itself and the seeds.
@@ -85,17 +84,17 @@
 	return s
 }
 
-// Update applies a message and returns what to do.
+// Update applies a message and returns the commands to execute.
 func (s *State) Update(m Msg) []Cmd {
 	switch m := m.(type) {
 	case TickMsg:
 		return s.tick(m)
 	case GossipMsg:
-		return s.news(m)
+		return s.receive(m)
 	case ProbedMsg:
-		return s.probed(m)
+		return s.probeDone(m)
 	case SetSelfMsg:
-		return s.change(m)
+		return s.setSelf(m)
 	case ServerLeavingMsg:
 		return s.serverLeaving(m)
 	case ServerJoinedMsg:
@@ -115,23 +114,24 @@
 	return cmds
 }
 
-// syncEvery is the number of ticks between synchronizations. Their size grows
-// with the members, so they come the more seldom the more there are.
+// syncEvery returns the number of ticks between full synchronizations. Their size grows
+// with the number of members, so the interval does too.
 func (s *State) syncEvery() int { return max(s.cfg.SyncEvery, len(s.rows)) }
 
-// expire holds suspects dead, and forgets the dead, in their time.
+// expire declares suspects dead after the suspect timeout, and drops the records of dead
+// members and of leaving and new servers after their retention.
 func (s *State) expire(now time.Time) {
 	for name, r := range s.rows {
 		age := now.Sub(r.since)
 		switch {
-		case r.State == protocol.MemberSuspect && age >= s.cfg.Suspect:
-			s.set(r, withState(r.Member, protocol.MemberDead), now)
-		case r.State >= protocol.MemberDead && age >= s.cfg.Forget:
+		case r.State == protocol.MemberSuspect && age >= s.cfg.SuspectTimeout:
+			s.store(r, withState(r.Member, protocol.MemberDead), now)
+		case r.State >= protocol.MemberDead && age >= s.cfg.DeadRetention:
 			delete(s.rows, name)
 		}
 	}
 	for server, l := range s.leaving {
-		if expired(l.Leaving, now) {
+		if leavingExpired(l.Leaving, now) {
 			delete(s.leaving, server)
 		}
 	}
@@ -142,9 +142,10 @@
 	}
 }
 
-// expired reports whether a leaving record is to be dropped. It goes by the
-// time of its origin, so that a copy from another instance does not revive it.
-func expired(l protocol.Leaving, now time.Time) bool {
+// leavingExpired reports whether the retention of a leaving record is over. It counts from
+// the time at which the record was created, so that a copy from another instance does not
+// extend it.
+func leavingExpired(l protocol.Leaving, now time.Time) bool {
 	return now.Sub(l.Seen) > protocol.LeavingRetention
 }
 
@@ -153,14 +154,14 @@
 	return m
 }
 
-// set stores a record and gives it its number of sends.
-func (s *State) set(r *row, m protocol.Member, now time.Time) {
-	r.Member, r.since, r.sends = m, now, s.sends()
+// store stores a record and schedules it to be passed on.
+func (s *State) store(r *row, m protocol.Member, now time.Time) {
+	r.Member, r.since, r.sendsLeft = m, now, s.maxSends()
 }
 
-// sends is how often a record is passed on by one instance: enough to reach
-// all with a wide margin, growing with the logarithm of their number.
-func (s *State) sends() int {
+// maxSends returns how many times one instance passes a record on. It grows with the
+// logarithm of the number of members, which reaches all of them with a wide margin.
+func (s *State) maxSends() int {
 	n := 3
 	for size := len(s.rows); size > 0; size >>= 1 {
 		n++
@@ -168,27 +169,27 @@
 	return n
 }
 
-// probe picks the next member of the round.
+// probe probes the next member of the round, and starts a new round after the last one.
 func (s *State) probe(rnd *rand.Rand) []Cmd {
-	for range len(s.order) + 1 {
-		if len(s.order) == 0 {
-			s.order = s.reachable()
-			rnd.Shuffle(len(s.order), func(i, j int) { s.order[i], s.order[j] = s.order[j], s.order[i] })
+	for range len(s.probeOrder) + 1 {
+		if len(s.probeOrder) == 0 {
+			s.probeOrder = s.reachable()
+			rnd.Shuffle(len(s.probeOrder), func(i, j int) { s.probeOrder[i], s.probeOrder[j] = s.probeOrder[j], s.probeOrder[i] })
 		}
-		if len(s.order) == 0 {
-			return s.meet()
+		if len(s.probeOrder) == 0 {
+			return s.contactSeeds()
 		}
-		name := s.order[0]
-		s.order = s.order[1:]
+		name := s.probeOrder[0]
+		s.probeOrder = s.probeOrder[1:]
 		if r := s.rows[name]; r != nil && r.State < protocol.MemberDead {
-			return []Cmd{ProbeCmd{Name: name, Address: r.Address, Gossip: s.pending(), Via: s.via(name, rnd)}}
+			return []Cmd{ProbeCmd{Name: name, Address: r.Address, Gossip: s.pending(), Via: s.indirectProbers(name, rnd)}}
 		}
 	}
 	return nil
 }
 
-// meet greets the seeds while nobody is known.
-func (s *State) meet() []Cmd {
+// contactSeeds synchronizes with all seeds, while no other member is known.
+func (s *State) contactSeeds() []Cmd {
 	var cmds []Cmd
 	for _, seed := range s.seeds {
 		if seed.Name != s.self {
@@ -198,10 +199,10 @@
 	return cmds
 }
 
-// via returns the addresses of members that may probe another one.
-func (s *State) via(target string, rnd *rand.Rand) []string {
+// indirectProbers returns the addresses of members that can probe the target for this one.
+func (s *State) indirectProbers(target string, rnd *rand.Rand) []string {
 	var addresses []string
-	for _, name := range s.pick(s.cfg.Indirect+1, rnd) {
+	for _, name := range s.pickRandom(s.cfg.Indirect+1, rnd) {
 		if name != target && len(addresses) < s.cfg.Indirect {
 			addresses = append(addresses, s.rows[name].Address)
 		}
@@ -209,11 +210,12 @@
 	return addresses
 }
 
-// sync exchanges everything with one random member and with one seed, since
-// two halves that hold each other dead would otherwise never meet again.
+// sync synchronizes with one random member, and with one random seed if that is not known
+// to be alive: after a network partition, in which each side declared the other dead, the
+// sides would otherwise never reconnect.
 func (s *State) sync(rnd *rand.Rand) []Cmd {
 	var cmds []Cmd
-	for _, name := range s.pick(1, rnd) {
+	for _, name := range s.pickRandom(1, rnd) {
 		cmds = append(cmds, SyncCmd{Address: s.rows[name].Address, Gossip: s.full()})
 	}
 	if len(s.seeds) > 0 {
@@ -225,7 +227,7 @@
 	return cmds
 }
 
-// reachable returns the other members that are not held dead, by name.
+// reachable returns the names of the other members that are alive or suspected, sorted.
 func (s *State) reachable() []string {
 	var names []string
 	for name, r := range s.rows {
@@ -237,44 +239,45 @@
 	return names
 }
 
-func (s *State) pick(n int, rnd *rand.Rand) []string {
+// pickRandom returns up to n reachable members at random.
+func (s *State) pickRandom(n int, rnd *rand.Rand) []string {
 	names := s.reachable()
 	rnd.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	return names[:min(n, len(names))]
 }
 
-// news takes in records from another instance.
-func (s *State) news(m GossipMsg) []Cmd {
+// receive merges the records of another instance.
+func (s *State) receive(m GossipMsg) []Cmd {
 	var cmds []Cmd
-	fresh := false
+	changed := false
 	for _, rec := range m.Gossip.Members {
 		if s.merge(rec, m.Now) {
-			fresh = true
-			cmds = append(cmds, s.revision(rec)...)
+			changed = true
+			cmds = append(cmds, s.fetchNewer(rec)...)
 		}
 	}
 	for _, l := range m.Gossip.Leaving {
-		if _, ok := s.leaving[l.Server]; !ok && !expired(l, m.Now) {
-			s.leaving[l.Server] = &leavingRow{Leaving: l, sends: s.sends()}
-			fresh = true
+		if _, ok := s.leaving[l.Server]; !ok && !leavingExpired(l, m.Now) {
+			s.leaving[l.Server] = &leavingRow{Leaving: l, sendsLeft: s.maxSends()}
+			changed = true
 			cmds = append(cmds, ServerLeavingCmd{Leaving: l})
 		}
 	}
 	for _, j := range m.Gossip.Joined {
 		if _, ok := s.joined[j.Instance.ID]; !ok && m.Now.Sub(j.Seen) <= protocol.JoinedRetention {
-			s.joined[j.Instance.ID] = &joinedRow{Joined: j, sends: s.sends()}
-			fresh = true
+			s.joined[j.Instance.ID] = &joinedRow{Joined: j, sendsLeft: s.maxSends()}
+			changed = true
 			cmds = append(cmds, ServerJoinedCmd{Joined: j})
 		}
 	}
-	if fresh && !m.Gossip.Full {
+	if changed && !m.Gossip.Full {
 		cmds = append(cmds, s.push(m.Rand)...)
 	}
 	return cmds
 }
 
-// merge takes in one record and reports whether it was news. A record that
-// says of this instance what is not so is refuted.
+// merge merges one member record and reports whether it changed this instance's view. A
+// newer record of this instance itself is refuted.
 func (s *State) merge(rec protocol.Member, now time.Time) bool {
 	r := s.rows[rec.Name]
 	if r == nil {
@@ -283,7 +286,7 @@
 		}
 		r = &row{}
 		s.rows[rec.Name] = r
-		s.set(r, rec, now)
+		s.store(r, rec, now)
 		return true
 	}
 	if !rec.Newer(r.Member) {
@@ -292,34 +295,34 @@
 	if rec.Name == s.self {
 		return s.refute(r, rec, now)
 	}
-	s.set(r, rec, now)
+	s.store(r, rec, now)
 	return true
 }
 
-// refute raises this instance's version above a record that others hold of it.
+// refute raises this instance's version above that of a record of it from elsewhere.
 func (s *State) refute(r *row, rec protocol.Member, now time.Time) bool {
 	if rec.Incarnation > r.Incarnation {
-		return false // Another process uses this name; see the operators' page.
+		return false // Another process with the same name; see the operators' page.
 	}
 	own := r.Member
 	own.Version = rec.Version + 1
-	s.set(r, own, now)
+	s.store(r, own, now)
 	return true
 }
 
-// revision asks for a configuration that another instance has in force.
-func (s *State) revision(rec protocol.Member) []Cmd {
+// fetchNewer fetches the configuration of another instance if it is newer.
+func (s *State) fetchNewer(rec protocol.Member) []Cmd {
 	if rec.Name == s.self || rec.Revision <= s.rows[s.self].Revision || rec.State >= protocol.MemberDead {
 		return nil
 	}
 	return []Cmd{FetchConfigCmd{Address: rec.Address, Number: rec.Revision}}
 }
 
-// push sends what is news to a few random members at once.
+// push sends the pending records to a few random members.
 func (s *State) push(seed uint64) []Cmd {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	var cmds []Cmd
-	for _, name := range s.pick(s.cfg.Fanout, rnd) {
+	for _, name := range s.pickRandom(s.cfg.Fanout, rnd) {
 		if n := s.pending(); len(n.Members)+len(n.Leaving)+len(n.Joined) > 0 {
 			cmds = append(cmds, PushCmd{Address: s.rows[name].Address, Gossip: n})
 		}
@@ -327,49 +330,48 @@
 	return cmds
 }
 
-// pending returns the records that are still to be passed on, and counts one
-// send of each.
+// pending returns the records with sends left, and uses up one send of each.
 func (s *State) pending() protocol.GossipMsg {
 	n := protocol.GossipMsg{From: s.self}
-	for _, name := range s.names() {
-		if r := s.rows[name]; r.sends > 0 {
-			r.sends--
+	for _, name := range s.sortedNames() {
+		if r := s.rows[name]; r.sendsLeft > 0 {
+			r.sendsLeft--
 			n.Members = append(n.Members, r.Member)
 		}
 	}
-	for _, l := range s.marks() {
-		if l.sends > 0 {
-			l.sends--
+	for _, l := range s.sortedLeaving() {
+		if l.sendsLeft > 0 {
+			l.sendsLeft--
 			n.Leaving = append(n.Leaving, l.Leaving)
 		}
 	}
-	for _, j := range s.newcomers() {
-		if j.sends > 0 {
-			j.sends--
+	for _, j := range s.sortedJoined() {
+		if j.sendsLeft > 0 {
+			j.sendsLeft--
 			n.Joined = append(n.Joined, j.Joined)
 		}
 	}
 	return n
 }
 
-// Full returns all records, as a synchronization carries them.
+// Full returns all records, as sent in a full synchronization.
 func (s *State) Full() protocol.GossipMsg { return s.full() }
 
 func (s *State) full() protocol.GossipMsg {
 	n := protocol.GossipMsg{From: s.self, Full: true}
-	for _, name := range s.names() {
+	for _, name := range s.sortedNames() {
 		n.Members = append(n.Members, s.rows[name].Member)
 	}
-	for _, l := range s.marks() {
+	for _, l := range s.sortedLeaving() {
 		n.Leaving = append(n.Leaving, l.Leaving)
 	}
-	for _, j := range s.newcomers() {
+	for _, j := range s.sortedJoined() {
 		n.Joined = append(n.Joined, j.Joined)
 	}
 	return n
 }
 
-func (s *State) names() []string {
+func (s *State) sortedNames() []string {
 	names := make([]string, 0, len(s.rows))
 	for name := range s.rows {
 		names = append(names, name)
@@ -378,16 +380,16 @@
 	return names
 }
 
-func (s *State) marks() []*leavingRow {
-	marks := make([]*leavingRow, 0, len(s.leaving))
+func (s *State) sortedLeaving() []*leavingRow {
+	rows := make([]*leavingRow, 0, len(s.leaving))
 	for _, l := range s.leaving {
-		marks = append(marks, l)
+		rows = append(rows, l)
 	}
-	slices.SortFunc(marks, func(a, b *leavingRow) int { return strings.Compare(a.Server, b.Server) })
-	return marks
+	slices.SortFunc(rows, func(a, b *leavingRow) int { return strings.Compare(a.Server, b.Server) })
+	return rows
 }
 
-func (s *State) newcomers() []*joinedRow {
+func (s *State) sortedJoined() []*joinedRow {
 	rows := make([]*joinedRow, 0, len(s.joined))
 	for _, j := range s.joined {
 		rows = append(rows, j)
@@ -396,18 +398,18 @@
 	return rows
 }
 
-// probed suspects a member that neither this instance nor others reached.
-func (s *State) probed(m ProbedMsg) []Cmd {
+// probeDone suspects a member that could be reached neither directly nor by others.
+func (s *State) probeDone(m ProbedMsg) []Cmd {
 	r := s.rows[m.Name]
 	if m.Alive || r == nil || r.State != protocol.MemberAlive {
 		return nil
 	}
-	s.set(r, withState(r.Member, protocol.MemberSuspect), m.Now)
+	s.store(r, withState(r.Member, protocol.MemberSuspect), m.Now)
 	return s.push(m.Rand)
 }
 
-// change sets what this instance says of itself.
-func (s *State) change(m SetSelfMsg) []Cmd {
+// setSelf updates this instance's own record, and pushes it if it changed.
+func (s *State) setSelf(m SetSelfMsg) []Cmd {
 	r := s.rows[s.self]
 	next := r.Member
 	next.Ready, next.Leaving = m.Ready, m.Leaving
@@ -419,7 +421,7 @@
 		return nil
 	}
 	next.Version++
-	s.set(r, next, m.Now)
+	s.store(r, next, m.Now)
 	return s.push(m.Rand)
 }
 
@@ -427,7 +429,7 @@
 	if _, ok := s.leaving[m.Leaving.Server]; ok {
 		return nil
 	}
-	s.leaving[m.Leaving.Server] = &leavingRow{Leaving: m.Leaving, sends: s.sends()}
+	s.leaving[m.Leaving.Server] = &leavingRow{Leaving: m.Leaving, sendsLeft: s.maxSends()}
 	return append([]Cmd{ServerLeavingCmd{Leaving: m.Leaving}}, s.push(m.Rand)...)
 }
 
@@ -435,14 +437,14 @@
 	if _, ok := s.joined[m.Joined.Instance.ID]; ok {
 		return nil
 	}
-	s.joined[m.Joined.Instance.ID] = &joinedRow{Joined: m.Joined, sends: s.sends()}
+	s.joined[m.Joined.Instance.ID] = &joinedRow{Joined: m.Joined, sendsLeft: s.maxSends()}
 	return s.push(m.Rand)
 }
 
-// Rows returns the view as a table, by name.
+// Rows returns the records of all members, sorted by name.
 func (s *State) Rows() []state.MemberRow {
 	rows := make([]state.MemberRow, 0, len(s.rows))
-	for _, name := range s.names() {
+	for _, name := range s.sortedNames() {
 		rows = append(rows, state.MemberRow{Member: s.rows[name].Member, Since: s.rows[name].since})
 	}
 	return rows
--- a/coordination/member/message.go
+++ b/coordination/member/message.go
@@ -9,13 +9,13 @@
 // Msg is a message to [State.Update].
 type Msg interface{ msg() }
 
-// TickMsg is the passing of time.
+// TickMsg is sent at each tick.
 type TickMsg struct {
 	Now  time.Time
-	Rand uint64 // Rand is fresh randomness.
+	Rand uint64 // Rand is a new random seed.
 }
 
-// GossipMsg is what another instance sent.
+// GossipMsg holds records received from another instance.
 type GossipMsg struct {
 	Gossip protocol.GossipMsg
 	Now    time.Time
@@ -30,7 +30,7 @@
 	Rand  uint64
 }
 
-// SetSelfMsg sets what this instance says of itself.
+// SetSelfMsg sets this instance's own record.
 type SetSelfMsg struct {
 	Ready    bool
 	Leaving  bool
@@ -41,14 +41,14 @@
 	Rand     uint64
 }
 
-// ServerLeavingMsg tells that this instance learned of a leaving backend server.
+// ServerLeavingMsg reports a leaving backend server that this instance learned of itself.
 type ServerLeavingMsg struct {
 	Leaving protocol.Leaving
 	Rand    uint64
 }
 
-// ServerJoinedMsg tells that this instance found a new backend server in the
-// platform's list.
+// ServerJoinedMsg reports a new backend server that this instance found in the platform's
+// list.
 type ServerJoinedMsg struct {
 	Joined protocol.Joined
 	Rand   uint64
@@ -64,8 +64,8 @@
 // Cmd is a command from [State.Update].
 type Cmd interface{ cmd() }
 
-// ProbeCmd probes a member, with news; if it is silent, by way of others. The
-// outcome comes back as a [ProbedMsg].
+// ProbeCmd probes a member and sends gossip with the probe. If the member does not answer,
+// it is probed through the members in Via. The outcome is returned as a [ProbedMsg].
 type ProbeCmd struct {
 	Name    string
 	Address string
@@ -73,26 +73,26 @@
 	Via     []string
 }
 
-// PushCmd sends news and awaits nothing.
+// PushCmd sends gossip without waiting for a reply.
 type PushCmd struct {
 	Address string
 	Gossip  protocol.GossipMsg
 }
 
-// SyncCmd sends all records; the answer, all of the other's, comes back as a
-// [GossipMsg].
+// SyncCmd sends all records. The reply, all records of the other instance, is returned as
+// a [GossipMsg].
 type SyncCmd struct {
 	Address string
 	Gossip  protocol.GossipMsg
 }
 
-// ServerLeavingCmd tells the tables of a leaving backend server.
+// ServerLeavingCmd records a leaving backend server in the tables.
 type ServerLeavingCmd struct{ Leaving protocol.Leaving }
 
-// ServerJoinedCmd tells the tables of a new backend server.
+// ServerJoinedCmd records a new backend server in the tables.
 type ServerJoinedCmd struct{ Joined protocol.Joined }
 
-// FetchConfigCmd fetches a configuration that another instance has in force.
+// FetchConfigCmd fetches a configuration from an instance that has it in force.
 type FetchConfigCmd struct {
 	Address string
 	Number  uint64
--- a/coordination/member/rendezvous.go
+++ b/coordination/member/rendezvous.go
@@ -10,9 +10,9 @@
 	"github.com/weldstream/weldstream/state"
 )
 
-// Rendezvous returns up to n live members for a key, best first, without the
-// one with the name self. Instances that see the same members choose the same
-// ones without asking each other; a member that goes moves only its own keys.
+// Rendezvous returns up to n live members for a key by rendezvous hashing, highest score
+// first, without the one with the name self. Instances with the same view choose the same
+// members without coordination, and only the keys of a removed member move.
 func Rendezvous(rows []state.MemberRow, key, self string, n int) []state.MemberRow {
 	var live []state.MemberRow
 	for _, row := range rows {
