--- a/coordination/link/link.go
+++ b/coordination/link/link.go
@@ -5,7 +5,7 @@
 // its own region, which is the leader or a relay that passes its questions on. What
 // crosses between regions then grows with the control instances, not with the gateways.
 // One that fails is passed over for a while. Without one in the region, or without
-// several regions, [Links.Choose] names none, and the gateway asks the leader.
+// several regions, [Selector.Choose] names none, and the gateway asks the leader.
 //
 // In one region the gateways ask the leader while there are no more of them than one
 // instance answers at the usual pace. Beyond that they are shared out over the control
@@ -53,8 +53,8 @@
 	shareUntil = ShareFrom * 3 / 4
 )
 
-// Links are the control instances as one gateway knows them.
-type Links struct {
+// Selector are the control instances as one gateway knows them.
+type Selector struct {
 	topology *topology.Topology
 	domain   string
 	gateway  string
@@ -75,16 +75,16 @@
 }
 
 // New returns links of which nothing is known, for a gateway in a failure domain.
-func New(t *topology.Topology, domain, gateway string) *Links {
-	return &Links{topology: t, domain: domain, gateway: gateway, failures: map[string]failure{}}
+func New(t *topology.Topology, domain, gateway string) *Selector {
+	return &Selector{topology: t, domain: domain, gateway: gateway, failures: map[string]failure{}}
 }
 
 // Near reports whether instances of the own region are asked at all: only where there
 // are several regions, or many gateways. Choose names none otherwise.
-func (l *Links) Near() bool { return l != nil && (l.shared || l.topology.Several()) }
+func (l *Selector) Near() bool { return l != nil && (l.shared || l.topology.Several()) }
 
 // SetGateways notes how many gateways there are.
-func (l *Links) SetGateways(n int) {
+func (l *Selector) SetGateways(n int) {
 	switch {
 	case l == nil:
 	case n > ShareFrom:
@@ -96,7 +96,7 @@
 
 // Share is how many of some gateways one instance answers. Where there are several regions
 // it is all of them: their questions cross to the leader's, however they are parted.
-func (l *Links) Share(gateways int) int {
+func (l *Selector) Share(gateways int) int {
 	if !l.Near() || l.topology.Several() {
 		return gateways
 	}
@@ -105,7 +105,7 @@
 }
 
 // Learn takes the addresses of all control instances and their domains, in one order.
-func (l *Links) Learn(addresses, domains []string) {
+func (l *Selector) Learn(addresses, domains []string) {
 	if l == nil || len(addresses) != len(domains) {
 		return // An instance that does not tell domains.
 	}
@@ -117,7 +117,7 @@
 
 // Failed notes that an instance did not answer in time (silent), or said that it cannot
 // answer. It is passed over for a backoff.
-func (l *Links) Failed(address string, silent bool, now time.Time) {
+func (l *Selector) Failed(address string, silent bool, now time.Time) {
 	if !l.Near() {
 		return
 	}
@@ -132,7 +132,7 @@
 }
 
 // Answered notes that an instance answered.
-func (l *Links) Answered(address string) {
+func (l *Selector) Answered(address string) {
 	if l.Near() {
 		delete(l.failures, address)
 	}
@@ -140,7 +140,7 @@
 
 // Choose returns the address of the instance to ask; empty if there is none in the own
 // region that has not failed lately. The leader's address is empty while it is unknown.
-func (l *Links) Choose(leader string, now time.Time) string {
+func (l *Selector) Choose(leader string, now time.Time) string {
 	if !l.Near() {
 		return ""
 	}
@@ -163,7 +163,7 @@
 }
 
 // inRegion reports whether an instance is of the own region. One region needs no names.
-func (l *Links) inRegion(c control) bool {
+func (l *Selector) inRegion(c control) bool {
 	if !l.topology.Several() {
 		return true
 	}
@@ -172,7 +172,7 @@
 }
 
 // rank is lower for an instance that is asked first.
-func (l *Links) rank(c control, leader string) int {
+func (l *Selector) rank(c control, leader string) int {
 	switch {
 	case c.address == leader && !l.topology.Several():
 		return 3
@@ -186,4 +186,4 @@
 
 // draw is a hash (rendezvous hashing) that spreads the gateways evenly over instances of
 // the same rank.
-func (l *Links) draw(c control) uint64 { return xxhash.Sum64String(l.gateway + " " + c.address) }
+func (l *Selector) draw(c control) uint64 { return xxhash.Sum64String(l.gateway + " " + c.address) }
--- a/coordination/link/link_test.go
+++ b/coordination/link/link_test.go
@@ -16,7 +16,7 @@
 var start = time.Unix(1000, 0)
 
 // controls are one in each domain but c1, named by it, and a second one in b2.
-func controls(l *Links) {
+func controls(l *Selector) {
 	l.Learn([]string{"at-a1", "at-a2", "at-b1", "at-b2", "at-b2-2"}, []string{"a1", "a2", "b1", "b2", "b2"})
 }
 
@@ -50,7 +50,7 @@
 	if got := one.Choose("at-a1", start); got != "" {
 		t.Errorf("with one region it asks %q by itself", got)
 	}
-	var none *Links
+	var none *Selector
 	if none.Choose("at-a1", start) != "" || none.Near() {
 		t.Error("without links something is chosen")
 	}
--- a/transport/uplink/uplink.go
+++ b/transport/uplink/uplink.go
@@ -128,8 +128,8 @@
 	leaderAddr string          // leaderAddr is the leader itself, also where the target is a relay.
 	asking     map[string]bool // asking are the instances that a question for the leader is under way to.
 	controls   []string
-	links      *link.Links // links choose an instance of the own region; nil where only the leader is asked.
-	found      chan named  // found receives whom they name.
+	links      *link.Selector // links choose an instance of the own region; nil where only the leader is asked.
+	found      chan named     // found receives whom they name.
 
 	// The own of the loop on limits.
 	passed     map[string]protocol.SharedLimitsVersion // passed are the marks of what control instances passed on, by address.
