--- a/coordination/link/link.go
+++ b/coordination/link/link.go
@@ -79,9 +79,9 @@
 	return &Selector{topology: t, domain: domain, gateway: gateway, failures: map[string]failure{}}
 }
 
-// Near reports whether instances of the own region are asked at all: only where there
+// Enabled reports whether instances of the own region are asked at all: only where there
 // are several regions, or many gateways. Choose names none otherwise.
-func (l *Selector) Near() bool { return l != nil && (l.shared || l.topology.Several()) }
+func (l *Selector) Enabled() bool { return l != nil && (l.shared || l.topology.Several()) }
 
 // SetGateways notes how many gateways there are.
 func (l *Selector) SetGateways(n int) {
@@ -97,7 +97,7 @@
 // Share is how many of some gateways one instance answers. Where there are several regions
 // it is all of them: their questions cross to the leader's, however they are parted.
 func (l *Selector) Share(gateways int) int {
-	if !l.Near() || l.topology.Several() {
+	if !l.Enabled() || l.topology.Several() {
 		return gateways
 	}
 	relays := max(1, len(l.controls)-1)
@@ -118,7 +118,7 @@
 // Failed notes that an instance did not answer in time (silent), or said that it cannot
 // answer. It is passed over for a backoff.
 func (l *Selector) Failed(address string, silent bool, now time.Time) {
-	if !l.Near() {
+	if !l.Enabled() {
 		return
 	}
 	f := l.failures[address]
@@ -133,7 +133,7 @@
 
 // Answered notes that an instance answered.
 func (l *Selector) Answered(address string) {
-	if l.Near() {
+	if l.Enabled() {
 		delete(l.failures, address)
 	}
 }
@@ -141,7 +141,7 @@
 // Choose returns the address of the instance to ask; empty if there is none in the own
 // region that has not failed lately. The leader's address is empty while it is unknown.
 func (l *Selector) Choose(leader string, now time.Time) string {
-	if !l.Near() {
+	if !l.Enabled() {
 		return ""
 	}
 	var near []control
--- a/coordination/link/link_test.go
+++ b/coordination/link/link_test.go
@@ -51,7 +51,7 @@
 		t.Errorf("with one region it asks %q by itself", got)
 	}
 	var none *Selector
-	if none.Choose("at-a1", start) != "" || none.Near() {
+	if none.Choose("at-a1", start) != "" || none.Enabled() {
 		t.Error("without links something is chosen")
 	}
 }
@@ -197,15 +197,15 @@
 	changes, before := 0, false
 	for n := range 200 {
 		l.SetGateways(ShareFrom - 10 + n%20)
-		if l.Near() != before {
-			changes, before = changes+1, l.Near()
+		if l.Enabled() != before {
+			changes, before = changes+1, l.Enabled()
 		}
 	}
 	if changes > 1 {
 		t.Errorf("changed %d times", changes)
 	}
 	l.SetGateways(shareUntil - 1)
-	if l.Near() {
+	if l.Enabled() {
 		t.Error("a fleet that shrank is still shared out")
 	}
 }
--- a/transport/uplink/share.go
+++ b/transport/uplink/share.go
@@ -46,7 +46,7 @@
 func (c *Client) nears() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.links.Near()
+	return c.links.Enabled()
 }
 
 // askEvery is the time between two questions of each of some gateways.
