--- a/coordination/link/link.go
+++ b/coordination/link/link.go
@@ -94,9 +94,9 @@
 	}
 }
 
-// Share is how many of some gateways one instance answers. Where there are several regions
+// GatewaysPerInstance is how many of some gateways one instance answers. Where there are several regions
 // it is all of them: their questions cross to the leader's, however they are parted.
-func (l *Selector) Share(gateways int) int {
+func (l *Selector) GatewaysPerInstance(gateways int) int {
 	if !l.Enabled() || l.topology.Several() {
 		return gateways
 	}
--- a/coordination/link/link_test.go
+++ b/coordination/link/link_test.go
@@ -170,7 +170,7 @@
 			l.Failed("at-d0-0", true, start)
 			l.Failed("at-d1-1", true, start)
 			counts[l.Choose(leader, start)]++
-			if share := l.Share(gateways); gateways > ShareFrom && share != (gateways+8)/9 || gateways <= ShareFrom && share != gateways {
+			if share := l.GatewaysPerInstance(gateways); gateways > ShareFrom && share != (gateways+8)/9 || gateways <= ShareFrom && share != gateways {
 				t.Fatalf("%d gateways: the share of an instance is %d", gateways, share)
 			}
 		}
--- a/transport/control/size_test.go
+++ b/transport/control/size_test.go
@@ -136,7 +136,7 @@
 		if near := l.Choose(at.controls[0], clock.Now()); w == byRelays {
 			g.relay = s.relays[near]
 		}
-		s.share = l.Share(gateways)
+		s.share = l.GatewaysPerInstance(gateways)
 		s.gateways = append(s.gateways, g)
 	}
 	for range sizeBegun {
--- a/transport/uplink/share.go
+++ b/transport/uplink/share.go
@@ -6,7 +6,7 @@
 func (c *Client) askEvery() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return askEvery(c.links.Share(c.gateways))
+	return askEvery(c.links.GatewaysPerInstance(c.gateways))
 }
 
 // failedPause is the time between two questions behind some that failed in a row. Relays
