--- a/coordination/link/link.go
+++ b/coordination/link/link.go
@@ -104,8 +104,8 @@
 	return (gateways + relays - 1) / relays
 }
 
-// Learn takes the addresses of all control instances and their domains, in one order.
-func (l *Selector) Learn(addresses, domains []string) {
+// SetControls takes the addresses of all control instances and their domains, in one order.
+func (l *Selector) SetControls(addresses, domains []string) {
 	if l == nil || len(addresses) != len(domains) {
 		return // An instance that does not tell domains.
 	}
--- a/coordination/link/link_test.go
+++ b/coordination/link/link_test.go
@@ -17,7 +17,7 @@
 
 // controls are one in each domain but c1, named by it, and a second one in b2.
 func controls(l *Selector) {
-	l.Learn([]string{"at-a1", "at-a2", "at-b1", "at-b2", "at-b2-2"}, []string{"a1", "a2", "b1", "b2", "b2"})
+	l.SetControls([]string{"at-a1", "at-a2", "at-b1", "at-b2", "at-b2-2"}, []string{"a1", "a2", "b1", "b2", "b2"})
 }
 
 // TestChoice checks whom a gateway asks: its own domain's instance, its region's
@@ -165,7 +165,7 @@
 		counts := map[string]int{}
 		for i := range gateways {
 			l := New(topology.New(nil), fmt.Sprint("d", i%6), fmt.Sprint("edge-", i)) // One domain has no control instance.
-			l.Learn(addresses, domains)
+			l.SetControls(addresses, domains)
 			l.SetGateways(gateways)
 			l.Failed("at-d0-0", true, start)
 			l.Failed("at-d1-1", true, start)
--- a/transport/control/size_test.go
+++ b/transport/control/size_test.go
@@ -131,7 +131,7 @@
 		g := &sizeGateway{running: map[string]int{}}
 		g.m = protocol.SyncMsg{Gateway: fmt.Sprintf("edge-%s-%d", s.domains[i%6], i), Life: rand.Uint64(), Domain: s.domains[i%6], Relayed: w == byRelays}
 		l := link.New(s.topology, g.m.Domain, g.m.Gateway)
-		l.Learn(at.controls, domains)
+		l.SetControls(at.controls, domains)
 		l.SetGateways(gateways)
 		if near := l.Choose(at.controls[0], clock.Now()); w == byRelays {
 			g.relay = s.relays[near]
--- a/transport/uplink/uplink.go
+++ b/transport/uplink/uplink.go
@@ -447,7 +447,7 @@
 func (c *Client) learn(controls, domains []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.links.Learn(controls, domains)
+	c.links.SetControls(controls, domains)
 	if len(controls) > 0 {
 		c.controls = controls
 	}
