--- a/coordination/link/link.go
+++ b/coordination/link/link.go
@@ -115,9 +115,9 @@
 	}
 }
 
-// Failed notes that an instance did not answer in time (silent), or said that it cannot
+// RecordFailure notes that an instance did not answer in time (silent), or said that it cannot
 // answer. It is passed over for a backoff.
-func (l *Selector) Failed(address string, silent bool, now time.Time) {
+func (l *Selector) RecordFailure(address string, silent bool, now time.Time) {
 	if !l.Enabled() {
 		return
 	}
--- a/coordination/link/link_test.go
+++ b/coordination/link/link_test.go
@@ -39,7 +39,7 @@
 		l := New(regions, c.domain, "g")
 		controls(l)
 		for _, address := range c.failed {
-			l.Failed(address, true, start)
+			l.RecordFailure(address, true, start)
 		}
 		if got := l.Choose(c.leader, start); got != c.want {
 			t.Errorf("%s: asks %q, want %q", c.name, got, c.want)
@@ -64,7 +64,7 @@
 		controls(l)
 		now, last := start, time.Duration(0)
 		for range 6 {
-			l.Failed("at-a1", silent, now)
+			l.RecordFailure("at-a1", silent, now)
 			away := time.Duration(0)
 			for l.Choose("", now.Add(away)) != "at-a1" {
 				away += 10 * time.Millisecond
@@ -75,7 +75,7 @@
 			now, last = now.Add(away), away
 		}
 		l.Answered("at-a1")
-		l.Failed("at-a1", silent, now)
+		l.RecordFailure("at-a1", silent, now)
 		if l.Choose("", now.Add(silentBackoff)) != "at-a1" {
 			t.Errorf("silent %v: an earlier failure counts after an answer", silent)
 		}
@@ -108,7 +108,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			address := rapid.SampledFrom(near).Draw(t, "address")
 			if rapid.Bool().Draw(t, "fails") {
-				l.Failed(address, rapid.Bool().Draw(t, "silent"), now)
+				l.RecordFailure(address, rapid.Bool().Draw(t, "silent"), now)
 			} else {
 				l.Answered(address)
 			}
@@ -167,8 +167,8 @@
 			l := New(topology.New(nil), fmt.Sprint("d", i%6), fmt.Sprint("edge-", i)) // One domain has no control instance.
 			l.SetControls(addresses, domains)
 			l.SetGateways(gateways)
-			l.Failed("at-d0-0", true, start)
-			l.Failed("at-d1-1", true, start)
+			l.RecordFailure("at-d0-0", true, start)
+			l.RecordFailure("at-d1-1", true, start)
 			counts[l.Choose(leader, start)]++
 			if share := l.GatewaysPerInstance(gateways); gateways > ShareFrom && share != (gateways+8)/9 || gateways <= ShareFrom && share != gateways {
 				t.Fatalf("%d gateways: the share of an instance is %d", gateways, share)
--- a/transport/uplink/choice.go
+++ b/transport/uplink/choice.go
@@ -19,7 +19,7 @@
 func (c *Client) failed(address string, silent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.links.Failed(address, silent, clock.Now())
+	c.links.RecordFailure(address, silent, clock.Now())
 }
 
 // observe notes how long an answer took.
