--- a/cmd/weldstreamd/control.go
+++ b/cmd/weldstreamd/control.go
@@ -148,7 +148,7 @@
 	}
 	c.calls = control.NewCalls(platform.NewSource(n.Source.Address, platform.WithLogger(c.log), platform.WithRegistry(c.registry)))
 	sender := transport.NewReplicaSender(work, c.tables, c.links, transport.WithAddresses(c.peerAddress))
-	c.group, err = group.Open(c.groupConfig(), n.DataDir, c.name(), sender, group.WithLogger(c.log), group.WithRegistry(c.registry), group.WithBusy(c.calls.Busy), group.WithDocument(func(number uint64, data []byte) { c.uplink.Install(number, data) }),
+	c.group, err = group.Open(c.groupConfig(), n.DataDir, c.name(), sender, group.WithLogger(c.log), group.WithRegistry(c.registry), group.WithMoveBlocker(c.calls.Busy), group.WithDocument(func(number uint64, data []byte) { c.uplink.Install(number, data) }),
 		group.WithRollouts(func(l protocol.RolloutLog) { c.uplink.InstallRollouts(l) }),
 		group.WithQuarantine(func(l protocol.QuarantineLog) { c.uplink.InstallQuarantine(l) }))
 	if err != nil {
@@ -159,7 +159,7 @@
 		control.WithExposure(control.Exposure{Share: n.Bounds.TrialShare, Slack: n.Bounds.TrialSlack, Unannounced: n.Bounds.OrderRepeat + announceMargin}),
 	}
 	if c.limits().Usage {
-		opts = append(opts, control.WithQuiet(func() time.Duration { return c.group.Status().Quiet }))
+		opts = append(opts, control.WithQuiet(func() time.Duration { return c.group.Status().SinceLastCommand }))
 	}
 	c.uplink = control.NewUplink(c.group, c.peers, platform.ParseNumbered, n.Bounds.QuotaWindow, opts...)
 	c.relay = control.NewRelay(c.uplink, c.links, c.name(), n.Peer, c.registry)
@@ -210,7 +210,7 @@
 		}
 	}
 	view := member.New(member.DefaultConfig(controlSuspect), self, seeds)
-	c.membership = transport.NewMembership(c.tables, c.links, c.log, controlGossip, view, func() member.SelfMsg { return member.SelfMsg{Ready: true} })
+	c.membership = transport.NewMembership(c.tables, c.links, c.log, controlGossip, view, func() member.SetSelfMsg { return member.SetSelfMsg{Ready: true} })
 	return nil
 }
 
--- a/coordination/link/link_test.go
+++ b/coordination/link/link_test.go
@@ -16,8 +16,8 @@
 var start = time.Unix(1000, 0)
 
 // controls are one in each domain but c1, named by it, and a second one in b2.
-func controls(l *Links) {
-	l.Learn([]string{"at-a1", "at-a2", "at-b1", "at-b2", "at-b2-2"}, []string{"a1", "a2", "b1", "b2", "b2"})
+func controls(l *Selector) {
+	l.SetControls([]string{"at-a1", "at-a2", "at-b1", "at-b2", "at-b2-2"}, []string{"a1", "a2", "b1", "b2", "b2"})
 }
 
 // TestChoice checks whom a gateway asks: its own domain's instance, its region's
@@ -39,7 +39,7 @@
 		l := New(regions, c.domain, "g")
 		controls(l)
 		for _, address := range c.failed {
-			l.Failed(address, true, start)
+			l.RecordFailure(address, true, start)
 		}
 		if got := l.Choose(c.leader, start); got != c.want {
 			t.Errorf("%s: asks %q, want %q", c.name, got, c.want)
@@ -50,8 +50,8 @@
 	if got := one.Choose("at-a1", start); got != "" {
 		t.Errorf("with one region it asks %q by itself", got)
 	}
-	var none *Links
-	if none.Choose("at-a1", start) != "" || none.Near() {
+	var none *Selector
+	if none.Choose("at-a1", start) != "" || none.Enabled() {
 		t.Error("without links something is chosen")
 	}
 }
@@ -64,7 +64,7 @@
 		controls(l)
 		now, last := start, time.Duration(0)
 		for range 6 {
-			l.Failed("at-a1", silent, now)
+			l.RecordFailure("at-a1", silent, now)
 			away := time.Duration(0)
 			for l.Choose("", now.Add(away)) != "at-a1" {
 				away += 10 * time.Millisecond
@@ -75,7 +75,7 @@
 			now, last = now.Add(away), away
 		}
 		l.Answered("at-a1")
-		l.Failed("at-a1", silent, now)
+		l.RecordFailure("at-a1", silent, now)
 		if l.Choose("", now.Add(silentBackoff)) != "at-a1" {
 			t.Errorf("silent %v: an earlier failure counts after an answer", silent)
 		}
@@ -108,7 +108,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			address := rapid.SampledFrom(near).Draw(t, "address")
 			if rapid.Bool().Draw(t, "fails") {
-				l.Failed(address, rapid.Bool().Draw(t, "silent"), now)
+				l.RecordFailure(address, rapid.Bool().Draw(t, "silent"), now)
 			} else {
 				l.Answered(address)
 			}
@@ -165,12 +165,12 @@
 		counts := map[string]int{}
 		for i := range gateways {
 			l := New(topology.New(nil), fmt.Sprint("d", i%6), fmt.Sprint("edge-", i)) // One domain has no control instance.
-			l.Learn(addresses, domains)
+			l.SetControls(addresses, domains)
 			l.SetGateways(gateways)
-			l.Failed("at-d0-0", true, start)
-			l.Failed("at-d1-1", true, start)
+			l.RecordFailure("at-d0-0", true, start)
+			l.RecordFailure("at-d1-1", true, start)
 			counts[l.Choose(leader, start)]++
-			if share := l.Share(gateways); gateways > ShareFrom && share != (gateways+8)/9 || gateways <= ShareFrom && share != gateways {
+			if share := l.GatewaysPerInstance(gateways); gateways > ShareFrom && share != (gateways+8)/9 || gateways <= ShareFrom && share != gateways {
 				t.Fatalf("%d gateways: the share of an instance is %d", gateways, share)
 			}
 		}
@@ -197,15 +197,15 @@
 	changes, before := 0, false
 	for n := range 200 {
 		l.SetGateways(ShareFrom - 10 + n%20)
-		if l.Near() != before {
-			changes, before = changes+1, l.Near()
+		if l.Enabled() != before {
+			changes, before = changes+1, l.Enabled()
 		}
 	}
 	if changes > 1 {
 		t.Errorf("changed %d times", changes)
 	}
 	l.SetGateways(shareUntil - 1)
-	if l.Near() {
+	if l.Enabled() {
 		t.Error("a fleet that shrank is still shared out")
 	}
 }
--- a/transport/bootstrap.go
+++ b/transport/bootstrap.go
@@ -81,7 +81,7 @@
 			least = least && b.self < name
 		}
 		if info.Group != 0 {
-			b.note(b.group.Enter(ctx, info.Group))
+			b.note(b.group.JoinAsLearner(ctx, info.Group))
 			return
 		}
 		members.Voters = append(members.Voters, info.ID)
@@ -99,7 +99,7 @@
 	for _, name := range b.names(protocol.ReplicaMembers{}) {
 		info := ReplicaInfo{}
 		if name != b.self && b.call(name, "Group.Info", true, &info) && info.Group != 0 {
-			b.note(b.group.Enter(ctx, info.Group))
+			b.note(b.group.JoinAsLearner(ctx, info.Group))
 			return true
 		}
 	}
@@ -108,7 +108,7 @@
 
 func (b *Bootstrap) foundGroup(ctx context.Context, members protocol.ReplicaMembers) {
 	args := FoundArgs{Group: randomGroup(), Founders: members}
-	if err := b.group.Found(ctx, args.Group, members); err != nil {
+	if err := b.group.Bootstrap(ctx, args.Group, members); err != nil {
 		b.note(err)
 		return
 	}
--- a/transport/membership.go
+++ b/transport/membership.go
@@ -32,12 +32,12 @@
 	syncs  chan chan protocol.GossipMsg
 	leave  chan leaveOrder
 	left   bool // left says that this instance takes no part any more.
-	self   func() member.SelfMsg
+	self   func() member.SetSelfMsg
 }
 
 // NewMembership returns a membership that is not running. The func self tells
 // what the instance says of itself.
-func NewMembership(t *state.Tables, l *Links, log zerolog.Logger, every time.Duration, view *member.State, self func() member.SelfMsg) *Membership {
+func NewMembership(t *state.Tables, l *Links, log zerolog.Logger, every time.Duration, view *member.State, self func() member.SetSelfMsg) *Membership {
 	return &Membership{
 		tables: t,
 		links:  l,
@@ -74,7 +74,7 @@
 	}
 }
 
-func (m *Membership) describe() member.SelfMsg {
+func (m *Membership) describe() member.SetSelfMsg {
 	msg := m.self()
 	msg.Now, msg.Rand = clock.Now(), rand.Uint64()
 	msg.Revision, msg.Digest = m.tables.Revision()
@@ -132,7 +132,7 @@
 
 // leaveOrder asks the loop to spread that this instance has left.
 type leaveOrder struct {
-	msg  member.SelfMsg
+	msg  member.SetSelfMsg
 	done chan struct{}
 }
 
@@ -157,18 +157,18 @@
 		go m.push(cmd)
 	case member.SyncCmd:
 		go m.sync(ctx, cmd)
-	case member.LeavingCmd:
+	case member.ServerLeavingCmd:
 		m.tables.Backends.MarkLeaving(cmd.Leaving)
-	case member.JoinedCmd:
+	case member.ServerJoinedCmd:
 		m.tables.Backends.Join(cmd.Joined, clock.Now())
-	case member.FetchCmd:
+	case member.FetchConfigCmd:
 		go m.fetch(cmd)
 	}
 }
 
 func (m *Membership) probe(ctx context.Context, cmd member.ProbeCmd) {
 	var ok bool
-	alive := m.links.Call(cmd.Address, "Member.Ping", cmd.News, &ok, probeTimeout) == nil
+	alive := m.links.Call(cmd.Address, "Member.Ping", cmd.Gossip, &ok, probeTimeout) == nil
 	for _, via := range cmd.Via {
 		if alive {
 			break
@@ -182,21 +182,21 @@
 
 func (m *Membership) push(cmd member.PushCmd) {
 	var ok bool
-	if err := m.links.Call(cmd.Address, "Member.Ping", cmd.News, &ok, probeTimeout); err != nil {
+	if err := m.links.Call(cmd.Address, "Member.Ping", cmd.Gossip, &ok, probeTimeout); err != nil {
 		m.log.Debug().Str("address", cmd.Address).Err(err).Msg("push failed")
 	}
 }
 
 func (m *Membership) sync(ctx context.Context, cmd member.SyncCmd) {
 	var reply protocol.GossipMsg
-	if err := m.links.Call(cmd.Address, "Member.Sync", cmd.News, &reply, syncTimeout); err != nil {
+	if err := m.links.Call(cmd.Address, "Member.Sync", cmd.Gossip, &reply, syncTimeout); err != nil {
 		m.log.Debug().Str("address", cmd.Address).Err(err).Msg("synchronization failed")
 		return
 	}
-	m.post(ctx, member.NewsMsg{News: reply, Now: clock.Now(), Rand: rand.Uint64()})
+	m.post(ctx, member.GossipMsg{Gossip: reply, Now: clock.Now(), Rand: rand.Uint64()})
 }
 
-func (m *Membership) fetch(cmd member.FetchCmd) {
+func (m *Membership) fetch(cmd member.FetchConfigCmd) {
 	above, _ := m.tables.Revision()
 	var reply protocol.FetchConfigReplyMsg
 	if err := m.links.Call(cmd.Address, "Config.Fetch", protocol.FetchConfigMsg{Above: above}, &reply, syncTimeout); err != nil {
@@ -230,13 +230,13 @@
 // Ping takes in news; that it answers is the sign of life.
 func (s *MemberService) Ping(news protocol.GossipMsg, ok *bool) error {
 	*ok = true
-	s.m.post(s.ctx, member.NewsMsg{News: news, Now: clock.Now(), Rand: rand.Uint64()})
+	s.m.post(s.ctx, member.GossipMsg{Gossip: news, Now: clock.Now(), Rand: rand.Uint64()})
 	return nil
 }
 
 // Sync takes in all of another instance's records and returns all of this one's.
 func (s *MemberService) Sync(news protocol.GossipMsg, reply *protocol.GossipMsg) error {
-	s.m.post(s.ctx, member.NewsMsg{News: news, Now: clock.Now(), Rand: rand.Uint64()})
+	s.m.post(s.ctx, member.GossipMsg{Gossip: news, Now: clock.Now(), Rand: rand.Uint64()})
 	full := make(chan protocol.GossipMsg, 1)
 	select {
 	case s.m.syncs <- full:
