--- a/coordination/attempt/attempt.go
+++ b/coordination/attempt/attempt.go
@@ -194,7 +194,7 @@
 	}
 	s.Held += m.Tokens
 	if m.Finish != "" && s.Held < s.Floor {
-		next, more := s.stop(NoEvent(s.Floor, s.Held))
+		next, more := s.stop(NoSuchEvent(s.Floor, s.Held))
 		return next, append(cmds, more...), true
 	}
 	if s.Held > s.Floor || m.Tokens == 0 {
@@ -231,9 +231,9 @@
 	return s, []Cmd{CancelCmd{Attempt: m.Attempt}, RetryCmd{Attempt: m.Attempt, Cause: m}}
 }
 
-// NoEvent refuses to resume behind an event that the answer never had: an empty
+// NoSuchEvent refuses to resume behind an event that the answer never had: an empty
 // rest would look like a whole answer.
-func NoEvent(event, tokens int) *protocol.Refusal {
+func NoSuchEvent(event, tokens int) *protocol.Refusal {
 	return protocol.NewRefusal(protocol.StatusBadRequest, protocol.CodeNoEvent, "the answer has no event %d: it ends at %d", event, tokens)
 }
 
--- a/transport/claim.go
+++ b/transport/claim.go
@@ -166,7 +166,7 @@
 // replay returns an answer that an earlier send received or missed.
 func (x *exchange) replay(ctx *fasthttp.RequestCtx, a *protocol.Answer) {
 	if x.request.Stream && x.request.Resume > a.Tokens {
-		x.g.refuse(ctx, x.row.Request, attempt.NoEvent(x.request.Resume, a.Tokens).WithVerdict(protocol.Ran))
+		x.g.refuse(ctx, x.row.Request, attempt.NoSuchEvent(x.request.Resume, a.Tokens).WithVerdict(protocol.Ran))
 		return
 	}
 	ctx.Response.Header.Set(protocol.HeaderVerdict, protocol.Ran.String())
