--- a/coordination/attempt/attempt.go
+++ b/coordination/attempt/attempt.go
@@ -57,7 +57,7 @@
 	FailedIn    []string         // FailedIn are their failure domains.
 	MoveFrom    string           // MoveFrom is the server that exported the request, until it goes on elsewhere.
 	MoveAttempt int              // MoveAttempt is the attempt that ran there.
-	GivingUp    bool             // GivingUp says that the request is to be handed over.
+	HandingOver bool             // GivingUp says that the request is to be handed over.
 	MayHaveRun  bool             // MayHaveRun says that some attempt may have run.
 	Exported    bool             // Exported says that the request ran in part and was moved.
 	waiting     map[int]ChunkMsg // waiting are chunks beyond the next offset.
@@ -272,7 +272,7 @@
 	if m.Attempt != s.Attempt || !s.live() {
 		return s, nil
 	}
-	if s.GivingUp {
+	if s.HandingOver {
 		return s.give(m.Ended)
 	}
 	if !m.Ended {
@@ -292,7 +292,7 @@
 // handOver has the server end the request before another instance goes on. One
 // that runs nowhere at the moment can be given at once.
 func (s State) handOver() (State, []Cmd) {
-	s.GivingUp = true
+	s.HandingOver = true
 	switch {
 	case s.Phase == PhaseRunning && s.Server != "":
 		s.Phase = PhaseExporting
@@ -307,7 +307,7 @@
 // not confirm its end; any other then stays, and runs here to its end.
 func (s State) give(ended bool) (State, []Cmd) {
 	if !ended && !s.Repeatable {
-		s.GivingUp, s.Phase = false, PhaseRunning
+		s.HandingOver, s.Phase = false, PhaseRunning
 		return s, nil
 	}
 	s.Phase = PhaseGiven
--- a/transport/exchange.go
+++ b/transport/exchange.go
@@ -344,7 +344,7 @@
 		x.post(attempt.ExportedMsg{Attempt: cmd.Attempt})
 		return
 	}
-	if x.state.GivingUp {
+	if x.state.HandingOver {
 		x.askExport(address, cmd)
 		return
 	}
