--- a/coordination/attempt/attempt.go
+++ b/coordination/attempt/attempt.go
@@ -49,7 +49,7 @@
 	Hedge       int // Hedge is the hedge's number while one runs beside the current attempt; else 0.
 	HedgeServer string
 	HedgeDomain string
-	Held        int // Held counts the tokens of the answer that this process has.
+	Received    int // Held counts the tokens of the answer that this process has.
 	Floor       int // Floor is the token offset up to which the caller has the answer.
 	Server      string
 	Domain      string
@@ -67,7 +67,7 @@
 // the token offset that a resuming caller already holds; held is how many
 // tokens of the answer this process was handed.
 func New(repeatable bool, maxAttempts, floor, held int) State {
-	return State{Repeatable: repeatable, MaxAttempts: maxAttempts, Floor: floor, Held: held}
+	return State{Repeatable: repeatable, MaxAttempts: maxAttempts, Floor: floor, Received: held}
 }
 
 // Update applies a message and returns the new state and what to do.
@@ -115,7 +115,7 @@
 	s.waiting = nil
 	cmd := DispatchCmd{
 		Attempt:      s.Attempt,
-		Resume:       s.Held,
+		Resume:       s.Received,
 		AvoidServers: s.Failed,
 		AvoidDomains: s.FailedIn,
 		MoveFrom:     s.MoveFrom,
@@ -139,16 +139,16 @@
 	if !s.live() {
 		return s, nil
 	}
-	if m.Attempt == s.Hedge && s.Hedge != 0 && s.Held == 0 && m.Offset == 0 && m.Finish != "" {
+	if m.Attempt == s.Hedge && s.Hedge != 0 && s.Received == 0 && m.Offset == 0 && m.Finish != "" {
 		s = s.promote()
 	}
 	if m.Attempt != s.Attempt {
 		return s, nil
 	}
-	if m.Offset > s.Held {
+	if m.Offset > s.Received {
 		return s.hold(m)
 	}
-	if m.Offset < s.Held {
+	if m.Offset < s.Received {
 		return s, nil
 	}
 	return s.accept(m)
@@ -178,7 +178,7 @@
 		if ended {
 			return s, cmds
 		}
-		next, ok := s.waiting[s.Held]
+		next, ok := s.waiting[s.Received]
 		if !ok || m.Tokens == 0 {
 			return s, cmds
 		}
@@ -187,19 +187,19 @@
 }
 
 func (s State) take(m ChunkMsg, cmds []Cmd) (State, []Cmd, bool) {
-	if s.Held < s.Floor && s.Held+m.Tokens > s.Floor {
+	if s.Received < s.Floor && s.Received+m.Tokens > s.Floor {
 		// The text of a chunk cannot be cut between its tokens.
 		next, more := s.failed(FailedMsg{Attempt: m.Attempt, Verdict: protocol.MayHaveRun, Reason: "the answer cannot be resumed at this offset", Final: true})
 		return next, append(cmds, more...), true
 	}
-	s.Held += m.Tokens
-	if m.Finish != "" && s.Held < s.Floor {
-		next, more := s.stop(NoSuchEvent(s.Floor, s.Held))
+	s.Received += m.Tokens
+	if m.Finish != "" && s.Received < s.Floor {
+		next, more := s.stop(NoSuchEvent(s.Floor, s.Received))
 		return next, append(cmds, more...), true
 	}
-	if s.Held > s.Floor || m.Tokens == 0 {
-		cmds = append(cmds, EmitCmd{Chunk: m, Offset: s.Held})
-		s.Floor = max(s.Floor, s.Held)
+	if s.Received > s.Floor || m.Tokens == 0 {
+		cmds = append(cmds, EmitCmd{Chunk: m, Offset: s.Received})
+		s.Floor = max(s.Floor, s.Received)
 	} else {
 		cmds = append(cmds, KeepCmd{Chunk: m})
 	}
@@ -241,7 +241,7 @@
 // delivered, a move was made, or an earlier attempt may have run, so may the
 // request.
 func (s State) verdict(v protocol.Verdict) protocol.Verdict {
-	if s.Held > 0 || s.Exported || s.MayHaveRun {
+	if s.Received > 0 || s.Exported || s.MayHaveRun {
 		return protocol.MayHaveRun
 	}
 	return v
--- a/coordination/attempt/hedge.go
+++ b/coordination/attempt/hedge.go
@@ -13,7 +13,7 @@
 // hedge sends the second attempt, to another server and, where there is one,
 // in another failure domain.
 func (s State) hedge() (State, []Cmd) {
-	if s.Phase != PhaseRunning || !s.Repeatable || s.Hedge != 0 || s.Held > 0 || s.HandingOver || s.Count >= s.MaxAttempts {
+	if s.Phase != PhaseRunning || !s.Repeatable || s.Hedge != 0 || s.Received > 0 || s.HandingOver || s.Count >= s.MaxAttempts {
 		return s, nil
 	}
 	s.Count++
--- a/transport/answer.go
+++ b/transport/answer.go
@@ -190,8 +190,8 @@
 func (x *exchange) usage() *protocol.Usage {
 	return &protocol.Usage{
 		PromptTokens:     x.request.PromptLen,
-		CompletionTokens: x.state.Held,
-		TotalTokens:      x.request.PromptLen + x.state.Held,
+		CompletionTokens: x.state.Received,
+		TotalTokens:      x.request.PromptLen + x.state.Received,
 	}
 }
 
@@ -254,14 +254,14 @@
 		choice.Text = &text
 	}
 	a.Choices = []wholeChoice{choice}
-	x.g.metrics.tokens.Inc(int64(x.state.Held))
+	x.g.metrics.tokens.Inc(int64(x.state.Received))
 	writeJSON(ctx, http.StatusOK, a)
 }
 
 // report logs how the request ended.
 func (x *exchange) report() {
 	x.g.metrics.total.UpdateSince(x.started)
-	e := x.log.Info().Int("attempts", x.state.Count).Int("tokens", x.state.Held).Str("server", x.row.Server).Dur("took", clock.Since(x.started))
+	e := x.log.Info().Int("attempts", x.state.Count).Int("tokens", x.state.Received).Str("server", x.row.Server).Dur("took", clock.Since(x.started))
 	if x.refusal == nil {
 		e.Stringer("verdict", protocol.Ran).Msg("request answered")
 		return
--- a/transport/claim.go
+++ b/transport/claim.go
@@ -173,7 +173,7 @@
 	ctx.Response.Header.Set(protocol.HeaderRequest, x.row.Request)
 	x.answer = serviceAnswer{status: a.Status, contentType: a.ContentType, body: a.Body}
 	x.text.WriteString(a.Text)
-	x.finish, x.state.Held = a.Finish, a.Tokens
+	x.finish, x.state.Received = a.Finish, a.Tokens
 	x.log.Info().Stringer("verdict", protocol.Ran).Msg("answer replayed")
 	if x.request.Stream {
 		x.replayStream(ctx, a)
@@ -194,7 +194,7 @@
 		ContentType: x.answer.contentType,
 		Body:        x.answer.body,
 		Text:        x.text.String(),
-		Tokens:      x.state.Held,
+		Tokens:      x.state.Received,
 		Finish:      x.finish,
 		Ends:        x.ends,
 	}
--- a/transport/exchange.go
+++ b/transport/exchange.go
@@ -240,7 +240,7 @@
 		return
 	}
 	x.server.Store(server)
-	x.row.Server, x.row.Attempt, x.row.Tokens = server.ID, cmd.Attempt, x.state.Held
+	x.row.Server, x.row.Attempt, x.row.Tokens = server.ID, cmd.Attempt, x.state.Received
 	x.g.tables.Streams.Update(x.row)
 	x.sentAt = clock.Now()
 	if x.request.Hedge {
@@ -377,8 +377,8 @@
 	if s := x.server.Load(); s != nil {
 		s.Counters.Failed.Add(1)
 	}
-	x.log.Info().Int("attempt", cmd.Attempt).Stringer("verdict", cmd.Cause.Verdict).Str("cause", cmd.Cause.Reason).Int("held", x.state.Held).Msg("attempt failed")
-	if x.state.Held == 0 && !x.g.budget.spend(clock.Now()) {
+	x.log.Info().Int("attempt", cmd.Attempt).Stringer("verdict", cmd.Cause.Verdict).Str("cause", cmd.Cause.Reason).Int("held", x.state.Received).Msg("attempt failed")
+	if x.state.Received == 0 && !x.g.budget.spend(clock.Now()) {
 		r := protocol.NewRefusal(503, protocol.CodeOverloaded, "too many retries: %s", cmd.Cause.Reason)
 		x.apply(attempt.RetryMsg{Refused: r.WithVerdict(cmd.Cause.Verdict).WithRetryAfter(retryOverload)})
 		return
