--- a/coordination/attempt/attempt.go
+++ b/coordination/attempt/attempt.go
@@ -41,26 +41,26 @@
 
 // State is one request. The zero value is not useful; see [New].
 type State struct {
-	Repeatable  bool
-	MaxAttempts int
-	Phase       Phase
-	Attempt     int // Attempt is the number of the current attempt, from 1.
-	Count       int // Count is how many attempts were sent.
-	Hedge       int // Hedge is the hedge's number while one runs beside the current attempt; else 0.
-	HedgeServer string
-	HedgeDomain string
-	Received    int // Held counts the tokens of the answer that this process has.
-	Floor       int // Floor is the token offset up to which the caller has the answer.
-	Server      string
-	Domain      string
-	Failed      []string         // Failed are servers that failed this request.
-	FailedIn    []string         // FailedIn are their failure domains.
-	MoveFrom    string           // MoveFrom is the server that exported the request, until it goes on elsewhere.
-	MoveAttempt int              // MoveAttempt is the attempt that ran there.
-	HandingOver bool             // GivingUp says that the request is to be handed over.
-	MayHaveRun  bool             // MayHaveRun says that some attempt may have run.
-	Exported    bool             // Exported says that the request ran in part and was moved.
-	waiting     map[int]ChunkMsg // waiting are chunks beyond the next offset.
+	Repeatable   bool
+	MaxAttempts  int
+	Phase        Phase
+	Attempt      int // Attempt is the number of the current attempt, from 1.
+	AttemptsSent int // Count is how many attempts were sent.
+	Hedge        int // Hedge is the hedge's number while one runs beside the current attempt; else 0.
+	HedgeServer  string
+	HedgeDomain  string
+	Received     int // Held counts the tokens of the answer that this process has.
+	Floor        int // Floor is the token offset up to which the caller has the answer.
+	Server       string
+	Domain       string
+	Failed       []string         // Failed are servers that failed this request.
+	FailedIn     []string         // FailedIn are their failure domains.
+	MoveFrom     string           // MoveFrom is the server that exported the request, until it goes on elsewhere.
+	MoveAttempt  int              // MoveAttempt is the attempt that ran there.
+	HandingOver  bool             // GivingUp says that the request is to be handed over.
+	MayHaveRun   bool             // MayHaveRun says that some attempt may have run.
+	Exported     bool             // Exported says that the request ran in part and was moved.
+	waiting      map[int]ChunkMsg // waiting are chunks beyond the next offset.
 }
 
 // New returns the state of a request that has not been dispatched. The floor is
@@ -109,8 +109,8 @@
 func (s State) live() bool { return s.Phase == PhaseRunning || s.Phase == PhaseExporting }
 
 func (s State) dispatch() (State, []Cmd) {
-	s.Count++
-	s.Attempt = s.Count
+	s.AttemptsSent++
+	s.Attempt = s.AttemptsSent
 	s.Phase = PhaseRunning
 	s.waiting = nil
 	cmd := DispatchCmd{
@@ -224,7 +224,7 @@
 	verdict := s.verdict(m.Verdict)
 	s = s.blame(s.Server, s.Domain)
 	s.Server, s.Domain = "", ""
-	if m.Final || !m.Verdict.AllowsRetry(s.Repeatable) || s.Count >= s.MaxAttempts {
+	if m.Final || !m.Verdict.AllowsRetry(s.Repeatable) || s.AttemptsSent >= s.MaxAttempts {
 		return s.refuse(m.refusal().WithVerdict(verdict))
 	}
 	s.Phase = PhaseWaiting
--- a/coordination/attempt/hedge.go
+++ b/coordination/attempt/hedge.go
@@ -13,11 +13,11 @@
 // hedge sends the second attempt, to another server and, where there is one,
 // in another failure domain.
 func (s State) hedge() (State, []Cmd) {
-	if s.Phase != PhaseRunning || !s.Repeatable || s.Hedge != 0 || s.Received > 0 || s.HandingOver || s.Count >= s.MaxAttempts {
+	if s.Phase != PhaseRunning || !s.Repeatable || s.Hedge != 0 || s.Received > 0 || s.HandingOver || s.AttemptsSent >= s.MaxAttempts {
 		return s, nil
 	}
-	s.Count++
-	s.Hedge = s.Count
+	s.AttemptsSent++
+	s.Hedge = s.AttemptsSent
 	return s, []Cmd{DispatchCmd{
 		Attempt:      s.Hedge,
 		Hedge:        true,
--- a/coordination/attempt/hedge_test.go
+++ b/coordination/attempt/hedge_test.go
@@ -66,7 +66,7 @@
 		c := &calls{t: t, state: New(rapid.Bool().Draw(t, "repeatable"), 4, 0, 0), servers: map[int]string{}, live: map[int]bool{}}
 		c.update(StartMsg{})
 		for range 30 {
-			attempt := rapid.IntRange(1, max(1, c.state.Count)).Draw(t, "attempt")
+			attempt := rapid.IntRange(1, max(1, c.state.AttemptsSent)).Draw(t, "attempt")
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
 				c.update(HedgeMsg{})
@@ -79,8 +79,8 @@
 			case 4:
 				c.update(ExportedMsg{Attempt: attempt})
 			}
-			if c.answers > 1 || c.state.Count > 4 {
-				t.Fatalf("%d answers, %d attempts", c.answers, c.state.Count)
+			if c.answers > 1 || c.state.AttemptsSent > 4 {
+				t.Fatalf("%d answers, %d attempts", c.answers, c.state.AttemptsSent)
 			}
 			if c.ended != (c.state.Phase == PhaseEnded) {
 				t.Fatalf("ended %v in phase %d", c.ended, c.state.Phase)
--- a/transport/answer.go
+++ b/transport/answer.go
@@ -261,7 +261,7 @@
 // report logs how the request ended.
 func (x *exchange) report() {
 	x.g.metrics.total.UpdateSince(x.started)
-	e := x.log.Info().Int("attempts", x.state.Count).Int("tokens", x.state.Received).Str("server", x.row.Server).Dur("took", clock.Since(x.started))
+	e := x.log.Info().Int("attempts", x.state.AttemptsSent).Int("tokens", x.state.Received).Str("server", x.row.Server).Dur("took", clock.Since(x.started))
 	if x.refusal == nil {
 		e.Stringer("verdict", protocol.Ran).Msg("request answered")
 		return
--- a/transport/handover.go
+++ b/transport/handover.go
@@ -145,7 +145,7 @@
 	x.moveID, x.movedAt = r.ID, r.Attempt
 	x.state = attempt.New(x.request.Repeatable, x.g.settings.Limits.Attempts, max(x.request.Resume, held), held)
 	x.state.MoveFrom, x.state.MoveAttempt = r.Server, r.Attempt
-	x.state.Attempt, x.state.Count = r.Attempt, r.Attempt
+	x.state.Attempt, x.state.AttemptsSent = r.Attempt, r.Attempt
 	x.state.MaxAttempts += r.Attempt
 	if from := x.request.Resume; from < held {
 		x.ready = append(x.ready, attempt.EmitCmd{
