--- a/coordination/attempt/attempt_test.go
+++ b/coordination/attempt/attempt_test.go
@@ -15,209 +15,213 @@
 
 func tokenText(offset int) string { return fmt.Sprintf("<%d>", offset) }
 
-// world is everything around one request: servers that generate, a network
-// that reorders, doubles and delays, and a caller that keeps what it gets.
-type world struct {
-	t        *rapid.T
-	state    State
-	queue    []Msg       // queue are messages on the way, in no order.
-	live     map[int]int // live is the next offset of each attempt that a server still works on.
-	caller   string
-	begun    int // begun counts the runs that began at the prompt.
-	fresh    int // fresh is the latest attempt that began at the prompt.
-	finished int
-	refusals []*protocol.Refusal
-	handed   bool
+// simulation models the environment of one request: servers that generate
+// tokens, a network that reorders, duplicates and delays messages, and a caller
+// that records what it receives.
+type simulation struct {
+	t          *rapid.T
+	state      State
+	queue      []Msg       // queue are the messages in flight, in no order.
+	running    map[int]int // running is the next token offset of each attempt that a server still runs.
+	caller     string
+	freshRuns  int // freshRuns is the number of runs that started from the prompt.
+	lastFresh  int // lastFresh is the latest attempt that started from the prompt.
+	finished   int
+	refusals   []*protocol.Refusal
+	handedOver bool
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{t: t, live: map[int]int{}}
-	w.state = New(rapid.Bool().Draw(t, "repeatable"), 4, 0, 0)
-	w.update(StartMsg{})
-	return w
+func newSimulation(t *rapid.T) *simulation {
+	s := &simulation{t: t, running: map[int]int{}}
+	s.state = New(rapid.Bool().Draw(t, "repeatable"), 4, 0, 0)
+	s.update(StartMsg{})
+	return s
 }
 
-func (w *world) update(m Msg) {
+func (s *simulation) update(m Msg) {
 	var cmds []Cmd
-	w.state, cmds = Update(w.state, m)
+	s.state, cmds = Update(s.state, m)
 	for _, c := range cmds {
-		w.execute(c)
+		s.execute(c)
 	}
 }
 
-func (w *world) execute(c Cmd) {
+func (s *simulation) execute(c Cmd) {
 	switch c := c.(type) {
 	case DispatchCmd:
-		w.dispatch(c)
+		s.dispatch(c)
 	case EmitCmd:
-		if c.Chunk.Attempt != w.state.Attempt {
-			w.t.Fatalf("a chunk of attempt %d reached the caller in attempt %d", c.Chunk.Attempt, w.state.Attempt)
+		if c.Chunk.Attempt != s.state.Attempt {
+			s.t.Fatalf("chunk of attempt %d was emitted during attempt %d", c.Chunk.Attempt, s.state.Attempt)
 		}
-		w.caller += c.Chunk.Text
+		s.caller += c.Chunk.Text
 	case CancelCmd:
-		if w.state.Repeatable {
-			delete(w.live, c.Attempt) // The server may notice late; what it sent is on the way.
+		if s.state.Repeatable {
+			delete(s.running, c.Attempt) // Messages that the server sent before the cancellation are still in flight.
 		}
 	case ExportCmd:
-		w.queue = append(w.queue, exportRequest{c.Attempt})
+		s.queue = append(s.queue, exportRequest{c.Attempt})
 	case RetryCmd:
-		w.queue = append(w.queue, RetryMsg{})
+		s.queue = append(s.queue, RetryMsg{})
 	case FinishCmd:
-		w.finished++
+		s.finished++
 	case RefuseCmd:
-		w.refusals = append(w.refusals, c.Refusal)
+		s.refusals = append(s.refusals, c.Refusal)
 	case HandOverCmd:
-		if !w.state.Repeatable && len(w.live) > 0 {
-			w.t.Fatalf("handed over while %v runs", w.live)
+		if !s.state.Repeatable && len(s.running) > 0 {
+			s.t.Fatalf("handed over while attempts %v still run", s.running)
 		}
-		w.handed = true
-		w.update(StopMsg{Refusal: protocol.NewRefusal(503, protocol.CodeLeaving, "leaving")})
+		s.handedOver = true
+		s.update(StopMsg{Refusal: protocol.NewRefusal(503, protocol.CodeLeaving, "leaving")})
 	}
 }
 
-// exportRequest is on its way to the server.
+// exportRequest is an export command in flight to the server.
 type exportRequest struct{ attempt int }
 
 func (exportRequest) msg() {}
 
-func (w *world) dispatch(c DispatchCmd) {
-	if !w.state.Repeatable && len(w.live) > 0 {
-		w.t.Fatalf("attempt %d beside %v", c.Attempt, w.live)
+func (s *simulation) dispatch(c DispatchCmd) {
+	if !s.state.Repeatable && len(s.running) > 0 {
+		s.t.Fatalf("attempt %d was dispatched while attempts %v still run", c.Attempt, s.running)
 	}
 	if c.Resume == 0 && c.MoveFrom == "" {
-		w.begun++
-		w.fresh = c.Attempt
+		s.freshRuns++
+		s.lastFresh = c.Attempt
 	}
-	w.live[c.Attempt] = c.Resume
-	w.update(SentMsg{Attempt: c.Attempt, Server: fmt.Sprint("server-", c.Attempt), Domain: "zone"})
+	s.running[c.Attempt] = c.Resume
+	s.update(SentMsg{Attempt: c.Attempt, Server: fmt.Sprint("server-", c.Attempt), Domain: "zone"})
 }
 
-func (w *world) someLive(t *rapid.T) (int, bool) {
-	for attempt := 1; attempt <= w.state.Attempt; attempt++ {
-		if _, ok := w.live[attempt]; ok && (len(w.live) == 1 || rapid.Bool().Draw(t, "this")) {
+func (s *simulation) pickRunning(t *rapid.T) (int, bool) {
+	for attempt := 1; attempt <= s.state.Attempt; attempt++ {
+		if _, ok := s.running[attempt]; ok && (len(s.running) == 1 || rapid.Bool().Draw(t, "this")) {
 			return attempt, true
 		}
 	}
 	return 0, false
 }
 
-func (w *world) generate(t *rapid.T) {
-	attempt, ok := w.someLive(t)
+func (s *simulation) generate(t *rapid.T) {
+	attempt, ok := s.pickRunning(t)
 	if !ok {
 		return
 	}
-	offset := w.live[attempt]
+	offset := s.running[attempt]
 	if offset >= answerTokens {
 		return
 	}
 	m := ChunkMsg{Attempt: attempt, Offset: offset, Tokens: 1, Text: tokenText(offset)}
-	w.live[attempt]++
-	if w.live[attempt] == answerTokens {
+	s.running[attempt]++
+	if s.running[attempt] == answerTokens {
 		m.Finish = "stop"
-		delete(w.live, attempt)
+		delete(s.running, attempt)
 	}
-	w.queue = append(w.queue, m)
+	s.queue = append(s.queue, m)
 }
 
-// receive hands any message on the way over, perhaps not for the last time.
-func (w *world) receive(t *rapid.T) {
-	if len(w.queue) == 0 {
+// receive delivers a random message in flight. A chunk may stay in the queue and
+// be delivered again.
+func (s *simulation) receive(t *rapid.T) {
+	if len(s.queue) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.queue)-1).Draw(t, "message")
-	m := w.queue[i]
+	i := rapid.IntRange(0, len(s.queue)-1).Draw(t, "message")
+	m := s.queue[i]
 	_, isChunk := m.(ChunkMsg)
 	if !isChunk || rapid.Bool().Draw(t, "once") {
-		w.queue = append(w.queue[:i:i], w.queue[i+1:]...)
+		s.queue = append(s.queue[:i:i], s.queue[i+1:]...)
 	}
 	if x, ok := m.(exportRequest); ok {
-		w.export(t, x.attempt)
+		s.export(t, x.attempt)
 		return
 	}
-	w.update(m)
+	s.update(m)
 }
 
-// export ends a request at its server, or is lost, or its answer is.
-func (w *world) export(t *rapid.T, attempt int) {
+// export ends a request at its server. The export command or its answer may be
+// lost.
+func (s *simulation) export(t *rapid.T, attempt int) {
 	if rapid.Bool().Draw(t, "reached") {
-		delete(w.live, attempt)
-		w.queue = append(w.queue, ExportedMsg{Attempt: attempt, Ended: rapid.Bool().Draw(t, "answered")})
+		delete(s.running, attempt)
+		s.queue = append(s.queue, ExportedMsg{Attempt: attempt, Ended: rapid.Bool().Draw(t, "answered")})
 		return
 	}
-	w.queue = append(w.queue, ExportedMsg{Attempt: attempt})
+	s.queue = append(s.queue, ExportedMsg{Attempt: attempt})
 }
 
-// fail ends an attempt as its connection shows it: the server may go on.
-func (w *world) fail(t *rapid.T) {
-	attempt := w.state.Attempt
+// fail reports a failed connection of the current attempt. The server may keep
+// running it.
+func (s *simulation) fail(t *rapid.T) {
+	attempt := s.state.Attempt
 	verdict := protocol.MayHaveRun
-	if next, ok := w.live[attempt]; ok && next == 0 && rapid.Bool().Draw(t, "refused") {
-		delete(w.live, attempt)
+	if next, ok := s.running[attempt]; ok && next == 0 && rapid.Bool().Draw(t, "refused") {
+		delete(s.running, attempt)
 		verdict = protocol.NotRun
-		if w.fresh == attempt {
-			w.begun--
+		if s.lastFresh == attempt {
+			s.freshRuns--
 		}
 	}
-	w.update(FailedMsg{Attempt: attempt, Verdict: verdict, Reason: "failed"})
+	s.update(FailedMsg{Attempt: attempt, Verdict: verdict, Reason: "failed"})
 }
 
-func (w *world) check() {
-	whole := ""
+func (s *simulation) check() {
+	want := ""
 	for i := range answerTokens {
-		whole += tokenText(i)
+		want += tokenText(i)
 	}
-	if !strings.HasPrefix(whole, w.caller) {
-		w.t.Fatalf("the caller got %q", w.caller)
+	if !strings.HasPrefix(want, s.caller) {
+		s.t.Fatalf("the caller received %q, which is not a prefix of the answer", s.caller)
 	}
-	if w.finished > 0 && w.caller != whole {
-		w.t.Fatalf("finished with %q", w.caller)
+	if s.finished > 0 && s.caller != want {
+		s.t.Fatalf("finished with an incomplete answer: %q", s.caller)
 	}
-	if w.finished+len(w.refusals) > 1 {
-		w.t.Fatalf("ended %d times and refused %d times", w.finished, len(w.refusals))
+	if s.finished+len(s.refusals) > 1 {
+		s.t.Fatalf("finished %d times and refused %d times, want one end", s.finished, len(s.refusals))
 	}
-	if !w.state.Repeatable && w.begun > 1 {
-		w.t.Fatalf("begun %d times", w.begun)
+	if !s.state.Repeatable && s.freshRuns > 1 {
+		s.t.Fatalf("a request that is not repeatable was started %d times", s.freshRuns)
 	}
-	for _, r := range w.refusals {
-		if r.Verdict == protocol.NotRun && (w.begun > 0 || w.caller != "") {
-			w.t.Fatalf("refused as not run after %d runs and %q", w.begun, w.caller)
+	for _, r := range s.refusals {
+		if r.Verdict == protocol.NotRun && (s.freshRuns > 0 || s.caller != "") {
+			s.t.Fatalf("verdict \"not run\" after %d runs with %q delivered", s.freshRuns, s.caller)
 		}
 	}
 }
 
-// TestAttempts checks that whatever happens around it, the caller gets a first
-// part of the right answer, all of it if it ended well; that a request which is
-// not repeatable begins once and never runs twice side by side; and that "not
-// run" is said only of what did not run.
+// TestAttempts runs random sequences of chunks, failures, moves and hand-overs.
+// The caller must receive a prefix of the answer, and all of it if the request
+// finished; a request that is not repeatable must start once and never run twice
+// concurrently; and the verdict "not run" must be true.
 func TestAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		s := newSimulation(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"":         func(*rapid.T) { w.check() },
-			"generate": w.generate,
-			"again":    w.generate,
-			"receive":  w.receive,
-			"more":     w.receive,
-			"fail":     w.fail,
+			"":         func(*rapid.T) { s.check() },
+			"generate": s.generate,
+			"again":    s.generate,
+			"receive":  s.receive,
+			"more":     s.receive,
+			"fail":     s.fail,
 			"leaving": func(*rapid.T) {
-				w.update(LeavingMsg{Server: w.state.Server})
+				s.update(LeavingMsg{Server: s.state.Server})
 			},
 			"handover": func(t *rapid.T) {
 				if rapid.IntRange(0, 9).Draw(t, "rare") == 0 {
-					w.update(HandOverMsg{})
+					s.update(HandOverMsg{})
 				}
 			},
 			"gone": func(t *rapid.T) {
 				if rapid.IntRange(0, 9).Draw(t, "rare") == 0 {
-					w.update(CallerGoneMsg{})
+					s.update(CallerGoneMsg{})
 				}
 			},
 		})
 	})
 }
 
-// TestResumeInsideChunk refuses to resume where a chunk of several tokens would
-// have to be cut.
+// TestResumeInsideChunk checks that a request is refused if resuming it would
+// require splitting a chunk of several tokens.
 func TestResumeInsideChunk(t *testing.T) {
 	s := New(true, 4, 3, 0)
 	s, _ = Update(s, StartMsg{})
@@ -228,24 +232,24 @@
 		}
 	}
 	if s.Phase != PhaseEnded {
-		t.Errorf("phase %d, want the end", s.Phase)
+		t.Errorf("phase %d, want PhaseEnded", s.Phase)
 	}
 }
 
-// TestResumeBehindTheEnd refuses to resume behind an event that the answer never
-// had. One that resumes at its very end lacks nothing but the end.
-func TestResumeBehindTheEnd(t *testing.T) {
+// TestResumePastTheEnd checks that resuming past the last event of the answer is
+// refused, while resuming exactly at its end returns the finish reason.
+func TestResumePastTheEnd(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		floor   int
-		refused bool
+		name      string
+		delivered int
+		refused   bool
 	}{
 		{"at the end", 5, false},
-		{"one behind it", 6, true},
-		{"far behind it", 999999, true},
+		{"one past the end", 6, true},
+		{"far past the end", 999999, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			s := New(true, 4, tc.floor, 0)
+			s := New(true, 4, tc.delivered, 0)
 			s, _ = Update(s, StartMsg{})
 			s, _ = Update(s, ChunkMsg{Attempt: 1, Offset: 0, Tokens: 5, Text: "abcde"})
 			s, cmds := Update(s, ChunkMsg{Attempt: 1, Offset: 5, Finish: "stop"})
--- a/coordination/attempt/hedge.go
+++ b/coordination/attempt/hedge.go
@@ -6,61 +6,63 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// A hedge is a second attempt beside the first, for a call that may be
-// repeated and whose answer is short and whole: the first answer counts, and
-// the other attempt is dropped. A stream is never hedged.
+// A hedge is a second attempt sent concurrently with the first, for a repeatable
+// call whose answer is short and not streamed. The first answer is used and the
+// other attempt is canceled. A stream is never hedged.
 
-// hedge sends the second attempt, to another server and, where there is one,
-// in another failure domain.
+// hedge dispatches the second attempt to another server, in another failure
+// domain if there is one.
 func (s State) hedge() (State, []Cmd) {
-	if s.Phase != PhaseRunning || !s.Repeatable || s.Hedge != 0 || s.Received > 0 || s.HandingOver || s.AttemptsSent >= s.MaxAttempts {
+	if s.Phase != PhaseRunning || !s.Repeatable || s.HedgeAttempt != 0 || s.Received > 0 || s.HandingOver || s.AttemptsSent >= s.MaxAttempts {
 		return s, nil
 	}
 	s.AttemptsSent++
-	s.Hedge = s.AttemptsSent
+	s.HedgeAttempt = s.AttemptsSent
 	return s, []Cmd{DispatchCmd{
-		Attempt:      s.Hedge,
+		Attempt:      s.HedgeAttempt,
 		Hedge:        true,
-		AvoidServers: append(slices.Clip(s.Failed), s.Server),
-		AvoidDomains: append(slices.Clip(s.FailedIn), s.Domain),
+		AvoidServers: append(slices.Clip(s.FailedServers), s.Server),
+		AvoidDomains: append(slices.Clip(s.FailedDomains), s.Domain),
 	}}
 }
 
-// promote makes the hedge the current attempt, and the current one the other one.
+// promote swaps the hedge and the current attempt.
 func (s State) promote() State {
-	s.Attempt, s.Hedge = s.Hedge, s.Attempt
+	s.Attempt, s.HedgeAttempt = s.HedgeAttempt, s.Attempt
 	s.Server, s.HedgeServer = s.HedgeServer, s.Server
 	s.Domain, s.HedgeDomain = s.HedgeDomain, s.Domain
 	return s
 }
 
-// oneFailed drops one of two attempts; the other goes on.
-func (s State) oneFailed(m FailedMsg) (State, []Cmd) {
+// dropFailed cancels the failed one of two concurrent attempts and keeps the
+// other.
+func (s State) dropFailed(m FailedMsg) (State, []Cmd) {
 	if m.Attempt == s.Attempt {
 		s = s.promote()
 	}
 	s.MayHaveRun = s.MayHaveRun || m.Verdict != protocol.NotRun
-	s = s.blame(s.HedgeServer, s.HedgeDomain)
-	s.Hedge, s.HedgeServer, s.HedgeDomain = 0, "", ""
+	s = s.recordFailure(s.HedgeServer, s.HedgeDomain)
+	s.HedgeAttempt, s.HedgeServer, s.HedgeDomain = 0, "", ""
 	return s, []Cmd{CancelCmd{Attempt: m.Attempt}}
 }
 
-// blame notes a server that failed the request.
-func (s State) blame(server, domain string) State {
-	if server != "" && !slices.Contains(s.Failed, server) {
-		s.Failed = append(slices.Clip(s.Failed), server)
+// recordFailure adds a server and its failure domain to those that the next
+// attempt avoids.
+func (s State) recordFailure(server, domain string) State {
+	if server != "" && !slices.Contains(s.FailedServers, server) {
+		s.FailedServers = append(slices.Clip(s.FailedServers), server)
 	}
-	if domain != "" && !slices.Contains(s.FailedIn, domain) {
-		s.FailedIn = append(slices.Clip(s.FailedIn), domain)
+	if domain != "" && !slices.Contains(s.FailedDomains, domain) {
+		s.FailedDomains = append(slices.Clip(s.FailedDomains), domain)
 	}
 	return s
 }
 
-// cancels drops all attempts that may run.
-func (s State) cancels() []Cmd {
+// cancelAll returns the commands that cancel the current attempt and its hedge.
+func (s State) cancelAll() []Cmd {
 	cmds := []Cmd{CancelCmd{Attempt: s.Attempt}}
-	if s.Hedge != 0 {
-		cmds = append(cmds, CancelCmd{Attempt: s.Hedge})
+	if s.HedgeAttempt != 0 {
+		cmds = append(cmds, CancelCmd{Attempt: s.HedgeAttempt})
 	}
 	return cmds
 }
--- a/coordination/attempt/hedge_test.go
+++ b/coordination/attempt/hedge_test.go
@@ -9,18 +9,18 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// calls is a plain service's replicas around one call: each attempt answers
-// whole, fails, or stays silent, in any order and late.
-type calls struct {
-	t       *rapid.T
-	state   State
-	servers map[int]string // servers are where attempts went.
-	live    map[int]bool   // live are attempts that may still answer.
-	answers int
-	ended   bool
+// callSimulation models the replicas of a service that does not stream: each
+// attempt of a call answers, fails or never answers, in any order.
+type callSimulation struct {
+	t        *rapid.T
+	state    State
+	servers  map[int]string // servers are the servers that attempts were sent to.
+	running  map[int]bool   // running are the attempts that may still answer.
+	answered int
+	ended    bool
 }
 
-func (c *calls) update(m Msg) {
+func (c *callSimulation) update(m Msg) {
 	var cmds []Cmd
 	c.state, cmds = Update(c.state, m)
 	for _, cmd := range cmds {
@@ -28,15 +28,15 @@
 	}
 }
 
-func (c *calls) execute(cmd Cmd) {
+func (c *callSimulation) execute(cmd Cmd) {
 	switch cmd := cmd.(type) {
 	case DispatchCmd:
 		if c.servers[cmd.Attempt] != "" {
 			c.t.Fatalf("attempt %d was sent twice", cmd.Attempt)
 		}
 		mayHedge := cmd.Hedge && c.state.Repeatable
-		if len(c.live) > 1 || (len(c.live) == 1 && !mayHedge) {
-			c.t.Fatalf("attempt %d (hedge %v) beside %v", cmd.Attempt, cmd.Hedge, c.live)
+		if len(c.running) > 1 || (len(c.running) == 1 && !mayHedge) {
+			c.t.Fatalf("attempt %d (hedge %v) was dispatched while attempts %v still run", cmd.Attempt, cmd.Hedge, c.running)
 		}
 		server := fmt.Sprint("s", cmd.Attempt)
 		for _, avoid := range cmd.AvoidServers {
@@ -45,25 +45,25 @@
 			}
 		}
 		c.servers[cmd.Attempt] = server
-		c.live[cmd.Attempt] = true
+		c.running[cmd.Attempt] = true
 		c.update(SentMsg{Attempt: cmd.Attempt, Server: server, Domain: "d" + server})
 	case CancelCmd:
-		delete(c.live, cmd.Attempt)
+		delete(c.running, cmd.Attempt)
 	case RetryCmd:
 		c.update(RetryMsg{})
 	case EmitCmd:
-		c.answers++
+		c.answered++
 	case FinishCmd, RefuseCmd:
 		c.ended = true
 	}
 }
 
-// TestHedge answers, fails, hedges and doubles at random. There is one answer
-// or one refusal, never more than two attempts at once, never two of a call
-// that is not repeatable, and nothing is left running after the end.
+// TestHedge runs random sequences of hedges, answers, duplicates and failures. A
+// call must end with one answer or one refusal, have at most two concurrent
+// attempts, only one if it is not repeatable, and leave none running at the end.
 func TestHedge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := &calls{t: t, state: New(rapid.Bool().Draw(t, "repeatable"), 4, 0, 0), servers: map[int]string{}, live: map[int]bool{}}
+		c := &callSimulation{t: t, state: New(rapid.Bool().Draw(t, "repeatable"), 4, 0, 0), servers: map[int]string{}, running: map[int]bool{}}
 		c.update(StartMsg{})
 		for range 30 {
 			attempt := rapid.IntRange(1, max(1, c.state.AttemptsSent)).Draw(t, "attempt")
@@ -79,39 +79,39 @@
 			case 4:
 				c.update(ExportedMsg{Attempt: attempt})
 			}
-			if c.answers > 1 || c.state.AttemptsSent > 4 {
-				t.Fatalf("%d answers, %d attempts", c.answers, c.state.AttemptsSent)
+			if c.answered > 1 || c.state.AttemptsSent > 4 {
+				t.Fatalf("%d answers and %d attempts, want at most 1 and 4", c.answered, c.state.AttemptsSent)
 			}
 			if c.ended != (c.state.Phase == PhaseEnded) {
 				t.Fatalf("ended %v in phase %d", c.ended, c.state.Phase)
 			}
-			for left := range c.live {
-				if c.ended && left != c.state.Attempt {
-					t.Fatalf("attempt %d is left running", left)
+			for running := range c.running {
+				if c.ended && running != c.state.Attempt {
+					t.Fatalf("attempt %d still runs after the end of the call", running)
 				}
-				if !c.ended && left != c.state.Attempt && left != c.state.Hedge {
-					t.Fatalf("attempt %d runs and is not followed", left)
+				if !c.ended && running != c.state.Attempt && running != c.state.HedgeAttempt {
+					t.Fatalf("attempt %d still runs but is neither the current attempt nor its hedge", running)
 				}
 			}
 		}
 	})
 }
 
-// TestHedgeWins walks through a hedge that answers first.
+// TestHedgeWins checks the commands when the hedge answers first.
 func TestHedgeWins(t *testing.T) {
 	s, _ := Update(New(true, 4, 0, 0), StartMsg{})
 	s, _ = Update(s, SentMsg{Attempt: 1, Server: "slow", Domain: "a"})
 	s, cmds := Update(s, HedgeMsg{})
 	d, ok := cmds[0].(DispatchCmd)
 	if !ok || !d.Hedge || fmt.Sprint(d.AvoidServers, d.AvoidDomains) != "[slow] [a]" {
-		t.Fatalf("the hedge is %+v", cmds)
+		t.Fatalf("commands for the hedge: %+v", cmds)
 	}
 	s, _ = Update(s, SentMsg{Attempt: 2, Server: "fast", Domain: "b"})
 	s, cmds = Update(s, ChunkMsg{Attempt: 2, Tokens: 1, Finish: "answered"})
 	if got := fmt.Sprintf("%T %T %T", cmds[0], cmds[1], cmds[2]); got != "attempt.EmitCmd attempt.CancelCmd attempt.FinishCmd" || cmds[1].(CancelCmd).Attempt != 1 {
-		t.Errorf("the answer gave %s %+v", got, cmds)
+		t.Errorf("commands for the hedge's answer: %s %+v", got, cmds)
 	}
 	if s.Server != "fast" {
-		t.Errorf("the answer is said to be of %q", s.Server)
+		t.Errorf("the answer is attributed to %q, want \"fast\"", s.Server)
 	}
 }
--- a/transport/exchange.go
+++ b/transport/exchange.go
@@ -348,7 +348,7 @@
 		x.askExport(address, cmd)
 		return
 	}
-	elsewhere := attempt.DispatchCmd{AvoidServers: append([]string{cmd.Server}, x.state.Failed...)}
+	elsewhere := attempt.DispatchCmd{AvoidServers: append([]string{cmd.Server}, x.state.FailedServers...)}
 	if _, _, err := x.g.choose(x.request, elsewhere); err != nil {
 		// Nowhere to go yet: the old server goes on, and is asked again later.
 		x.post(attempt.ExportedMsg{Attempt: cmd.Attempt})
