--- a/coordination/admit/admit.go
+++ b/coordination/admit/admit.go
@@ -17,11 +17,11 @@
 
 // The actions.
 const (
-	Run    Action = iota // Run means that this instance, and nobody else, runs the request.
-	Wait                 // Wait means that another one runs it: ask again a little later.
-	Again                // Again means to claim anew under a fresh owner.
-	Replay               // Replay means to return the kept answer.
-	Refuse               // Refuse means to return the refusal.
+	Run        Action = iota // Run means that this instance, and nobody else, runs the request.
+	Wait                     // Wait means that another one runs it: ask again a little later.
+	ClaimAgain               // Again means to claim anew under a fresh owner.
+	Replay                   // Replay means to return the kept answer.
+	Refuse                   // Refuse means to return the refusal.
 )
 
 // Step is a decision.
@@ -53,7 +53,7 @@
 	case protocol.ClaimGranted:
 		return Step{Action: Run}
 	case protocol.ClaimReleased:
-		return Step{Action: Again}
+		return Step{Action: ClaimAgain}
 	case protocol.ClaimRunning:
 		if alive(reply.Owner) {
 			return Step{Action: Wait}
--- a/coordination/admit/admit_test.go
+++ b/coordination/admit/admit_test.go
@@ -19,7 +19,7 @@
 		code    protocol.Code
 	}{
 		{"granted", protocol.ClaimReply{State: protocol.ClaimGranted}, false, Run, 0, ""},
-		{"released", protocol.ClaimReply{State: protocol.ClaimReleased}, false, Again, 0, ""},
+		{"released", protocol.ClaimReply{State: protocol.ClaimReleased}, false, ClaimAgain, 0, ""},
 		{"runs elsewhere", protocol.ClaimReply{State: protocol.ClaimRunning}, true, Wait, 0, ""},
 		{"its owner is gone", protocol.ClaimReply{State: protocol.ClaimRunning}, false, Refuse, protocol.MayHaveRun, protocol.CodeClaimLost},
 		{"ran, kept", protocol.ClaimReply{State: protocol.ClaimRan, Answer: answer}, false, Replay, 0, ""},
--- a/transport/claim.go
+++ b/transport/claim.go
@@ -94,7 +94,7 @@
 		case admit.Run:
 			x.claimed = true
 			return true
-		case admit.Again:
+		case admit.ClaimAgain:
 			x.newOwner()
 		case admit.Replay:
 			x.replay(ctx, step.Answer)
