--- a/coordination/resend/resend.go
+++ b/coordination/resend/resend.go
@@ -70,7 +70,7 @@
 	switch {
 	case !s.MayHaveRun:
 		r := protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeNoBackend, "%s", m.Reason)
-		return r.WithRetryAfter(Later(m.Target))
+		return r.WithRetryAfter(RetryAfter(m.Target))
 	case m.Left <= 0:
 		r := protocol.NewRefusal(protocol.StatusGatewayTimeout, protocol.CodeDeadline, "%s", m.Reason)
 		return r.WithVerdict(protocol.MayHaveRun)
@@ -84,8 +84,8 @@
 	latest  = time.Second
 )
 
-// Later is when a caller that found no place is told to come back: after a part
+// RetryAfter is when a caller that found no place is told to come back: after a part
 // of the time that its answer may take.
-func Later(target time.Duration) time.Duration {
+func RetryAfter(target time.Duration) time.Duration {
 	return max(soonest, min(target/4, latest))
 }
--- a/transport/forward/exchange.go
+++ b/transport/forward/exchange.go
@@ -303,7 +303,7 @@
 		return nil, x.noRoomAtServers()
 	}
 	if !ok {
-		return nil, protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeNoBackend, "no server of the service can take the request").WithRetryAfter(resend.Later(x.route.Target))
+		return nil, protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeNoBackend, "no server of the service can take the request").WithRetryAfter(resend.RetryAfter(x.route.Target))
 	}
 	return &view.Servers[i], nil
 }
--- a/transport/forward/room.go
+++ b/transport/forward/room.go
@@ -109,12 +109,12 @@
 func (x *exchange) noRoomAtServers() *protocol.Refusal {
 	f := x.g.bytesAt(x.service)
 	x.log.Info().Str("service", x.service).Int64("bytes", x.countedBody()).Int64("at_servers", f.all()).Int64("limit", f.most()).Msg("no server has room for a body")
-	return protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeMemory, "no server has room for a body of this size").WithRetryAfter(resend.Later(x.route.Target))
+	return protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeMemory, "no server has room for a body of this size").WithRetryAfter(resend.RetryAfter(x.route.Target))
 }
 
 // noConnection refuses a request for which no connection may be opened. No server is at fault.
 func (x *exchange) noConnection() *protocol.Refusal {
-	r := protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeOverloaded, "the gateway has too many connections to servers").WithRetryAfter(resend.Later(x.route.Target))
+	r := protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeOverloaded, "the gateway has too many connections to servers").WithRetryAfter(resend.RetryAfter(x.route.Target))
 	if x.state.MayHaveRun {
 		return r.WithVerdict(protocol.MayHaveRun).WithStatus(protocol.StatusBadGateway)
 	}
