--- a/coordination/resend/resend.go
+++ b/coordination/resend/resend.go
@@ -16,7 +16,7 @@
 // request that was not sent yet and may run once.
 type State struct {
 	Repeatable bool
-	Most       int  // Most is to how many servers it may be sent.
+	MaxServers int  // Most is to how many servers it may be sent.
 	Sent       int  // Sent is to how many it was.
 	Connects   int  // Connects counts servers that could not be reached at all.
 	MayHaveRun bool // MayHaveRun says that some attempt may have run.
@@ -59,7 +59,7 @@
 	if !m.Verdict.AllowsRetry(s.Repeatable) || (s.MayHaveRun && !s.Repeatable) || m.Left < leastLeft {
 		return false
 	}
-	if s.Sent >= s.Most || s.Connects >= mostConnects {
+	if s.Sent >= s.MaxServers || s.Connects >= mostConnects {
 		return false
 	}
 	return s.Sent == 0 || m.Budget()
--- a/coordination/resend/resend_test.go
+++ b/coordination/resend/resend_test.go
@@ -18,7 +18,7 @@
 // may, and that a refusal promises "not run" only if no attempt may have run.
 func TestNext(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := State{Repeatable: rapid.Bool().Draw(t, "repeatable"), Most: rapid.IntRange(1, 4).Draw(t, "most")}
+		s := State{Repeatable: rapid.Bool().Draw(t, "repeatable"), MaxServers: rapid.IntRange(1, 4).Draw(t, "most")}
 		reached, ran := 0, false
 		for step := 0; ; step++ {
 			if step > 20 {
@@ -46,8 +46,8 @@
 				if m.Left < leastLeft {
 					t.Fatalf("sent again with %v left", m.Left)
 				}
-				if reached >= s.Most {
-					t.Fatalf("sent again after %d of %d servers", reached, s.Most)
+				if reached >= s.MaxServers {
+					t.Fatalf("sent again after %d of %d servers", reached, s.MaxServers)
 				}
 				continue
 			}
@@ -65,7 +65,7 @@
 // TestOutOfReach checks that a request looks for a server in vain for a few times
 // only, though it was sent to none and time is left.
 func TestOutOfReach(t *testing.T) {
-	s := State{Most: 9}
+	s := State{MaxServers: 9}
 	m := FailedMsg{Verdict: protocol.NotRun, Left: time.Minute, Target: time.Second, Budget: func() bool { return true }}
 	for n := 1; ; n++ {
 		var refusal *protocol.Refusal
--- a/transport/forward/exchange.go
+++ b/transport/forward/exchange.go
@@ -133,7 +133,7 @@
 		x.prefix = place.Prefix(x.call.Prefix)
 		x.chain = place.Chain(x.call.Prefix)
 	}
-	x.state = resend.State{Repeatable: x.route.Repeatable(), Most: max(1, x.route.Attempts)}
+	x.state = resend.State{Repeatable: x.route.Repeatable(), MaxServers: max(1, x.route.Attempts)}
 	if x.call.LastEvent != "" {
 		x.events.last, x.events.seen = x.call.LastEvent, true
 	}
--- a/transport/forward/forward_test.go
+++ b/transport/forward/forward_test.go
@@ -548,7 +548,7 @@
 	defer x.release()
 	x.route = &protocol.PathRoute{Target: time.Second}
 	x.deadline = time.Now().Add(patience)
-	x.state = resend.State{Repeatable: true, Most: 3}
+	x.state = resend.State{Repeatable: true, MaxServers: 3}
 	if got := x.failed(protocol.NotRun, true, "turned away"); got != errAgain {
 		t.Errorf("got %+v while the caller waits", got)
 	}
