--- a/coordination/resend/resend.go
+++ b/coordination/resend/resend.go
@@ -24,12 +24,12 @@
 
 // FailedMsg is the outcome of an attempt without an answer that counts.
 type FailedMsg struct {
-	Verdict protocol.Verdict
-	Reached bool // Reached says that the server got any of it.
-	Reason  string
-	Budget  func() bool // Budget takes a retry, if there is one.
-	Left    time.Duration
-	Target  time.Duration // Target is the route's aim, by which a caller is told when to come back.
+	Verdict  protocol.Verdict
+	Reached  bool // Reached says that the server got any of it.
+	Reason   string
+	Budget   func() bool // Budget takes a retry, if there is one.
+	TimeLeft time.Duration
+	Target   time.Duration // Target is the route's aim, by which a caller is told when to come back.
 }
 
 // mostConnects bounds the servers that are tried in vain for one request.
@@ -56,7 +56,7 @@
 }
 
 func (s State) may(m FailedMsg) bool {
-	if !m.Verdict.AllowsRetry(s.Repeatable) || (s.MayHaveRun && !s.Repeatable) || m.Left < leastLeft {
+	if !m.Verdict.AllowsRetry(s.Repeatable) || (s.MayHaveRun && !s.Repeatable) || m.TimeLeft < leastLeft {
 		return false
 	}
 	if s.Sent >= s.MaxServers || s.Connects >= mostConnects {
@@ -71,7 +71,7 @@
 	case !s.MayHaveRun:
 		r := protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeNoBackend, "%s", m.Reason)
 		return r.WithRetryAfter(RetryAfter(m.Target))
-	case m.Left <= 0:
+	case m.TimeLeft <= 0:
 		r := protocol.NewRefusal(protocol.StatusGatewayTimeout, protocol.CodeDeadline, "%s", m.Reason)
 		return r.WithVerdict(protocol.MayHaveRun)
 	}
--- a/coordination/resend/resend_test.go
+++ b/coordination/resend/resend_test.go
@@ -25,11 +25,11 @@
 				t.Fatal("it does not end")
 			}
 			m := FailedMsg{
-				Verdict: rapid.SampledFrom([]protocol.Verdict{protocol.NotRun, protocol.MayHaveRun}).Draw(t, "verdict"),
-				Reached: rapid.Bool().Draw(t, "reached"),
-				Left:    time.Duration(rapid.IntRange(-10, 500).Draw(t, "left")) * time.Millisecond,
-				Target:  time.Second,
-				Budget:  func() bool { return rapid.Bool().Draw(t, "budget") },
+				Verdict:  rapid.SampledFrom([]protocol.Verdict{protocol.NotRun, protocol.MayHaveRun}).Draw(t, "verdict"),
+				Reached:  rapid.Bool().Draw(t, "reached"),
+				TimeLeft: time.Duration(rapid.IntRange(-10, 500).Draw(t, "left")) * time.Millisecond,
+				Target:   time.Second,
+				Budget:   func() bool { return rapid.Bool().Draw(t, "budget") },
 			}
 			if !m.Reached {
 				m.Verdict = protocol.NotRun
@@ -43,8 +43,8 @@
 				if ran && !s.Repeatable {
 					t.Fatal("sent again though it may have run")
 				}
-				if m.Left < leastLeft {
-					t.Fatalf("sent again with %v left", m.Left)
+				if m.TimeLeft < leastLeft {
+					t.Fatalf("sent again with %v left", m.TimeLeft)
 				}
 				if reached >= s.MaxServers {
 					t.Fatalf("sent again after %d of %d servers", reached, s.MaxServers)
@@ -66,7 +66,7 @@
 // only, though it was sent to none and time is left.
 func TestOutOfReach(t *testing.T) {
 	s := State{MaxServers: 9}
-	m := FailedMsg{Verdict: protocol.NotRun, Left: time.Minute, Target: time.Second, Budget: func() bool { return true }}
+	m := FailedMsg{Verdict: protocol.NotRun, TimeLeft: time.Minute, Target: time.Second, Budget: func() bool { return true }}
 	for n := 1; ; n++ {
 		var refusal *protocol.Refusal
 		s, refusal = Next(s, m)
--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -146,12 +146,12 @@
 		return errAgain
 	}
 	next, refusal := resend.Next(x.state, resend.FailedMsg{
-		Verdict: v,
-		Reached: reached,
-		Reason:  reason,
-		Budget:  func() bool { return x.g.retries(x.service) },
-		Left:    x.left(),
-		Target:  x.route.Target,
+		Verdict:  v,
+		Reached:  reached,
+		Reason:   reason,
+		Budget:   func() bool { return x.g.retries(x.service) },
+		TimeLeft: x.left(),
+		Target:   x.route.Target,
 	})
 	x.state = next
 	x.log.Info().Str("server", x.server).Stringer("verdict", v).Bool("reached", reached).Str("reason", reason).
