--- a/coordination/admit/admit.go
+++ b/coordination/admit/admit.go
@@ -1,9 +1,10 @@
-// Package admit decides whether a request that must run at most once enters,
-// from what the claims group answered.
+// Package admit decides whether a request that must run at most once may run,
+// from the claims group's reply.
 //
-// It is a function of the answer, the membership and the time: [Next] returns
-// what to do. The claim, not the entry instance, decides, so that a resend
-// through any instance finds the first one's run.
+// It does no I/O: [Next] is a function of the reply and of which instances are
+// alive. Claims are held by the group, not by the instance that receives the
+// request, so a resend through any instance finds the run that the first send
+// started.
 package admit
 
 import (
@@ -12,30 +13,31 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Action is what to do with a request.
+// Action says how to proceed with a request.
 type Action uint8
 
 // The actions.
 const (
-	Run        Action = iota // Run means that this instance, and nobody else, runs the request.
-	Wait                     // Wait means that another one runs it: ask again a little later.
-	ClaimAgain               // Again means to claim anew under a fresh owner.
-	Replay                   // Replay means to return the kept answer.
+	Run        Action = iota // Run means that this instance holds the claim and runs the request.
+	Wait                     // Wait means that another owner runs it: ask again later.
+	ClaimAgain               // ClaimAgain means to claim once more under a fresh owner.
+	Replay                   // Replay means to return the stored answer.
 	Refuse                   // Refuse means to return the refusal.
 )
 
-// Step is a decision.
+// Step is an action with the answer or the refusal to return.
 type Step struct {
 	Action  Action
 	Answer  *protocol.Answer
 	Refusal *protocol.Refusal
 }
 
-// retryFull is when to come back while no more claims can be kept.
-const retryFull = 5 * time.Second
+// fullRetryAfter is the Retry-After while no more claims can be stored.
+const fullRetryAfter = 5 * time.Second
 
-// Check refuses a request that cannot be claimed, or returns nil. A claim is
-// kept for a window of time; only a key with a date shows when it is older.
+// Check returns the refusal of a request that cannot be claimed, or nil. A claim
+// is stored for a limited window; only a dated key shows when it is older than
+// that.
 func Check(r *protocol.Request, keyGiven bool) *protocol.Refusal {
 	if !keyGiven {
 		return protocol.NewRefusal(protocol.StatusBadRequest, protocol.CodeBadRequest, "a request that must not be repeated needs the header %s", protocol.HeaderKey)
@@ -46,8 +48,8 @@
 	return nil
 }
 
-// Next decides by the group's answer. The func alive tells whether an owner
-// may still be at work.
+// Next returns the step that follows from the claims group's reply. The function
+// alive reports whether an owner may still be running.
 func Next(reply protocol.ClaimReply, alive func(protocol.Owner) bool) Step {
 	switch reply.State {
 	case protocol.ClaimGranted:
@@ -58,58 +60,58 @@
 		if alive(reply.Owner) {
 			return Step{Action: Wait}
 		}
-		return refuse(lost("the instance %s that ran the request is gone", reply.Owner.Instance))
+		return refuse(claimLost("the instance %s that ran the request is gone", reply.Owner.Instance))
 	case protocol.ClaimRan:
 		if reply.Answer != nil {
 			return Step{Action: Replay, Answer: reply.Answer}
 		}
 		r := protocol.NewRefusal(protocol.StatusConflict, protocol.CodeAnswerDropped, "the request ran; its answer is not kept any more")
-		return refuse(earlier(r, protocol.Ran))
+		return refuse(withEarlierVerdict(r, protocol.Ran))
 	case protocol.ClaimMayHaveRun:
-		return refuse(lost("the outcome of an earlier send is not known"))
+		return refuse(claimLost("the outcome of an earlier send is not known"))
 	case protocol.ClaimConflict:
 		return refuse(protocol.NewRefusal(protocol.StatusConflict, protocol.CodeKeyReused, "the key was used for another request"))
 	case protocol.ClaimExpired:
 		r := protocol.NewRefusal(protocol.StatusGone, protocol.CodeKeyExpired, "the request was first issued longer ago than claims are kept: an earlier send may have run")
-		return refuse(earlier(r, protocol.MayHaveRun))
+		return refuse(withEarlierVerdict(r, protocol.MayHaveRun))
 	case protocol.ClaimFuture:
 		return refuse(protocol.NewRefusal(protocol.StatusBadRequest, protocol.CodeBadRequest, "%s lies in the future", protocol.HeaderIssuedAt))
 	case protocol.ClaimFull:
 		r := protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeOverloaded, "no more claims can be kept at the moment")
-		return refuse(r.WithRetryAfter(retryFull))
+		return refuse(r.WithRetryAfter(fullRetryAfter))
 	}
-	return refuse(lost("the claims group gave an answer that is not understood"))
+	return refuse(claimLost("the claims group gave an answer that is not understood"))
 }
 
 func refuse(r *protocol.Refusal) Step { return Step{Action: Refuse, Refusal: r} }
 
-// earlier marks that this send did nothing, but an earlier one may have.
-func earlier(r *protocol.Refusal, v protocol.Verdict) *protocol.Refusal {
+// withEarlierVerdict marks that this send did nothing, but an withEarlierVerdict one may have.
+func withEarlierVerdict(r *protocol.Refusal, v protocol.Verdict) *protocol.Refusal {
 	c := r.WithVerdict(v)
 	c.SendNotRun = true
 	return c
 }
 
-func lost(format string, args ...any) *protocol.Refusal {
+func claimLost(format string, args ...any) *protocol.Refusal {
 	r := protocol.NewRefusal(protocol.StatusConflict, protocol.CodeClaimLost, format, args...)
-	return earlier(r, protocol.MayHaveRun)
+	return withEarlierVerdict(r, protocol.MayHaveRun)
 }
 
-// NoQuorum is the refusal when the claims cannot be asked. This send did
-// nothing; whether an earlier one with the same key ran, only the claims know.
+// NoQuorum returns the refusal for when the claims group cannot be reached. This
+// send was not run, but an earlier one with the same key may have.
 func NoQuorum(err error) *protocol.Refusal {
 	r := protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeNoQuorum, "%v: this send was not run", err)
-	return earlier(r, protocol.MayHaveRun).WithRetryAfter(time.Second)
+	return withEarlierVerdict(r, protocol.MayHaveRun).WithRetryAfter(time.Second)
 }
 
-// Unclaimed is the refusal of a request that is turned away before the claims
-// were asked. If it has a key, an earlier send may have run, whatever became of
-// this one; only a request that is malformed cannot have been let in before.
+// Unclaimed returns the refusal of a request that is rejected before it was
+// claimed. If it has a key, an earlier send may have run even though this one did
+// not; only a malformed request cannot have been accepted before.
 func Unclaimed(r *protocol.Refusal, keyGiven bool) *protocol.Refusal {
 	if !keyGiven || r.Verdict != protocol.NotRun || malformed(r.Code) {
 		return r
 	}
-	return earlier(r, protocol.MayHaveRun)
+	return withEarlierVerdict(r, protocol.MayHaveRun)
 }
 
 func malformed(c protocol.Code) bool {
--- a/coordination/admit/admit_test.go
+++ b/coordination/admit/admit_test.go
@@ -7,7 +7,7 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// TestNext walks through every answer that the claims group can give.
+// TestNext checks the step for every reply of the claims group.
 func TestNext(t *testing.T) {
 	answer := &protocol.Answer{Text: "kept"}
 	for _, tt := range []struct {
@@ -21,15 +21,15 @@
 		{"granted", protocol.ClaimReply{State: protocol.ClaimGranted}, false, Run, 0, ""},
 		{"released", protocol.ClaimReply{State: protocol.ClaimReleased}, false, ClaimAgain, 0, ""},
 		{"runs elsewhere", protocol.ClaimReply{State: protocol.ClaimRunning}, true, Wait, 0, ""},
-		{"its owner is gone", protocol.ClaimReply{State: protocol.ClaimRunning}, false, Refuse, protocol.MayHaveRun, protocol.CodeClaimLost},
-		{"ran, kept", protocol.ClaimReply{State: protocol.ClaimRan, Answer: answer}, false, Replay, 0, ""},
-		{"ran, dropped", protocol.ClaimReply{State: protocol.ClaimRan}, false, Refuse, protocol.Ran, protocol.CodeAnswerDropped},
+		{"the owner is gone", protocol.ClaimReply{State: protocol.ClaimRunning}, false, Refuse, protocol.MayHaveRun, protocol.CodeClaimLost},
+		{"ran, answer stored", protocol.ClaimReply{State: protocol.ClaimRan, Answer: answer}, false, Replay, 0, ""},
+		{"ran, answer dropped", protocol.ClaimReply{State: protocol.ClaimRan}, false, Refuse, protocol.Ran, protocol.CodeAnswerDropped},
 		{"may have run", protocol.ClaimReply{State: protocol.ClaimMayHaveRun}, true, Refuse, protocol.MayHaveRun, protocol.CodeClaimLost},
-		{"another request", protocol.ClaimReply{State: protocol.ClaimConflict}, true, Refuse, protocol.NotRun, protocol.CodeKeyReused},
+		{"key of another request", protocol.ClaimReply{State: protocol.ClaimConflict}, true, Refuse, protocol.NotRun, protocol.CodeKeyReused},
 		{"too old", protocol.ClaimReply{State: protocol.ClaimExpired}, true, Refuse, protocol.MayHaveRun, protocol.CodeKeyExpired},
 		{"from the future", protocol.ClaimReply{State: protocol.ClaimFuture}, true, Refuse, protocol.NotRun, protocol.CodeBadRequest},
-		{"full", protocol.ClaimReply{State: protocol.ClaimFull}, true, Refuse, protocol.NotRun, protocol.CodeOverloaded},
-		{"not understood", protocol.ClaimReply{State: 99}, true, Refuse, protocol.MayHaveRun, protocol.CodeClaimLost},
+		{"claims full", protocol.ClaimReply{State: protocol.ClaimFull}, true, Refuse, protocol.NotRun, protocol.CodeOverloaded},
+		{"unknown state", protocol.ClaimReply{State: 99}, true, Refuse, protocol.MayHaveRun, protocol.CodeClaimLost},
 	} {
 		step := Next(tt.reply, func(protocol.Owner) bool { return tt.alive })
 		if step.Action != tt.action {
@@ -42,7 +42,7 @@
 	}
 }
 
-// TestCheck asks for a key and its date.
+// TestCheck checks that a request needs a key and the date of the key.
 func TestCheck(t *testing.T) {
 	dated := &protocol.Request{IssuedAt: time.Unix(1, 0)}
 	if r := Check(dated, true); r != nil {
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestUnclaimed says "not run" before the claims were asked only of a request
-// that no earlier send can have been.
+// TestUnclaimed checks that the verdict before a claim is "not run" only for a
+// request without a key, or one that no earlier send can have run.
 func TestUnclaimed(t *testing.T) {
 	for _, tt := range []struct {
 		code  protocol.Code
