--- a/coordination/admit/admit.go
+++ b/coordination/admit/admit.go
@@ -85,7 +85,8 @@
 
 func refuse(r *protocol.Refusal) Step { return Step{Action: Refuse, Refusal: r} }
 
-// withEarlierVerdict marks that this send did nothing, but an withEarlierVerdict one may have.
+// withEarlierVerdict returns the refusal with the verdict on an earlier send with
+// the same key, and marks this send as not run.
 func withEarlierVerdict(r *protocol.Refusal, v protocol.Verdict) *protocol.Refusal {
 	c := r.WithVerdict(v)
 	c.SendNotRun = true
