--- a/coordination/retry/hedge.go
+++ b/coordination/retry/hedge.go
@@ -3,40 +3,41 @@
 import "time"
 
 const (
-	// hedgeQuantile is the part of the answers that come before a hedge is sent,
-	// so that one call in twenty is sent twice.
+	// hedgeQuantile is the fraction of answers that arrive before the hedge delay,
+	// so that one call in twenty is hedged.
 	hedgeQuantile = 0.95
-	// hedgeStep is how far one answer moves the delay, as a part of it.
-	hedgeStep = 0.05
-	// FirstHedge is the delay before any answer was seen.
-	FirstHedge = 50 * time.Millisecond
-	leastHedge = time.Millisecond
-	mostHedge  = 2 * time.Second
+	// hedgeStepFraction scales the adjustment that one answer makes, as a fraction
+	// of the delay.
+	hedgeStepFraction = 0.05
+	// InitialHedgeDelay is the delay before the first observation.
+	InitialHedgeDelay = 50 * time.Millisecond
+	minHedgeDelay     = time.Millisecond
+	maxHedgeDelay     = 2 * time.Second
 )
 
-// HedgeDelay follows how long nearly all answers of a service take. It keeps
-// one number: an answer that took longer raises it by much, one that took less
-// lowers it by little, in the proportion that balances at the quantile.
+// HedgeDelay is a streaming estimate of a high quantile of a service's response
+// time. It keeps one number: a slower answer raises it by a large step, a faster
+// one lowers it by a small step, in the ratio that balances at the quantile.
 //
 //	delay = delay.Observe(took)
 //	wait := delay.Wait()
-type HedgeDelay struct{ wait time.Duration }
+type HedgeDelay struct{ delay time.Duration }
 
-// Wait returns how long to wait for an answer before the call is sent to
-// another replica as well.
+// Wait returns how long to wait for an answer before sending a hedge to another
+// replica.
 func (d HedgeDelay) Wait() time.Duration {
-	if d.wait == 0 {
-		return FirstHedge
+	if d.delay == 0 {
+		return InitialHedgeDelay
 	}
-	return d.wait
+	return d.delay
 }
 
-// Observe returns the delay after an answer that took so long.
+// Observe returns the delay updated with the response time of one answer.
 func (d HedgeDelay) Observe(took time.Duration) HedgeDelay {
-	step := hedgeStep * float64(d.Wait())
-	move := -step * (1 - hedgeQuantile)
+	step := hedgeStepFraction * float64(d.Wait())
+	adjustment := -step * (1 - hedgeQuantile)
 	if took > d.Wait() {
-		move = step * hedgeQuantile
+		adjustment = step * hedgeQuantile
 	}
-	return HedgeDelay{wait: min(mostHedge, max(leastHedge, d.Wait()+time.Duration(move)))}
+	return HedgeDelay{delay: min(maxHedgeDelay, max(minHedgeDelay, d.Wait()+time.Duration(adjustment)))}
 }
--- a/coordination/retry/hedge_test.go
+++ b/coordination/retry/hedge_test.go
@@ -15,9 +15,9 @@
 	_ "github.com/weldstream/weldstream/internal/testseed" // Fixes the seed.
 )
 
-// TestHedgeDelayFollows feeds answers of a random scale and checks that the
-// delay comes to lie where about the stated part of them is shorter.
-func TestHedgeDelayFollows(t *testing.T) {
+// TestHedgeDelayTracksQuantile observes random response times of a random scale
+// and checks that the delay converges to about hedgeQuantile of them.
+func TestHedgeDelayTracksQuantile(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		scale := float64(rapid.IntRange(2, 200).Draw(t, "ms")) * float64(time.Millisecond)
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 5))
@@ -33,31 +33,32 @@
 			}
 			d = d.Observe(took)
 		}
-		if part := float64(shorter) / float64(counted); part < 0.9 || part > 0.99 {
-			t.Fatalf("%.3f of the answers are shorter than the delay %v", part, d.Wait())
+		if fraction := float64(shorter) / float64(counted); fraction < 0.9 || fraction > 0.99 {
+			t.Fatalf("%.3f of the answers are shorter than the delay %v", fraction, d.Wait())
 		}
 	})
 }
 
 // The experiment below sends look-ups to four replicas, each to the less loaded
-// of two. One call in fifty takes twelve times as long, whichever replica has
-// it. It counts how many are in time. An attempt that lost still runs to its end.
+// of two random ones. One call in fifty takes twelve times as long, on any
+// replica. It measures the share of look-ups answered within lookUpTarget. The
+// slower attempt of a hedged look-up still runs to its end.
 const (
 	lookUps      = 20000
 	lookUpWork   = 15 * time.Millisecond
 	lookUpTarget = 100 * time.Millisecond
-	lookUpSlots  = 6 // calls that a replica runs at once
-	slowTimes    = 12
-	slowOneIn    = 50
+	lookUpSlots  = 6 // concurrent calls of a replica
+	slowFactor   = 12
+	slowInterval = 50
 )
 
-// replica is a fake replica: the times at which its slots fall free.
-type replica struct{ free [lookUpSlots]time.Duration }
+// fakeReplica simulates a replica by the times at which its slots become free.
+type fakeReplica struct{ freeAt [lookUpSlots]time.Duration }
 
-// busy counts the slots that are taken.
-func (r *replica) busy(now time.Duration) int {
+// busy returns the number of occupied slots.
+func (r *fakeReplica) busy(now time.Duration) int {
 	n := 0
-	for _, at := range r.free {
+	for _, at := range r.freeAt {
 		if at > now {
 			n++
 		}
@@ -65,38 +66,40 @@
 	return n
 }
 
-// run returns when a call that arrives now is answered.
-func (r *replica) run(now, work time.Duration) time.Duration {
+// run occupies the slot that becomes free first and returns when a call that
+// arrives now is answered.
+func (r *fakeReplica) run(now, work time.Duration) time.Duration {
 	i := 0
-	for k := range r.free {
-		if r.free[k] < r.free[i] {
+	for k := range r.freeAt {
+		if r.freeAt[k] < r.freeAt[i] {
 			i = k
 		}
 	}
-	r.free[i] = max(r.free[i], now) + work
-	return r.free[i]
+	r.freeAt[i] = max(r.freeAt[i], now) + work
+	return r.freeAt[i]
 }
 
-// lateCall is a look-up whose answer is late.
-type lateCall struct {
-	from time.Duration
-	at   time.Duration // at is when it is sent again.
-	end  time.Duration // end is when the first attempt will be answered.
+// pendingHedge is a look-up that is answered only after the hedge delay.
+type pendingHedge struct {
+	sentAt  time.Duration
+	hedgeAt time.Duration // hedgeAt is when the hedge is due.
+	doneAt  time.Duration // doneAt is when the first attempt is answered.
 }
 
-// lookUpRun returns the part in time, the 99th percentile and the calls sent
-// for each look-up.
-func lookUpRun(seed uint64, load float64, hedge, budget bool, b Budget) (inTime float64, p99 time.Duration, calls float64) {
+// lookUpRun simulates the look-ups and returns the percentage answered within the
+// target, the 99th percentile of the response time and the calls sent per
+// look-up. If limited is set, hedges are taken from the budget b.
+func lookUpRun(seed uint64, load float64, hedge, limited bool, b Budget) (inTime float64, p99 time.Duration, calls float64) {
 	rnd := rand.New(rand.NewPCG(seed, 3))
-	var replicas [4]replica
+	var replicas [4]fakeReplica
 	var d HedgeDelay
-	mean := lookUpWork.Seconds() * (1 + float64(slowTimes-1)/slowOneIn)
+	mean := lookUpWork.Seconds() * (1 + float64(slowFactor-1)/slowInterval)
 	rate := load * float64(len(replicas)*lookUpSlots) / mean
 	now, sent := time.Duration(0), 0
 	var took []time.Duration
 	work := func() time.Duration {
-		if rnd.IntN(slowOneIn) == 0 {
-			return slowTimes * lookUpWork
+		if rnd.IntN(slowInterval) == 0 {
+			return slowFactor * lookUpWork
 		}
 		return time.Duration(float64(lookUpWork) * (0.6 + 0.8*rnd.Float64()))
 	}
@@ -107,24 +110,24 @@
 		}
 		return i
 	}
-	var late []lateCall // late are those to be hedged, the next one first.
+	var pending []pendingHedge // pending are the look-ups to be hedged, by due time.
 	answered := func(from, at time.Duration) {
 		d = d.Observe(at - from)
 		took = append(took, at-from)
 	}
 	hedgeUntil := func(until time.Duration) {
-		for len(late) > 0 && late[0].at <= until {
-			c := late[0]
-			late = late[1:]
+		for len(pending) > 0 && pending[0].hedgeAt <= until {
+			c := pending[0]
+			pending = pending[1:]
 			ok := true
-			if budget {
-				b, ok = b.Spend(time.Unix(0, 0).Add(c.at))
+			if limited {
+				b, ok = b.Spend(time.Unix(0, 0).Add(c.hedgeAt))
 			}
 			if ok {
 				sent++
-				c.end = min(c.end, replicas[pick(c.at)].run(c.at, work()))
+				c.doneAt = min(c.doneAt, replicas[pick(c.hedgeAt)].run(c.hedgeAt, work()))
 			}
-			answered(c.from, c.end)
+			answered(c.sentAt, c.doneAt)
 		}
 	}
 	for range lookUps {
@@ -134,8 +137,8 @@
 		sent++
 		b = b.Success(time.Unix(0, 0).Add(now))
 		if due := now + d.Wait(); hedge && end > due {
-			i, _ := slices.BinarySearchFunc(late, due, func(c lateCall, at time.Duration) int { return cmp.Compare(c.at, at) })
-			late = slices.Insert(late, i, lateCall{from: now, at: due, end: end})
+			i, _ := slices.BinarySearchFunc(pending, due, func(c pendingHedge, at time.Duration) int { return cmp.Compare(c.hedgeAt, at) })
+			pending = slices.Insert(pending, i, pendingHedge{sentAt: now, hedgeAt: due, doneAt: end})
 			continue
 		}
 		answered(now, end)
@@ -146,14 +149,15 @@
 	return 100 * float64(n) / lookUps, took[lookUps*99/100], float64(sent) / lookUps
 }
 
-// TestHedgeExperiment prints the table that the docs quote.
+// TestHedgeExperiment compares hedging policies over several loads. Its table is
+// quoted in the docs.
 func TestHedgeExperiment(t *testing.T) {
 	var out strings.Builder
 	out.WriteString("| way | load % | within 100 ms % | 99th percentile ms | calls a look-up |\n| --- | --- | --- | --- | --- |\n")
 	for _, w := range []struct {
-		name          string
-		hedge, budget bool
-		of            Budget
+		name             string
+		hedge, useBudget bool
+		budget           Budget
 	}{
 		{"no hedge", false, false, Budget{}},
 		{"hedge", true, false, Budget{}},
@@ -163,7 +167,7 @@
 		for _, load := range []float64{0.3, 0.5, 0.7, 0.85} {
 			var in, tail, calls []float64
 			for seed := range uint64(5) {
-				a, p, c := lookUpRun(seed, load, w.hedge, w.budget, w.of)
+				a, p, c := lookUpRun(seed, load, w.hedge, w.useBudget, w.budget)
 				in, tail, calls = append(in, a), append(tail, float64(p.Microseconds())/1000), append(calls, c)
 			}
 			slices.Sort(in)
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -1,8 +1,8 @@
-// Package retry holds the retry budget: retries are a part of the recent
-// successes, so that a failing system is not loaded further by its own
-// retries.
+// Package retry implements retry and hedge budgets. Retries are limited to a
+// fraction of the recent successes, so that retries do not add load to a failing
+// system.
 //
-// A [Budget] is a value. Each update returns the new one:
+// A [Budget] is an immutable value. Each update returns the new one:
 //
 //	budget = budget.Success(now)
 //	budget, ok := budget.Spend(now)
@@ -11,44 +11,44 @@
 import "time"
 
 const (
-	// Ratio is the part of a retry that one success earns.
+	// Ratio is the fraction of a retry that one success earns.
 	Ratio = 0.2
-	// Floor is how many retries a second are earned whatever the successes, so
-	// that a quiet system can retry at all.
+	// Floor is the number of retries earned per second regardless of successes,
+	// so that a system with little traffic can retry at all.
 	Floor = 2.0
-	// Most bounds what can be saved up.
-	Most = 50.0
-	// HedgeRatio is the part of a hedge that one success earns.
+	// MaxSaved limits the retries that can accumulate.
+	MaxSaved = 50.0
+	// HedgeRatio is the fraction of a hedge that one success earns.
 	HedgeRatio = 0.05
-	// HedgeMost bounds the hedges that can be saved up.
-	HedgeMost = 10.0
+	// HedgeMaxSaved limits the hedges that can accumulate.
+	HedgeMaxSaved = 10.0
 )
 
-// Budget is the number of retries that may be made now.
+// Budget is a token bucket of retries, refilled by successes and by time.
 type Budget struct {
-	ratio float64 // ratio is what one success earns.
-	floor float64 // floor is earned each second, whatever the successes.
-	most  float64
-	saved float64
-	at    time.Time
+	ratio    float64 // ratio is what one success earns.
+	floor    float64 // floor is earned each second, regardless of successes.
+	maxSaved float64
+	saved    float64
+	at       time.Time
 }
 
-// New returns a budget with a second's floor in it.
+// New returns a budget that starts with one second's worth of Floor.
 func New(now time.Time) Budget {
-	return Budget{ratio: Ratio, floor: Floor, most: Most, saved: Floor, at: now}
+	return Budget{ratio: Ratio, floor: Floor, maxSaved: MaxSaved, saved: Floor, at: now}
 }
 
-// NewHedges returns the budget of hedges. It is far smaller than that of
-// retries: a retry answers a failure, while hedges come when a service is slow,
-// which may be because of its load, and must not add to that. See
-// docs/design/0008-hedging.md for what a larger one does.
+// NewHedges returns the budget of hedges. It is much smaller than that of
+// retries: a retry follows a failure, while hedges are sent when a service is
+// slow, possibly because of its load, and must not add to that load. See
+// docs/design/0008-hedging.md for the effect of a larger one.
 func NewHedges(now time.Time) Budget {
-	return Budget{ratio: HedgeRatio, most: HedgeMost, saved: 1, at: now}
+	return Budget{ratio: HedgeRatio, maxSaved: HedgeMaxSaved, saved: 1, at: now}
 }
 
 func (b Budget) refill(now time.Time) Budget {
 	if d := now.Sub(b.at); d > 0 {
-		b.saved = min(b.most, b.saved+b.floor*d.Seconds())
+		b.saved = min(b.maxSaved, b.saved+b.floor*d.Seconds())
 		b.at = now
 	}
 	return b
@@ -57,11 +57,11 @@
 // Success adds what one success earns.
 func (b Budget) Success(now time.Time) Budget {
 	b = b.refill(now)
-	b.saved = min(b.most, b.saved+b.ratio)
+	b.saved = min(b.maxSaved, b.saved+b.ratio)
 	return b
 }
 
-// Spend takes one retry out and reports whether there was one.
+// Spend takes one retry from the budget and reports whether one was available.
 func (b Budget) Spend(now time.Time) (Budget, bool) {
 	b = b.refill(now)
 	if b.saved < 1 {
@@ -71,5 +71,5 @@
 	return b, true
 }
 
-// Saved returns how many retries are left.
+// Saved returns the number of available retries.
 func (b Budget) Saved() float64 { return b.saved }
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestBudget compares with a plain account: what was earned by the start, by
-// successes and by time, less what was spent.
+// TestBudget checks that the retries spent never exceed those earned initially,
+// by successes and by time.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -31,17 +31,17 @@
 				earned += Floor * d.Seconds()
 			},
 			"": func(t *rapid.T) {
-				if b.Saved() < 0 || b.Saved() > Most || spent > earned+1e-9 {
-					t.Fatalf("saved %v, spent %v of %v", b.Saved(), spent, earned)
+				if b.Saved() < 0 || b.Saved() > MaxSaved || spent > earned+1e-9 {
+					t.Fatalf("saved %v, spent %v of %v earned", b.Saved(), spent, earned)
 				}
 			},
 		})
 	})
 }
 
-// TestBudgetStopsAStorm fails every request of a second: after the first few,
-// nothing is retried any more.
-func TestBudgetStopsAStorm(t *testing.T) {
+// TestBudgetPreventsRetryStorm fails every request for one second: only the first
+// few are retried.
+func TestBudgetPreventsRetryStorm(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := New(now)
 	retried := 0
@@ -53,6 +53,6 @@
 		}
 	}
 	if retried < 2 || retried > 4 {
-		t.Errorf("%d of 1000 were retried, want 2 to 4", retried)
+		t.Errorf("%d of 1000 requests were retried, want 2 to 4", retried)
 	}
 }
--- a/coordination/retry/share.go
+++ b/coordination/retry/share.go
@@ -2,44 +2,45 @@
 
 import "time"
 
-// Share is one gateway's part of a retry budget that holds over all gateways
-// and for each service: in a window, the sendings beyond the first of each
-// request are at most a part of the requests, and some more.
+// Share is one gateway's share of a service's retry budget, which applies to all
+// gateways together: in each window, the retries are at most a fraction (the
+// ratio) of the requests plus a fixed number (the extra).
 //
-// Each gateway earns by its own requests, so what all of them earn adds up to
-// the whole, and begins with its even part of the extra. It keeps to less than
-// both, since a gateway that is started anew begins again.
+// A gateway earns retries from its own requests, so that the gateways together
+// earn the ratio of all requests, and starts with an equal share of the extra.
+// Each uses only a part of both, because a gateway that restarts gets its share
+// of the extra again.
 type Share struct {
-	ratio  float64
-	most   float64
-	tokens float64
-	at     time.Time
-	window time.Duration
+	ratio     float64
+	maxTokens float64
+	tokens    float64
+	at        time.Time
+	window    time.Duration
 }
 
-// shareOf is the part of the bounds that is used.
-const shareOf = 0.7
+// usedFraction is the fraction of ratio and extra that the gateways use.
+const usedFraction = 0.7
 
-// NewShare returns a gateway's part of a budget.
+// NewShare returns one gateway's share of a budget.
 func NewShare(ratio, extra float64, window time.Duration, gateways int, now time.Time) *Share {
-	most := extra * shareOf / float64(max(1, gateways))
-	return &Share{ratio: ratio * shareOf, most: most, tokens: most, at: now, window: window}
+	maxTokens := extra * usedFraction / float64(max(1, gateways))
+	return &Share{ratio: ratio * usedFraction, maxTokens: maxTokens, tokens: maxTokens, at: now, window: window}
 }
 
-// Resize takes on another number of gateways.
+// Resize adjusts the share to a new number of gateways.
 func (s *Share) Resize(extra float64, gateways int) {
-	s.most = extra * shareOf / float64(max(1, gateways))
+	s.maxTokens = extra * usedFraction / float64(max(1, gateways))
 }
 
-// Request notes a request.
+// Request records a request, which earns a part of a retry.
 func (s *Share) Request(now time.Time) {
-	s.fill(now)
+	s.adjust(now)
 	s.tokens += s.ratio
 }
 
-// Spend takes one retry, if there is one.
+// Spend takes one retry and reports whether one was available.
 func (s *Share) Spend(now time.Time) bool {
-	s.fill(now)
+	s.adjust(now)
 	if s.tokens < 1 {
 		return false
 	}
@@ -47,14 +48,14 @@
 	return true
 }
 
-// fill lets the extra come back over two windows, and what was earned beyond it
-// fade over one, so that nothing is saved up for a later window.
-func (s *Share) fill(now time.Time) {
-	part := float64(now.Sub(s.at)) / float64(s.window)
+// adjust refills the extra over two windows. Tokens above it decay over one
+// window, so that retries do not accumulate for a later window.
+func (s *Share) adjust(now time.Time) {
+	windows := float64(now.Sub(s.at)) / float64(s.window)
 	s.at = now
-	if s.tokens < s.most {
-		s.tokens = min(s.most, s.tokens+s.most*part/2)
+	if s.tokens < s.maxTokens {
+		s.tokens = min(s.maxTokens, s.tokens+s.maxTokens*windows/2)
 		return
 	}
-	s.tokens -= (s.tokens - s.most) * min(1, part)
+	s.tokens -= (s.tokens - s.maxTokens) * min(1, windows)
 }
--- a/coordination/retry/share_test.go
+++ b/coordination/retry/share_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestShareKeepsToTheBudget checks that all gateways together, one of them
-// started anew, retry at most what the budget of any window allows.
-func TestShareKeepsToTheBudget(t *testing.T) {
+// TestSharesStayWithinBudget checks that all gateways together, one of which
+// restarts, never retry more than the budget of any window allows.
+func TestSharesStayWithinBudget(t *testing.T) {
 	const (
 		ratio, extra = 0.2, 56
 		window       = 10 * time.Second
@@ -22,7 +22,7 @@
 			shares = append(shares, NewShare(ratio, extra, window, gateways, now))
 		}
 		restart := rapid.IntRange(0, 300).Draw(t, "restart")
-		var requests, spent []time.Time
+		var requests, retries []time.Time
 		for step := range 600 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "pause")) * time.Millisecond)
 			i := rapid.IntRange(0, gateways-1).Draw(t, "gateway")
@@ -33,15 +33,15 @@
 			requests = append(requests, now)
 			for range rapid.IntRange(0, 2).Draw(t, "tries") {
 				if shares[i].Spend(now) {
-					spent = append(spent, now)
+					retries = append(retries, now)
 				}
 			}
 		}
-		for _, from := range spent {
-			// A window may count the requests of the one before it.
-			asked := max(within(requests, from, window), within(requests, from.Add(-window), window))
-			if n := within(spent, from, window); float64(n) > ratio*float64(asked)+extra {
-				t.Fatalf("%d retries for %d requests in a window", n, asked)
+		for _, from := range retries {
+			// A window's budget may follow from the requests of the preceding one.
+			requested := max(within(requests, from, window), within(requests, from.Add(-window), window))
+			if n := within(retries, from, window); float64(n) > ratio*float64(requested)+extra {
+				t.Fatalf("%d retries for %d requests in a window exceed the budget", n, requested)
 			}
 		}
 	})
@@ -57,9 +57,9 @@
 	return n
 }
 
-// TestNothingIsSavedUp checks that retries earned in one window do not add to
-// those of a later one.
-func TestNothingIsSavedUp(t *testing.T) {
+// TestRetriesDoNotAccumulate checks that retries earned in one window are not
+// available in a later one.
+func TestRetriesDoNotAccumulate(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	s := NewShare(0.2, 10, time.Second, 1, now)
 	for range 1000 {
@@ -71,6 +71,6 @@
 		spent++
 	}
 	if spent > 10 {
-		t.Errorf("%d retries are left of an earlier window", spent)
+		t.Errorf("%d retries are available two windows later, want at most 10", spent)
 	}
 }
