--- a/coordination/resend/resend.go
+++ b/coordination/resend/resend.go
@@ -1,9 +1,8 @@
-// Package resend decides what follows an attempt that failed.
+// Package resend decides whether a request is resent after a failed attempt.
 //
-// [Next] is a function of what the request allows and of what became of the
-// attempt: send it once more, or refuse it with a status that tells the truth.
-// A refusal says "not run" only if no attempt may have run, which the state
-// remembers over all attempts.
+// From the limits of the request and the outcome of the attempt, [Next] decides
+// to send it again or to refuse it. The state covers all attempts: a refusal has
+// the verdict "not run" only if none of them may have run.
 package resend
 
 import (
@@ -12,34 +11,34 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// State is what is known of a request between attempts. The zero value is a
-// request that was not sent yet and may run once.
+// State is the state of a request between attempts. The zero value is a request
+// that has not been sent and must run at most once.
 type State struct {
-	Repeatable bool
-	MaxServers int  // Most is to how many servers it may be sent.
-	Sent       int  // Sent is to how many it was.
-	Connects   int  // Connects counts servers that could not be reached at all.
-	MayHaveRun bool // MayHaveRun says that some attempt may have run.
+	Repeatable     bool
+	MaxServers     int  // MaxServers is the maximum number of servers that may receive the request.
+	Sent           int  // Sent is the number of servers that received the request.
+	FailedConnects int  // FailedConnects is the number of servers that could not be reached.
+	MayHaveRun     bool // MayHaveRun is set when any attempt may have run.
 }
 
-// FailedMsg is the outcome of an attempt without an answer that counts.
+// FailedMsg is the outcome of an attempt without a usable answer.
 type FailedMsg struct {
 	Verdict  protocol.Verdict
-	Reached  bool // Reached says that the server got any of it.
+	Reached  bool // Reached is set when the server received any part of the request.
 	Reason   string
-	Budget   func() bool // Budget takes a retry, if there is one.
-	TimeLeft time.Duration
-	Target   time.Duration // Target is the route's aim, by which a caller is told when to come back.
+	Budget   func() bool   // Budget takes one retry from the budget and reports whether one was available.
+	TimeLeft time.Duration // TimeLeft is the time until the request's deadline.
+	Target   time.Duration // Target is the route's latency target, from which Retry-After is derived.
 }
 
-// mostConnects bounds the servers that are tried in vain for one request.
-const mostConnects = 3
+// maxFailedConnects limits the servers that cannot be reached for one request.
+const maxFailedConnects = 3
 
-// leastLeft is what must be left of the deadline for another attempt.
-const leastLeft = 20 * time.Millisecond
+// minTimeLeft is the time before the deadline that another attempt needs.
+const minTimeLeft = 20 * time.Millisecond
 
-// Next returns the state after a failed attempt, and the refusal that ends the
-// request, or nil if it is to be sent once more.
+// Next returns the state after a failed attempt and the refusal that ends the
+// request, or nil if the request is to be sent again.
 func Next(s State, m FailedMsg) (State, *protocol.Refusal) {
 	if m.Verdict != protocol.NotRun {
 		s.MayHaveRun = true
@@ -47,25 +46,25 @@
 	if m.Reached {
 		s.Sent++
 	} else {
-		s.Connects++
+		s.FailedConnects++
 	}
-	if s.may(m) {
+	if s.canRetry(m) {
 		return s, nil
 	}
 	return s, s.refusal(m)
 }
 
-func (s State) may(m FailedMsg) bool {
-	if !m.Verdict.AllowsRetry(s.Repeatable) || (s.MayHaveRun && !s.Repeatable) || m.TimeLeft < leastLeft {
+func (s State) canRetry(m FailedMsg) bool {
+	if !m.Verdict.AllowsRetry(s.Repeatable) || (s.MayHaveRun && !s.Repeatable) || m.TimeLeft < minTimeLeft {
 		return false
 	}
-	if s.Sent >= s.MaxServers || s.Connects >= mostConnects {
+	if s.Sent >= s.MaxServers || s.FailedConnects >= maxFailedConnects {
 		return false
 	}
 	return s.Sent == 0 || m.Budget()
 }
 
-// refusal tells what became of the request as a whole.
+// refusal returns the refusal with the verdict on the request as a whole.
 func (s State) refusal(m FailedMsg) *protocol.Refusal {
 	switch {
 	case !s.MayHaveRun:
@@ -80,12 +79,12 @@
 }
 
 const (
-	soonest = 50 * time.Millisecond
-	latest  = time.Second
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = time.Second
 )
 
-// RetryAfter is when a caller that found no place is told to come back: after a part
-// of the time that its answer may take.
+// RetryAfter returns the Retry-After of a request for which no server had
+// capacity: a quarter of the route's latency target, within bounds.
 func RetryAfter(target time.Duration) time.Duration {
-	return max(soonest, min(target/4, latest))
+	return max(minRetryAfter, min(target/4, maxRetryAfter))
 }
--- a/coordination/resend/resend_test.go
+++ b/coordination/resend/resend_test.go
@@ -10,19 +10,21 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// promises are the statuses that tell a caller that its request has not run.
-var promises = map[int]bool{429: true, 503: true, 408: true, 421: true}
+// notRunStatuses are the statuses that tell a caller that its request has not
+// run.
+var notRunStatuses = map[int]bool{429: true, 503: true, 408: true, 421: true}
 
-// TestNext checks over random failures that a request that may run once is never
-// sent again after it may have run, that no request goes to more servers than it
-// may, and that a refusal promises "not run" only if no attempt may have run.
+// TestNext checks over random failures that a request that must run at most once
+// is not resent once it may have run, that no request is sent to more than
+// MaxServers servers, and that a refusal says "not run" exactly if no attempt may
+// have run.
 func TestNext(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := State{Repeatable: rapid.Bool().Draw(t, "repeatable"), MaxServers: rapid.IntRange(1, 4).Draw(t, "most")}
 		reached, ran := 0, false
 		for step := 0; ; step++ {
 			if step > 20 {
-				t.Fatal("it does not end")
+				t.Fatal("no refusal after 20 failed attempts")
 			}
 			m := FailedMsg{
 				Verdict:  rapid.SampledFrom([]protocol.Verdict{protocol.NotRun, protocol.MayHaveRun}).Draw(t, "verdict"),
@@ -41,37 +43,37 @@
 			s, refusal = Next(s, m)
 			if refusal == nil {
 				if ran && !s.Repeatable {
-					t.Fatal("sent again though it may have run")
+					t.Fatal("a request that is not repeatable was resent after it may have run")
 				}
-				if m.TimeLeft < leastLeft {
-					t.Fatalf("sent again with %v left", m.TimeLeft)
+				if m.TimeLeft < minTimeLeft {
+					t.Fatalf("resent with only %v before the deadline", m.TimeLeft)
 				}
 				if reached >= s.MaxServers {
-					t.Fatalf("sent again after %d of %d servers", reached, s.MaxServers)
+					t.Fatalf("resent after %d of at most %d servers", reached, s.MaxServers)
 				}
 				continue
 			}
-			if promises[refusal.Status] == ran || (refusal.Verdict == protocol.NotRun) == ran {
-				t.Fatalf("status %d, verdict %v, though it may have run: %v", refusal.Status, refusal.Verdict, ran)
+			if notRunStatuses[refusal.Status] == ran || (refusal.Verdict == protocol.NotRun) == ran {
+				t.Fatalf("status %d and verdict %v, though whether it may have run is %v", refusal.Status, refusal.Verdict, ran)
 			}
 			if !ran && refusal.RetryAfter <= 0 {
-				t.Fatal("no time to come back")
+				t.Fatal("the refusal has no Retry-After")
 			}
 			return
 		}
 	})
 }
 
-// TestOutOfReach checks that a request looks for a server in vain for a few times
-// only, though it was sent to none and time is left.
-func TestOutOfReach(t *testing.T) {
+// TestUnreachableServers checks that a request is refused after maxFailedConnects
+// unreachable servers, although no server received it and time is left.
+func TestUnreachableServers(t *testing.T) {
 	s := State{MaxServers: 9}
 	m := FailedMsg{Verdict: protocol.NotRun, TimeLeft: time.Minute, Target: time.Second, Budget: func() bool { return true }}
 	for n := 1; ; n++ {
 		var refusal *protocol.Refusal
 		s, refusal = Next(s, m)
-		if (refusal != nil) != (n == mostConnects) {
-			t.Fatalf("after %d servers: %+v", n, refusal)
+		if (refusal != nil) != (n == maxFailedConnects) {
+			t.Fatalf("refusal after %d unreachable servers: %+v", n, refusal)
 		}
 		if refusal != nil {
 			return
--- a/transport/forward/trial.go
+++ b/transport/forward/trial.go
@@ -179,7 +179,7 @@
 	if t == nil || x.continuation != nil {
 		return // A moved run is the same run.
 	}
-	if x.state.Sent == 0 && x.state.Connects == 0 {
+	if x.state.Sent == 0 && x.state.FailedConnects == 0 {
 		t.arrived++
 	}
 	if s.Version == t.record.Version {
