--- a/coordination/move/move.go
+++ b/coordination/move/move.go
@@ -77,9 +77,9 @@
 // Msg is what happened.
 type Msg interface{ msg() }
 
-// LeavesMsg tells that the source leaves before the run will have ended, and which
+// LeavingMsg tells that the source leaves before the run will have ended, and which
 // server has room; none where it is empty.
-type LeavesMsg struct{ Target string }
+type LeavingMsg struct{ Target string }
 
 // CopiedMsg is the answer to a [CopyCmd].
 type CopiedMsg struct {
@@ -109,7 +109,7 @@
 // EndedMsg tells that the request has ended, whatever it ended with.
 type EndedMsg struct{}
 
-func (LeavesMsg) msg()  {}
+func (LeavingMsg) msg() {}
 func (CopiedMsg) msg()  {}
 func (StoppedMsg) msg() {}
 func (BrokeMsg) msg()   {}
@@ -153,7 +153,7 @@
 // Next returns the state behind a message, and what is to be done.
 func Next(s State, m Msg) (State, []Cmd) {
 	switch m := m.(type) {
-	case LeavesMsg:
+	case LeavingMsg:
 		return s.leaves(m)
 	case CopiedMsg:
 		return s.copied(m)
@@ -174,7 +174,7 @@
 }
 
 // leaves begins a copy, if there is a target.
-func (s State) leaves(m LeavesMsg) (State, []Cmd) {
+func (s State) leaves(m LeavingMsg) (State, []Cmd) {
 	if s.Phase != Staying || m.Target == "" {
 		return s, nil
 	}
--- a/coordination/move/move_test.go
+++ b/coordination/move/move_test.go
@@ -13,14 +13,14 @@
 
 // TestNext walks through a move and what may go wrong at each step.
 func TestNext(t *testing.T) {
-	leaves, copied := LeavesMsg{"t"}, CopiedMsg{Copied, "h"}
+	leaves, copied := LeavingMsg{"t"}, CopiedMsg{Copied, "h"}
 	broke, stopped := BrokeMsg{}, StoppedMsg{Copied, "h"}
 	for name, c := range map[string]struct {
 		msgs []Msg
 		want []Cmd // want are the commands of the last message.
 		end  Phase
 	}{
-		"no target":                             {[]Msg{LeavesMsg{}}, nil, Staying},
+		"no target":                             {[]Msg{LeavingMsg{}}, nil, Staying},
 		"copied first":                          {[]Msg{leaves}, []Cmd{CopyCmd{"t"}}, Copying},
 		"then stopped":                          {[]Msg{leaves, copied}, []Cmd{StopCmd{"t"}}, Stopping},
 		"goes on behind both":                   {[]Msg{leaves, copied, stopped, broke}, []Cmd{ContinueCmd{"t", false, "h"}}, Going},
@@ -32,7 +32,7 @@
 		"copy already under way":                {[]Msg{leaves, CopiedMsg{Busy, ""}}, nil, Staying},
 		"copy not answered":                     {[]Msg{leaves, CopiedMsg{}}, nil, Staying},
 		"once more":                             {append(slices.Repeat([]Msg{leaves, CopiedMsg{}}, mostTries-1), leaves), []Cmd{CopyCmd{"t"}}, Copying},
-		"another target":                        {[]Msg{leaves, CopiedMsg{NoRoom, ""}, LeavesMsg{"u"}}, []Cmd{CopyCmd{"u"}}, Copying},
+		"another target":                        {[]Msg{leaves, CopiedMsg{NoRoom, ""}, LeavingMsg{"u"}}, []Cmd{CopyCmd{"u"}}, Copying},
 		"no such run":                           {[]Msg{leaves, CopiedMsg{NoRun, ""}, leaves}, nil, Over},
 		"source dies while it copies":           {[]Msg{leaves, broke}, []Cmd{BreakCmd{}}, Over},
 		"and answers later":                     {[]Msg{leaves, broke, copied}, []Cmd{FreeCmd{"h", "t"}}, Over},
@@ -158,7 +158,7 @@
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1:
 				if !ended {
-					next(LeavesMsg{Target: rapid.SampledFrom([]string{"", "t", "u"}).Draw(t, "target")})
+					next(LeavingMsg{Target: rapid.SampledFrom([]string{"", "t", "u"}).Draw(t, "target")})
 				}
 			case 2:
 				if w.stopped && !broke && !ended {
--- a/transport/forward/move.go
+++ b/transport/forward/move.go
@@ -217,7 +217,7 @@
 	}
 	r.noticed = n.at
 	r.mu.Unlock()
-	for _, c := range r.apply(move.LeavesMsg{Target: target.ID}) {
+	for _, c := range r.apply(move.LeavingMsg{Target: target.ID}) {
 		if _, ok := c.(move.CopyCmd); !ok {
 			continue
 		}
