--- a/coordination/move/move.go
+++ b/coordination/move/move.go
@@ -94,8 +94,8 @@
 	Handle  string
 }
 
-// BrokeMsg tells that the source's stream broke off.
-type BrokeMsg struct{}
+// StreamBrokenMsg tells that the source's stream broke off.
+type StreamBrokenMsg struct{}
 
 // TakenMsg tells that a server answers the run that was sent on.
 type TakenMsg struct{}
@@ -109,14 +109,14 @@
 // EndedMsg tells that the request has ended, whatever it ended with.
 type EndedMsg struct{}
 
-func (LeavingMsg) msg() {}
-func (CopiedMsg) msg()  {}
-func (StoppedMsg) msg() {}
-func (BrokeMsg) msg()   {}
-func (TakenMsg) msg()   {}
-func (RefusedMsg) msg() {}
-func (LostMsg) msg()    {}
-func (EndedMsg) msg()   {}
+func (LeavingMsg) msg()      {}
+func (CopiedMsg) msg()       {}
+func (StoppedMsg) msg()      {}
+func (StreamBrokenMsg) msg() {}
+func (TakenMsg) msg()        {}
+func (RefusedMsg) msg()      {}
+func (LostMsg) msg()         {}
+func (EndedMsg) msg()        {}
 
 // Cmd is what is to be done.
 type Cmd interface{ cmd() }
@@ -159,7 +159,7 @@
 		return s.copied(m)
 	case StoppedMsg:
 		return s.stopped(m)
-	case BrokeMsg:
+	case StreamBrokenMsg:
 		return s.broke()
 	case TakenMsg:
 		return s.taken()
--- a/coordination/move/move_test.go
+++ b/coordination/move/move_test.go
@@ -14,7 +14,7 @@
 // TestNext walks through a move and what may go wrong at each step.
 func TestNext(t *testing.T) {
 	leaves, copied := LeavingMsg{"t"}, CopiedMsg{Copied, "h"}
-	broke, stopped := BrokeMsg{}, StoppedMsg{Copied, "h"}
+	broke, stopped := StreamBrokenMsg{}, StoppedMsg{Copied, "h"}
 	for name, c := range map[string]struct {
 		msgs []Msg
 		want []Cmd // want are the commands of the last message.
@@ -163,7 +163,7 @@
 			case 2:
 				if w.stopped && !broke && !ended {
 					broke = true
-					next(BrokeMsg{})
+					next(StreamBrokenMsg{})
 				}
 			case 3:
 				if !ended && !w.stopped && rapid.IntRange(0, 3).Draw(t, "ends") == 0 {
--- a/transport/forward/move_continue.go
+++ b/transport/forward/move_continue.go
@@ -23,7 +23,7 @@
 	if r == nil || t.x.ctx.Err() != nil {
 		return false
 	}
-	cmds := r.apply(move.BrokeMsg{})
+	cmds := r.apply(move.StreamBrokenMsg{})
 	r.mu.Lock()
 	known := r.stopAnswered
 	r.mu.Unlock()
