--- a/coordination/move/move.go
+++ b/coordination/move/move.go
@@ -97,8 +97,8 @@
 // StreamBrokenMsg tells that the source's stream broke off.
 type StreamBrokenMsg struct{}
 
-// TakenMsg tells that a server answers the run that was sent on.
-type TakenMsg struct{}
+// AcceptedMsg tells that a server answers the run that was sent on.
+type AcceptedMsg struct{}
 
 // RefusedMsg tells that the server turned it away, and proved that it did not run it.
 type RefusedMsg struct{}
@@ -113,7 +113,7 @@
 func (CopiedMsg) msg()       {}
 func (StoppedMsg) msg()      {}
 func (StreamBrokenMsg) msg() {}
-func (TakenMsg) msg()        {}
+func (AcceptedMsg) msg()     {}
 func (RefusedMsg) msg()      {}
 func (LostMsg) msg()         {}
 func (EndedMsg) msg()        {}
@@ -161,7 +161,7 @@
 		return s.stopped(m)
 	case StreamBrokenMsg:
 		return s.broke()
-	case TakenMsg:
+	case AcceptedMsg:
 		return s.taken()
 	case RefusedMsg:
 		return s.refused()
--- a/coordination/move/move_test.go
+++ b/coordination/move/move_test.go
@@ -27,7 +27,7 @@
 		"goes on in the other order":            {[]Msg{leaves, copied, broke, stopped}, []Cmd{ContinueCmd{"t", false, "h"}}, Going},
 		"not before the answer":                 {[]Msg{leaves, copied, broke}, nil, Stopping},
 		"not before the end of the stream":      {[]Msg{leaves, copied, stopped}, nil, Stopped},
-		"taken":                                 {[]Msg{leaves, copied, stopped, broke, TakenMsg{}}, nil, Over},
+		"taken":                                 {[]Msg{leaves, copied, stopped, broke, AcceptedMsg{}}, nil, Over},
 		"target full":                           {[]Msg{leaves, CopiedMsg{NoRoom, ""}}, nil, Staying},
 		"copy already under way":                {[]Msg{leaves, CopiedMsg{Busy, ""}}, nil, Staying},
 		"copy not answered":                     {[]Msg{leaves, CopiedMsg{}}, nil, Staying},
@@ -143,7 +143,7 @@
 				case 0:
 					w.runs++
 					clear(w.copies)
-					next(TakenMsg{})
+					next(AcceptedMsg{})
 				case 1:
 					next(RefusedMsg{})
 				default:
--- a/transport/forward/move_continue.go
+++ b/transport/forward/move_continue.go
@@ -137,7 +137,7 @@
 	}
 	r := x.continuation.run
 	x.continuation = nil
-	r.apply(move.TakenMsg{})
+	r.apply(move.AcceptedMsg{})
 	r.mu.Lock()
 	took := r.since()
 	r.mu.Unlock()
