--- a/coordination/move/move.go
+++ b/coordination/move/move.go
@@ -62,12 +62,12 @@
 
 // State is what is known of one run. The zero value stays where it is.
 type State struct {
-	Phase    Phase
-	Target   string // Target is the server that the copy lies at, or is made at.
-	Handle   string // Handle names the copy; empty without one.
-	Tries    int    // Tries are copies that came to nothing.
-	AtSource bool   // AtSource says that the run is to go on at the source, which kept its memory.
-	Broke    bool   // Broke says that the source's stream broke off: it ended before the end of the answer.
+	Phase        Phase
+	Target       string // Target is the server that the copy lies at, or is made at.
+	Handle       string // Handle names the copy; empty without one.
+	FailedCopies int    // Tries are copies that came to nothing.
+	AtSource     bool   // AtSource says that the run is to go on at the source, which kept its memory.
+	Broke        bool   // Broke says that the source's stream broke off: it ended before the end of the answer.
 }
 
 // mostTries bounds the failed copies of one run: each loads a link and holds a target's
@@ -203,8 +203,8 @@
 func (s State) stays(handle string) (State, []Cmd) {
 	cmds := s.free(handle)
 	s.Phase, s.Target, s.Handle = Staying, "", ""
-	s.Tries++
-	if s.Tries >= mostTries {
+	s.FailedCopies++
+	if s.FailedCopies >= mostTries {
 		s.Phase = Over
 	}
 	return s, cmds
--- a/transport/forward/move.go
+++ b/transport/forward/move.go
@@ -155,7 +155,7 @@
 	next, cmds := move.Next(r.state, m)
 	if next.Phase != r.state.Phase && !r.moveBegan.IsZero() {
 		r.log.Info().Str("server", r.server.ID).Str("target", next.Target).Stringer("phase", next.Phase).Bool("at_source", next.AtSource).
-			Int("tries", next.Tries).Dur("after", r.since()).Msg("move: phase changed")
+			Int("tries", next.FailedCopies).Dur("after", r.since()).Msg("move: phase changed")
 	}
 	r.g.meters.moveHeld.Inc(held(next) - held(r.state))
 	r.state = next
