--- a/coordination/move/move_test.go
+++ b/coordination/move/move_test.go
@@ -64,7 +64,7 @@
 
 // TestOrder checks which runs are moved first.
 func TestOrder(t *testing.T) {
-	runs := []Run{{Priority: 2, ComputedTokens: 9000}, {Priority: 1, ComputedTokens: 10}, {Priority: 1, ComputedTokens: 500, NoRetry: true}, {Priority: 1, ComputedTokens: 9000}, {Priority: 1, ComputedTokens: 9000, Left: 10}}
+	runs := []Run{{Priority: 2, ComputedTokens: 9000}, {Priority: 1, ComputedTokens: 10}, {Priority: 1, ComputedTokens: 500, NoRetry: true}, {Priority: 1, ComputedTokens: 9000}, {Priority: 1, ComputedTokens: 9000, RemainingTokens: 10}}
 	if got := Order(runs); !slices.Equal(got, []int{2, 4, 3, 1, 0}) {
 		t.Errorf("order %v", got)
 	}
--- a/coordination/move/order.go
+++ b/coordination/move/order.go
@@ -7,10 +7,10 @@
 
 // Run is a run that could be moved.
 type Run struct {
-	Priority       int  // Priority is its rank, 0 first.
-	ComputedTokens int  // Read are the tokens that were read and made for it: what would be done again.
-	Left           int  // Left are the most tokens that it may still make.
-	NoRetry        bool // NoRetry says that its request is not repeatable: without a move its answer is lost.
+	Priority        int  // Priority is its rank, 0 first.
+	ComputedTokens  int  // Read are the tokens that were read and made for it: what would be done again.
+	RemainingTokens int  // Left are the most tokens that it may still make.
+	NoRetry         bool // NoRetry says that its request is not repeatable: without a move its answer is lost.
 }
 
 // Order returns the indices of some runs, the most worthwhile first: those of a higher
@@ -30,7 +30,7 @@
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(x.Priority, y.Priority), cmp.Compare(noRetryFirst(x), noRetryFirst(y)), cmp.Compare(y.ComputedTokens, x.ComputedTokens), cmp.Compare(y.Left, x.Left))
+		return cmp.Or(cmp.Compare(x.Priority, y.Priority), cmp.Compare(noRetryFirst(x), noRetryFirst(y)), cmp.Compare(y.ComputedTokens, x.ComputedTokens), cmp.Compare(y.RemainingTokens, x.RemainingTokens))
 	})
 	return order
 }
--- a/transport/forward/move_leaving.go
+++ b/transport/forward/move_leaving.go
@@ -155,7 +155,7 @@
 	for r := range m.runs[server] {
 		if (all || r.begun.Load()) && !r.busy.Load() && r.phase() == move.Staying {
 			list = append(list, r)
-			rows = append(rows, move.Run{Priority: r.rank, ComputedTokens: r.call.PromptTokens, Left: r.call.AnswerTokens, NoRetry: r.noRetry})
+			rows = append(rows, move.Run{Priority: r.rank, ComputedTokens: r.call.PromptTokens, RemainingTokens: r.call.AnswerTokens, NoRetry: r.noRetry})
 		}
 	}
 	sorted := make([]*running, 0, len(list))
