--- a/coordination/move/move.go
+++ b/coordination/move/move.go
@@ -62,12 +62,12 @@
 
 // State is what is known of one run. The zero value stays where it is.
 type State struct {
-	Phase    Phase
-	Target   string // Target is the server that the copy lies at, or is made at.
-	Handle   string // Handle names the copy; empty without one.
-	Tries    int    // Tries are copies that came to nothing.
-	AtSource bool   // AtSource says that the run is to go on at the source, which kept its memory.
-	Broke    bool   // Broke says that the source's stream broke off: it ended before the end of the answer.
+	Phase        Phase
+	Target       string // Target is the server that the copy lies at, or is made at.
+	Handle       string // Handle names the copy; empty without one.
+	FailedCopies int    // Tries are copies that came to nothing.
+	AtSource     bool   // AtSource says that the run is to go on at the source, which kept its memory.
+	Broke        bool   // Broke says that the source's stream broke off: it ended before the end of the answer.
 }
 
 // mostTries bounds the failed copies of one run: each loads a link and holds a target's
@@ -77,9 +77,9 @@
 // Msg is what happened.
 type Msg interface{ msg() }
 
-// LeavesMsg tells that the source leaves before the run will have ended, and which
+// LeavingMsg tells that the source leaves before the run will have ended, and which
 // server has room; none where it is empty.
-type LeavesMsg struct{ Target string }
+type LeavingMsg struct{ Target string }
 
 // CopiedMsg is the answer to a [CopyCmd].
 type CopiedMsg struct {
@@ -94,11 +94,11 @@
 	Handle  string
 }
 
-// BrokeMsg tells that the source's stream broke off.
-type BrokeMsg struct{}
+// StreamBrokenMsg tells that the source's stream broke off.
+type StreamBrokenMsg struct{}
 
-// TakenMsg tells that a server answers the run that was sent on.
-type TakenMsg struct{}
+// AcceptedMsg tells that a server answers the run that was sent on.
+type AcceptedMsg struct{}
 
 // RefusedMsg tells that the server turned it away, and proved that it did not run it.
 type RefusedMsg struct{}
@@ -109,14 +109,14 @@
 // EndedMsg tells that the request has ended, whatever it ended with.
 type EndedMsg struct{}
 
-func (LeavesMsg) msg()  {}
-func (CopiedMsg) msg()  {}
-func (StoppedMsg) msg() {}
-func (BrokeMsg) msg()   {}
-func (TakenMsg) msg()   {}
-func (RefusedMsg) msg() {}
-func (LostMsg) msg()    {}
-func (EndedMsg) msg()   {}
+func (LeavingMsg) msg()      {}
+func (CopiedMsg) msg()       {}
+func (StoppedMsg) msg()      {}
+func (StreamBrokenMsg) msg() {}
+func (AcceptedMsg) msg()     {}
+func (RefusedMsg) msg()      {}
+func (LostMsg) msg()         {}
+func (EndedMsg) msg()        {}
 
 // Cmd is what is to be done.
 type Cmd interface{ cmd() }
@@ -153,15 +153,15 @@
 // Next returns the state behind a message, and what is to be done.
 func Next(s State, m Msg) (State, []Cmd) {
 	switch m := m.(type) {
-	case LeavesMsg:
+	case LeavingMsg:
 		return s.leaves(m)
 	case CopiedMsg:
 		return s.copied(m)
 	case StoppedMsg:
 		return s.stopped(m)
-	case BrokeMsg:
+	case StreamBrokenMsg:
 		return s.broke()
-	case TakenMsg:
+	case AcceptedMsg:
 		return s.taken()
 	case RefusedMsg:
 		return s.refused()
@@ -174,7 +174,7 @@
 }
 
 // leaves begins a copy, if there is a target.
-func (s State) leaves(m LeavesMsg) (State, []Cmd) {
+func (s State) leaves(m LeavingMsg) (State, []Cmd) {
 	if s.Phase != Staying || m.Target == "" {
 		return s, nil
 	}
@@ -203,8 +203,8 @@
 func (s State) stays(handle string) (State, []Cmd) {
 	cmds := s.free(handle)
 	s.Phase, s.Target, s.Handle = Staying, "", ""
-	s.Tries++
-	if s.Tries >= mostTries {
+	s.FailedCopies++
+	if s.FailedCopies >= mostTries {
 		s.Phase = Over
 	}
 	return s, cmds
--- a/coordination/move/move_test.go
+++ b/coordination/move/move_test.go
@@ -13,26 +13,26 @@
 
 // TestNext walks through a move and what may go wrong at each step.
 func TestNext(t *testing.T) {
-	leaves, copied := LeavesMsg{"t"}, CopiedMsg{Copied, "h"}
-	broke, stopped := BrokeMsg{}, StoppedMsg{Copied, "h"}
+	leaves, copied := LeavingMsg{"t"}, CopiedMsg{Copied, "h"}
+	broke, stopped := StreamBrokenMsg{}, StoppedMsg{Copied, "h"}
 	for name, c := range map[string]struct {
 		msgs []Msg
 		want []Cmd // want are the commands of the last message.
 		end  Phase
 	}{
-		"no target":                             {[]Msg{LeavesMsg{}}, nil, Staying},
+		"no target":                             {[]Msg{LeavingMsg{}}, nil, Staying},
 		"copied first":                          {[]Msg{leaves}, []Cmd{CopyCmd{"t"}}, Copying},
 		"then stopped":                          {[]Msg{leaves, copied}, []Cmd{StopCmd{"t"}}, Stopping},
 		"goes on behind both":                   {[]Msg{leaves, copied, stopped, broke}, []Cmd{ContinueCmd{"t", false, "h"}}, Going},
 		"goes on in the other order":            {[]Msg{leaves, copied, broke, stopped}, []Cmd{ContinueCmd{"t", false, "h"}}, Going},
 		"not before the answer":                 {[]Msg{leaves, copied, broke}, nil, Stopping},
 		"not before the end of the stream":      {[]Msg{leaves, copied, stopped}, nil, Stopped},
-		"taken":                                 {[]Msg{leaves, copied, stopped, broke, TakenMsg{}}, nil, Over},
+		"taken":                                 {[]Msg{leaves, copied, stopped, broke, AcceptedMsg{}}, nil, Over},
 		"target full":                           {[]Msg{leaves, CopiedMsg{NoRoom, ""}}, nil, Staying},
 		"copy already under way":                {[]Msg{leaves, CopiedMsg{Busy, ""}}, nil, Staying},
 		"copy not answered":                     {[]Msg{leaves, CopiedMsg{}}, nil, Staying},
 		"once more":                             {append(slices.Repeat([]Msg{leaves, CopiedMsg{}}, mostTries-1), leaves), []Cmd{CopyCmd{"t"}}, Copying},
-		"another target":                        {[]Msg{leaves, CopiedMsg{NoRoom, ""}, LeavesMsg{"u"}}, []Cmd{CopyCmd{"u"}}, Copying},
+		"another target":                        {[]Msg{leaves, CopiedMsg{NoRoom, ""}, LeavingMsg{"u"}}, []Cmd{CopyCmd{"u"}}, Copying},
 		"no such run":                           {[]Msg{leaves, CopiedMsg{NoRun, ""}, leaves}, nil, Over},
 		"source dies while it copies":           {[]Msg{leaves, broke}, []Cmd{BreakCmd{}}, Over},
 		"and answers later":                     {[]Msg{leaves, broke, copied}, []Cmd{FreeCmd{"h", "t"}}, Over},
@@ -64,7 +64,7 @@
 
 // TestOrder checks which runs are moved first.
 func TestOrder(t *testing.T) {
-	runs := []Run{{Priority: 2, Read: 9000}, {Priority: 1, Read: 10}, {Priority: 1, Read: 500, NoRetry: true}, {Priority: 1, Read: 9000}, {Priority: 1, Read: 9000, Left: 10}}
+	runs := []Run{{Priority: 2, ComputedTokens: 9000}, {Priority: 1, ComputedTokens: 10}, {Priority: 1, ComputedTokens: 500, NoRetry: true}, {Priority: 1, ComputedTokens: 9000}, {Priority: 1, ComputedTokens: 9000, RemainingTokens: 10}}
 	if got := Order(runs); !slices.Equal(got, []int{2, 4, 3, 1, 0}) {
 		t.Errorf("order %v", got)
 	}
@@ -143,7 +143,7 @@
 				case 0:
 					w.runs++
 					clear(w.copies)
-					next(TakenMsg{})
+					next(AcceptedMsg{})
 				case 1:
 					next(RefusedMsg{})
 				default:
@@ -158,12 +158,12 @@
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1:
 				if !ended {
-					next(LeavesMsg{Target: rapid.SampledFrom([]string{"", "t", "u"}).Draw(t, "target")})
+					next(LeavingMsg{Target: rapid.SampledFrom([]string{"", "t", "u"}).Draw(t, "target")})
 				}
 			case 2:
 				if w.stopped && !broke && !ended {
 					broke = true
-					next(BrokeMsg{})
+					next(StreamBrokenMsg{})
 				}
 			case 3:
 				if !ended && !w.stopped && rapid.IntRange(0, 3).Draw(t, "ends") == 0 {
--- a/transport/claim.go
+++ b/transport/claim.go
@@ -94,7 +94,7 @@
 		case admit.Run:
 			x.claimed = true
 			return true
-		case admit.Again:
+		case admit.ClaimAgain:
 			x.newOwner()
 		case admit.Replay:
 			x.replay(ctx, step.Answer)
@@ -166,14 +166,14 @@
 // replay returns an answer that an earlier send received or missed.
 func (x *exchange) replay(ctx *fasthttp.RequestCtx, a *protocol.Answer) {
 	if x.request.Stream && x.request.Resume > a.Tokens {
-		x.g.refuse(ctx, x.row.Request, attempt.NoEvent(x.request.Resume, a.Tokens).WithVerdict(protocol.Ran))
+		x.g.refuse(ctx, x.row.Request, attempt.NoSuchEvent(x.request.Resume, a.Tokens).WithVerdict(protocol.Ran))
 		return
 	}
 	ctx.Response.Header.Set(protocol.HeaderVerdict, protocol.Ran.String())
 	ctx.Response.Header.Set(protocol.HeaderRequest, x.row.Request)
 	x.answer = serviceAnswer{status: a.Status, contentType: a.ContentType, body: a.Body}
 	x.text.WriteString(a.Text)
-	x.finish, x.state.Held = a.Finish, a.Tokens
+	x.finish, x.state.Received = a.Finish, a.Tokens
 	x.log.Info().Stringer("verdict", protocol.Ran).Msg("answer replayed")
 	if x.request.Stream {
 		x.replayStream(ctx, a)
@@ -194,7 +194,7 @@
 		ContentType: x.answer.contentType,
 		Body:        x.answer.body,
 		Text:        x.text.String(),
-		Tokens:      x.state.Held,
+		Tokens:      x.state.Received,
 		Finish:      x.finish,
 		Ends:        x.ends,
 	}
--- a/transport/forward/exchange.go
+++ b/transport/forward/exchange.go
@@ -133,7 +133,7 @@
 		x.prefix = place.Prefix(x.call.Prefix)
 		x.chain = place.Chain(x.call.Prefix)
 	}
-	x.state = resend.State{Repeatable: x.route.Repeatable(), Most: max(1, x.route.Attempts)}
+	x.state = resend.State{Repeatable: x.route.Repeatable(), MaxServers: max(1, x.route.Attempts)}
 	if x.call.LastEvent != "" {
 		x.events.last, x.events.seen = x.call.LastEvent, true
 	}
@@ -303,7 +303,7 @@
 		return nil, x.noRoomAtServers()
 	}
 	if !ok {
-		return nil, protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeNoBackend, "no server of the service can take the request").WithRetryAfter(resend.Later(x.route.Target))
+		return nil, protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeNoBackend, "no server of the service can take the request").WithRetryAfter(resend.RetryAfter(x.route.Target))
 	}
 	return &view.Servers[i], nil
 }
--- a/transport/forward/move_continue.go
+++ b/transport/forward/move_continue.go
@@ -23,7 +23,7 @@
 	if r == nil || t.x.ctx.Err() != nil {
 		return false
 	}
-	cmds := r.apply(move.BrokeMsg{})
+	cmds := r.apply(move.StreamBrokenMsg{})
 	r.mu.Lock()
 	known := r.stopAnswered
 	r.mu.Unlock()
@@ -137,7 +137,7 @@
 	}
 	r := x.continuation.run
 	x.continuation = nil
-	r.apply(move.TakenMsg{})
+	r.apply(move.AcceptedMsg{})
 	r.mu.Lock()
 	took := r.since()
 	r.mu.Unlock()
