--- a/coordination/quota/quota_test.go
+++ b/coordination/quota/quota_test.go
@@ -22,9 +22,9 @@
 	units float64
 }
 
-// TestCoordinatorKeepsToTheBound checks that the grants of any window stay within the rate
+// TestCoordinatorStaysWithinBound checks that the grants of any window stay within the rate
 // times the window plus the burst, plus one large request.
-func TestCoordinatorKeepsToTheBound(t *testing.T) {
+func TestCoordinatorStaysWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := protocol.Tenancy{Name: "w", Rate: rapid.Float64Range(10, 1000).Draw(t, "rate")}
 		w.Burst = w.Rate * rapid.Float64Range(0, 4).Draw(t, "burst")
@@ -56,9 +56,9 @@
 	})
 }
 
-// TestLargeRequestsAreLetIn checks that a request for the whole bucket is granted in full,
+// TestLargeRequestsAreGranted checks that a request for the whole bucket is granted in full,
 // and that small requests then have to wait.
-func TestLargeRequestsAreLetIn(t *testing.T) {
+func TestLargeRequestsAreGranted(t *testing.T) {
 	c := NewCoordinator(window)
 	c.Configure([]protocol.Tenancy{{Name: "w", Rate: 100, Burst: 100}}, start)
 	now := start.Add(10 * time.Second)
@@ -100,9 +100,9 @@
 	}
 }
 
-// TestAllowanceAlone checks that standalone gateways together admit at most half of the
+// TestStandaloneShare checks that standalone gateways together admit at most half of the
 // rate.
-func TestAllowanceAlone(t *testing.T) {
+func TestStandaloneShare(t *testing.T) {
 	const gateways = 4
 	w := protocol.Tenancy{Name: "w", Rate: 1000, Burst: 500}
 	taken := 0.0
@@ -121,13 +121,13 @@
 	}
 }
 
-// TestRareRequestsAlone checks that a standalone gateway admits a rare request immediately,
+// TestStandaloneRareRequests checks that a standalone gateway admits a rare request immediately,
 // unless the workspace had exhausted its quota.
-func TestRareRequestsAlone(t *testing.T) {
+func TestStandaloneRareRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		short []string
 		want  Verdict
-	}{"plenty": {nil, Taken}, "little left": {[]string{"w"}, Denied}} {
+	}{"not short": {nil, Taken}, "short": {[]string{"w"}, Denied}} {
 		p := NewAllowance(window)
 		p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
 		p.CoordinatorReplied(40, start)
@@ -142,9 +142,9 @@
 	}
 }
 
-// TestAloneSoon checks how long after the last reply a gateway switches to standalone mode,
+// TestStandaloneDelay checks how long after the last reply a gateway switches to standalone mode,
 // which depends on the number of gateways.
-func TestAloneSoon(t *testing.T) {
+func TestStandaloneDelay(t *testing.T) {
 	for gateways, after := range map[int]time.Duration{8: standaloneAfter, 360: 360 * standalonePerGateway} {
 		p := NewAllowance(window)
 		p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
@@ -161,7 +161,7 @@
 // TestShort checks which workspaces are reported as short of quota.
 func TestShort(t *testing.T) {
 	c := NewCoordinator(window)
-	c.Configure([]protocol.Tenancy{{Name: "much", Rate: 1000, Burst: 1000}, {Name: "little", Rate: 1000, Burst: 1000}}, start)
+	c.Configure([]protocol.Tenancy{{Name: "plenty", Rate: 1000, Burst: 1000}, {Name: "little", Rate: 1000, Burst: 1000}}, start)
 	now := start.Add(10 * time.Second)
 	c.Grant(protocol.QuotaWant{Workspace: "little", Units: 900}, now)
 	if got := c.Short(now); len(got) != 1 || got[0] != "little" {
@@ -172,9 +172,9 @@
 	}
 }
 
-// TestLowerQuotaDropsParts checks that units granted under a higher quota cannot be spent
+// TestLowerQuotaDropsLeases checks that units granted under a higher quota cannot be spent
 // under a lower one.
-func TestLowerQuotaDropsParts(t *testing.T) {
+func TestLowerQuotaDropsLeases(t *testing.T) {
 	p := NewAllowance(window)
 	p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
 	p.CoordinatorReplied(1, start)
@@ -186,9 +186,9 @@
 	}
 }
 
-// TestNothingIsLostInParts checks that many gateways with little use each can together
+// TestLeasesLoseNoQuota checks that many gateways with little use each can together
 // spend nearly the whole quota. Leases that expired unused once cost a fifth of it.
-func TestNothingIsLostInParts(t *testing.T) {
+func TestLeasesLoseNoQuota(t *testing.T) {
 	const gateways, units = 40, 50.0
 	w := protocol.Tenancy{Name: "w", Rate: 1000, Burst: 1000}
 	c := NewCoordinator(window)
@@ -233,12 +233,12 @@
 	}
 }
 
-// TestBucketHoldsNoMoreThanItsSize checks that neither a new quota nor returned units raise
+// TestBucketStaysWithinCapacity checks that neither a new quota nor returned units raise
 // a bucket above its capacity.
-func TestBucketHoldsNoMoreThanItsSize(t *testing.T) {
+func TestBucketStaysWithinCapacity(t *testing.T) {
 	w := protocol.Tenancy{Name: "w", Rate: 1000}
 	size, ahead := w.Rate/10, w.Rate*debtTime.Seconds()
-	for name, back := range map[string]float64{"new": 0, "given back": 1e6} {
+	for name, back := range map[string]float64{"new": 0, "returned": 1e6} {
 		c := NewCoordinator(window)
 		c.Configure([]protocol.Tenancy{w}, start)
 		g := c.Grant(protocol.QuotaWant{Workspace: "w", Units: 1e9, Back: back}, start)
@@ -248,9 +248,9 @@
 	}
 }
 
-// TestPartLastsFromItsQuestion checks that a late reply does not extend a lease. The
+// TestLeaseStartsWhenRequested checks that a late reply does not extend a lease. The
 // coordinator considers the lease expired by then.
-func TestPartLastsFromItsQuestion(t *testing.T) {
+func TestLeaseStartsWhenRequested(t *testing.T) {
 	p := NewAllowance(window)
 	p.Configure([]protocol.Tenancy{{Name: "w", Rate: 100, Burst: 100}})
 	late := start.Add(GrantLifetime)
@@ -261,10 +261,10 @@
 	}
 }
 
-// TestDenialIsShort checks that the coordinator is asked again soon, however long it
+// TestAskPauseIsShort checks that the coordinator is asked again soon, however long it
 // expects the quota to be exhausted, because other gateways may return units. Callers are
 // told the coordinator's time, each one a little later than the one before.
-func TestDenialIsShort(t *testing.T) {
+func TestAskPauseIsShort(t *testing.T) {
 	p := NewAllowance(window)
 	p.Configure([]protocol.Tenancy{{Name: "w", Rate: 100, Burst: 100}})
 	p.CoordinatorReplied(1, start)
@@ -280,9 +280,9 @@
 	}
 }
 
-// TestNothingInAdvanceForRareRequests checks that a gateway prefetches units for frequent
+// TestNoPrefetchForRareRequests checks that a gateway prefetches units for frequent
 // requests, but not a fraction of a rare request, which would expire unused.
-func TestNothingInAdvanceForRareRequests(t *testing.T) {
+func TestNoPrefetchForRareRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		pause time.Duration
 		want  bool
@@ -328,7 +328,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := protocol.Tenancy{Name: "w", Rate: rapid.Float64Range(10, 1000).Draw(t, "rate")}
 		w.Burst = w.Rate * rapid.Float64Range(0, 4).Draw(t, "burst")
-		c := NewCoordinator(window, WithGrantPause(time.Duration(rapid.IntRange(0, 60).Draw(t, "quiet"))*time.Second))
+		c := NewCoordinator(window, WithGrantPause(time.Duration(rapid.IntRange(0, 60).Draw(t, "grant pause"))*time.Second))
 		c.Configure([]protocol.Tenancy{w}, start)
 		now, held := start, 0.0
 		var spent []grant
@@ -409,10 +409,10 @@
 	}
 }
 
-// TestChangesOfCoordinatorKeepToTheBound checks that a workspace that always demands more
+// TestCoordinatorChangeStaysWithinBound checks that a workspace that always demands more
 // than its quota receives at most a tenth more than the quota in any window, across a
 // change of the coordinator or an outage.
-func TestChangesOfCoordinatorKeepToTheBound(t *testing.T) {
+func TestCoordinatorChangeStaysWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := protocol.Tenancy{Name: "w", Rate: 1000, Burst: 1000}
 		away := time.Duration(rapid.IntRange(200, 5000).Draw(t, "away")) * time.Millisecond
@@ -437,9 +437,9 @@
 	})
 }
 
-// TestAloneWhenOverdue checks that a gateway switches to standalone mode soon after a reply
+// TestStandaloneWhenOverdue checks that a gateway switches to standalone mode soon after a reply
 // is overdue, and back after a reply.
-func TestAloneWhenOverdue(t *testing.T) {
+func TestStandaloneWhenOverdue(t *testing.T) {
 	p := NewAllowance(window)
 	p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
 	p.CoordinatorReplied(295, start)
@@ -458,10 +458,10 @@
 	}
 }
 
-// TestAloneAsBefore checks that standalone gateways together admit at most their recent
+// TestStandaloneKeepsRecentUse checks that standalone gateways together admit at most their recent
 // use, or half of the rate, plus one request each, and that busy gateways continue at their
 // recent use.
-func TestAloneAsBefore(t *testing.T) {
+func TestStandaloneKeepsRecentUse(t *testing.T) {
 	const seconds, cost = 4, 10.0
 	for _, gateways := range []int{8, 76, 295} {
 		w := protocol.Tenancy{Name: "w", Rate: 100 * float64(gateways), Burst: 100 * float64(gateways)}
@@ -503,10 +503,10 @@
 	}
 }
 
-// TestCallersComeBackInTurn checks that the callers of a workspace that demands several
+// TestRetryTimesAreSpaced checks that the callers of a workspace that demands several
 // times its quota are given increasing times, spaced by the refill rate; that prefetched
 // units delay nobody; and that no time exceeds the window.
-func TestCallersComeBackInTurn(t *testing.T) {
+func TestRetryTimesAreSpaced(t *testing.T) {
 	w := protocol.Tenancy{Name: "w", Rate: 1000, Burst: 1000}
 	c := NewCoordinator(window)
 	c.Configure([]protocol.Tenancy{w}, start)
@@ -535,14 +535,14 @@
 	}
 }
 
-// TestAloneTellsWhen checks that a caller denied by a standalone gateway is told when the
+// TestStandaloneRetryTime checks that a caller denied by a standalone gateway is told when the
 // gateway's own level suffices again, or, if that takes long, when the coordinator should
 // be back.
-func TestAloneTellsWhen(t *testing.T) {
+func TestStandaloneRetryTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		gateways int
 		want     time.Duration
-	}{"soon": {1, 400 * time.Millisecond}, "a small part": {295, standaloneMaxWait}} {
+	}{"large share": {1, 400 * time.Millisecond}, "small share": {295, standaloneMaxWait}} {
 		p := NewAllowance(window)
 		p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
 		p.CoordinatorReplied(c.gateways, start)
@@ -669,10 +669,10 @@
 	}
 }
 
-// TestAloneWithLittleLeft checks that hundreds of standalone gateways, each of which may
+// TestStandaloneNearlyExhausted checks that hundreds of standalone gateways, each of which may
 // admit less than one request of a nearly exhausted workspace, together admit about what
 // they used before: neither one request each nor none.
-func TestAloneWithLittleLeft(t *testing.T) {
+func TestStandaloneNearlyExhausted(t *testing.T) {
 	const gateways, units, seconds = 295, 2000.0, 2
 	w := protocol.Tenancy{Name: "w", Rate: 100_000, Burst: 100_000}
 	draw := rand.New(rand.NewPCG(1, 2))
@@ -701,10 +701,10 @@
 	}
 }
 
-// TestBurstIsNotGoneOnWith checks that a gateway that spent a burst right before it
+// TestStandaloneAfterBurst checks that a gateway that spent a burst right before it
 // switches to standalone mode does not continue at that rate: a window contains the burst
 // once.
-func TestBurstIsNotGoneOnWith(t *testing.T) {
+func TestStandaloneAfterBurst(t *testing.T) {
 	w := protocol.Tenancy{Name: "w", Rate: 1000, Burst: 1000}
 	p := NewAllowance(window)
 	p.Configure([]protocol.Tenancy{w})
@@ -726,9 +726,9 @@
 	}
 }
 
-// TestOwnPartGoesByTheWindow checks that the use that a standalone gateway continues with
+// TestStandaloneAveragingWindow checks that the use that a standalone gateway continues with
 // is averaged over the window of the quotas, whatever its length.
-func TestOwnPartGoesByTheWindow(t *testing.T) {
+func TestStandaloneAveragingWindow(t *testing.T) {
 	for _, window := range []time.Duration{4 * time.Second, 8 * time.Second, 40 * time.Second} {
 		p := NewAllowance(window)
 		p.Configure([]protocol.Tenancy{{Name: "w", Rate: 1000, Burst: 1000}})
--- a/coordination/rollout/rollout_test.go
+++ b/coordination/rollout/rollout_test.go
@@ -74,9 +74,9 @@
 	})
 }
 
-// TestCreditsEnd checks that a gateway without contact to a leader stops sending to a
+// TestCreditsExpire checks that a gateway without contact to a leader stops sending to a
 // version on trial, and that the credits of a previous leader expire.
-func TestCreditsEnd(t *testing.T) {
+func TestCreditsExpire(t *testing.T) {
 	at := time.Unix(0, 0)
 	var p Credits
 	if p.Spend(at) {
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestSteps checks which stage change each state of a roll-out leads to.
-func TestSteps(t *testing.T) {
+// TestStageChanges checks which stage change each state of a roll-out leads to.
+func TestStageChanges(t *testing.T) {
 	good := Assessment{New: 40, Old: 400}
 	trial := TickMsg{Elapsed: 8500 * time.Millisecond, LeadingFor: time.Minute, Assessment: good, Slots: 100, Running: 20, OtherVersions: []string{"v1"}}
 	with := func(f func(*TickMsg)) TickMsg {
@@ -114,36 +114,36 @@
 	}{
 		"early":                   {protocol.RolloutTrial, with(func(m *TickMsg) { m.Elapsed = 7 * time.Second }), 0, false},
 		"no other version serves": {protocol.RolloutTrial, TickMsg{LeadingFor: time.Minute, Slots: 4}, protocol.RolloutCompleted, true},
-		"all others are gone":     {protocol.RolloutTrial, TickMsg{LeadingFor: time.Minute, Slots: 4, Assessment: Assessment{Old: 7}}, 0, false},
-		"a new leader":            {protocol.RolloutTrial, with(func(m *TickMsg) { m.LeadingFor = time.Second / 2 }), 0, false},
+		"no other version left":   {protocol.RolloutTrial, TickMsg{LeadingFor: time.Minute, Slots: 4, Assessment: Assessment{Old: 7}}, 0, false},
+		"recent leader change":    {protocol.RolloutTrial, with(func(m *TickMsg) { m.LeadingFor = time.Second / 2 }), 0, false},
 		"good":                    {protocol.RolloutTrial, trial, protocol.RolloutMoving, true},
 		"few answers":             {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.New = 10 }), 0, false},
 		"few answers, late":       {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.New, m.Elapsed = 10, 11*time.Second }), protocol.RolloutMoving, true},
-		"few answers, many to come": {protocol.RolloutTrial, with(func(m *TickMsg) {
+		"few answers, many requests expected": {protocol.RolloutTrial, with(func(m *TickMsg) {
 			m.Assessment.New, m.Elapsed, m.ExpectedRequests, m.Headroom = 26, 11*time.Second, 200, 40
 		}), 0, false},
-		"few answers, few to come": {protocol.RolloutTrial, with(func(m *TickMsg) {
+		"few answers, few requests expected": {protocol.RolloutTrial, with(func(m *TickMsg) {
 			m.Assessment.New, m.Elapsed, m.ExpectedRequests, m.Headroom = 10, 11*time.Second, 30, 40
 		}), protocol.RolloutMoving, true},
-		"few answers, past all": {protocol.RolloutTrial, with(func(m *TickMsg) {
+		"few answers, past the overrun": {protocol.RolloutTrial, with(func(m *TickMsg) {
 			m.Assessment.New, m.Elapsed, m.ExpectedRequests, m.Headroom = 26, 18*time.Second, 200, 40
 		}), protocol.RolloutRolledBack, true},
-		"enough answers, many to come":     {protocol.RolloutTrial, with(func(m *TickMsg) { m.ExpectedRequests, m.Headroom = 200, 40 }), protocol.RolloutMoving, true},
-		"no answer, late":                  {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.New, m.Elapsed = 0, 11*time.Second }), 0, false},
-		"no answer, past all":              {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.New, m.Elapsed = 0, 18*time.Second }), protocol.RolloutRolledBack, true},
-		"in doubt":                         {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.Inconclusive = true }), 0, false},
-		"in doubt, late":                   {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.Inconclusive, m.Elapsed = true, 11*time.Second }), protocol.RolloutRolledBack, true},
-		"worse":                            {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.Degraded = true }), protocol.RolloutRolledBack, true},
-		"bad, at once":                     {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.RollBack, m.Elapsed, m.LeadingFor = true, 0, 0 }), protocol.RolloutRolledBack, true},
-		"no room":                          {protocol.RolloutTrial, with(func(m *TickMsg) { m.Slots = 20 }), 0, false},
-		"moving, quiet":                    {protocol.RolloutMoving, moving, protocol.RolloutCompleted, true},
-		"moving, early":                    {protocol.RolloutMoving, TickMsg{Elapsed: 10 * time.Second, Assessment: good, InSync: true, IdleFor: time.Second, MaxAnswerTime: 15 * time.Second}, 0, false},
-		"moving, answers run":              {protocol.RolloutMoving, TickMsg{Elapsed: 11 * time.Second, Assessment: good, InSync: true, MaxAnswerTime: 15 * time.Second, MovingFor: 14 * time.Second}, 0, false},
-		"moving, one has not heard":        {protocol.RolloutMoving, TickMsg{Elapsed: 11 * time.Second, Assessment: good, IdleFor: time.Second, MaxAnswerTime: 15 * time.Second}, 0, false},
-		"moving, an answer past all limit": {protocol.RolloutMoving, TickMsg{Elapsed: 11 * time.Second, Assessment: good, MaxAnswerTime: 15 * time.Second, MovingFor: 16 * time.Second}, protocol.RolloutCompleted, true},
-		"moving, bad":                      {protocol.RolloutMoving, TickMsg{Assessment: Assessment{RollBack: true}}, protocol.RolloutRolledBack, true},
-		"completed, bad":                   {protocol.RolloutCompleted, TickMsg{Assessment: Assessment{RollBack: true}}, 0, false},
-		"rolled back, good":                {protocol.RolloutRolledBack, trial, 0, false},
+		"enough answers, many requests expected": {protocol.RolloutTrial, with(func(m *TickMsg) { m.ExpectedRequests, m.Headroom = 200, 40 }), protocol.RolloutMoving, true},
+		"no answer, late":                        {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.New, m.Elapsed = 0, 11*time.Second }), 0, false},
+		"no answer, past the overrun":            {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.New, m.Elapsed = 0, 18*time.Second }), protocol.RolloutRolledBack, true},
+		"inconclusive":                           {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.Inconclusive = true }), 0, false},
+		"inconclusive, late":                     {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.Inconclusive, m.Elapsed = true, 11*time.Second }), protocol.RolloutRolledBack, true},
+		"degraded":                               {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.Degraded = true }), protocol.RolloutRolledBack, true},
+		"bad, at once":                           {protocol.RolloutTrial, with(func(m *TickMsg) { m.Assessment.RollBack, m.Elapsed, m.LeadingFor = true, 0, 0 }), protocol.RolloutRolledBack, true},
+		"no capacity":                            {protocol.RolloutTrial, with(func(m *TickMsg) { m.Slots = 20 }), 0, false},
+		"moving, idle":                           {protocol.RolloutMoving, moving, protocol.RolloutCompleted, true},
+		"moving, early":                          {protocol.RolloutMoving, TickMsg{Elapsed: 10 * time.Second, Assessment: good, InSync: true, IdleFor: time.Second, MaxAnswerTime: 15 * time.Second}, 0, false},
+		"moving, answers run":                    {protocol.RolloutMoving, TickMsg{Elapsed: 11 * time.Second, Assessment: good, InSync: true, MaxAnswerTime: 15 * time.Second, MovingFor: 14 * time.Second}, 0, false},
+		"moving, one gateway out of sync":        {protocol.RolloutMoving, TickMsg{Elapsed: 11 * time.Second, Assessment: good, IdleFor: time.Second, MaxAnswerTime: 15 * time.Second}, 0, false},
+		"moving, answer past its time limit":     {protocol.RolloutMoving, TickMsg{Elapsed: 11 * time.Second, Assessment: good, MaxAnswerTime: 15 * time.Second, MovingFor: 16 * time.Second}, protocol.RolloutCompleted, true},
+		"moving, bad":                            {protocol.RolloutMoving, TickMsg{Assessment: Assessment{RollBack: true}}, protocol.RolloutRolledBack, true},
+		"completed, bad":                         {protocol.RolloutCompleted, TickMsg{Assessment: Assessment{RollBack: true}}, 0, false},
+		"rolled back, good":                      {protocol.RolloutRolledBack, trial, 0, false},
 	} {
 		r := &protocol.Rollout{Service: "s", Number: 3, Version: "v2", LimitMS: 12_000, Stage: c.stage}
 		step, ok := Next(r, c.msg)
@@ -198,14 +198,14 @@
 	}
 }
 
-// TestFewAnswersMoveNothing guards against a move on too little evidence. Faults kept the
+// TestMoveOnFewAnswersIsBounded guards against a move on too little evidence. Faults kept the
 // requests of a trial away from a new version whose servers fail half of their answers
 // after the twelfth of each. The trial ended with 26 answers, none of them bad, and the
 // roll-out moved on 4.6 s after the order; until the rollback 1.6 s later, the version
 // received 211 requests where 169 were allowed. A version that is moved to on few answers
 // must stay within the bound of a bad version, for any load and any credits granted so far,
 // if it receives all requests until the rollback and they arrive no faster than before.
-func TestFewAnswersMoveNothing(t *testing.T) {
+func TestMoveOnFewAnswersIsBounded(t *testing.T) {
 	const share, slack = 0.1, 50
 	moved, stayed := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/coordination/scale/regions_test.go
+++ b/coordination/scale/regions_test.go
@@ -69,10 +69,10 @@
 	}
 }
 
-// TestFullWhereItIsShort checks that full-price servers are placed in the region that lost
+// TestFullPriceInShortRegion checks that full-price servers are placed in the region that lost
 // its reclaimable ones unless another region is much cheaper, and that existing and ordered
 // servers stay where they are.
-func TestFullWhereItIsShort(t *testing.T) {
+func TestFullPriceInShortRegion(t *testing.T) {
 	parts := map[string]float64{"a": 0.34, "b": 0.33, "c": 0.33}
 	for _, c := range []struct {
 		name      string
@@ -103,10 +103,10 @@
 	}
 }
 
-// TestLayoutsBearLosses checks for any load that no layout costs more than the even one,
+// TestLayoutsTolerateLosses checks for any load that no layout costs more than the even one,
 // that it tolerates the loss of the two fullest domains if the even one does, and that
 // placeFullPrice keeps the total, the maximum of each domain and the committed servers.
-func TestLayoutsBearLosses(t *testing.T) {
+func TestLayoutsTolerateLosses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		part := rapid.Float64Range(0.01, 1)
 		parts := map[string]float64{"a": part.Draw(t, "a"), "b": part.Draw(t, "b"), "c": part.Draw(t, "c")}
@@ -114,7 +114,7 @@
 		for region := range parts {
 			parts[region] /= all
 		}
-		r := threeRegionPlanner(parts, rapid.Float64Range(0, 40).Draw(t, "across"), rapid.IntRange(4, 40).Draw(t, "most"))
+		r := threeRegionPlanner(parts, rapid.Float64Range(0, 40).Draw(t, "cross cost"), rapid.IntRange(4, 40).Draw(t, "limit"))
 		need := rapid.IntRange(1, 60).Draw(t, "need")
 		committed, want := make([]int, len(r.domains)), make([]int, len(r.domains))
 		for i := range r.domains {
@@ -122,7 +122,7 @@
 			d.price = rapid.Float64Range(0.5, 2).Draw(t, "price")
 			d.reclaimable = rapid.IntRange(0, r.spec.Max).Draw(t, "reclaimable")
 			want[i] = rapid.IntRange(0, r.spec.Max-d.reclaimable).Draw(t, "want")
-			committed[i] = rapid.IntRange(0, r.spec.Max).Draw(t, "pinned")
+			committed[i] = rapid.IntRange(0, r.spec.Max).Draw(t, "committed")
 		}
 		even := r.evenLayout(need)
 		got := r.layoutReclaimable(even, need)
@@ -146,9 +146,9 @@
 
 func toleratesLosses(layout []int, need int) bool { return remaining(layout) >= need }
 
-// TestOneRegionPlansAsBefore checks that a planner gives the same orders without regions,
+// TestSingleRegionPlan checks that a planner gives the same orders without regions,
 // with one region, and without a load by region.
-func TestOneRegionPlansAsBefore(t *testing.T) {
+func TestSingleRegionPlan(t *testing.T) {
 	one := topology.New(map[string]string{"a": "x", "b": "x", "c": "x", "d": "x"})
 	two := topology.New(map[string]string{"a": "x", "b": "x", "c": "y", "d": "y"})
 	parts := map[string]float64{"x": 9, "y": 1}
@@ -167,11 +167,11 @@
 	}
 }
 
-// TestLostDomainIsMadeUpNear simulates the loss of a region's reclaimable servers while
+// TestLostDomainIsReplacedInRegion simulates the loss of a region's reclaimable servers while
 // none are available and the region's domains cost a twentieth more. Full-price servers
 // must be placed in that region. Placed by price alone, all of them went to the cheapest
 // domains of the other regions, and a third of the load crossed regions.
-func TestLostDomainIsMadeUpNear(t *testing.T) {
+func TestLostDomainIsReplacedInRegion(t *testing.T) {
 	s := Service{Spec: &protocol.ServiceSpec{Name: "model", Slots: 16, Scaling: &protocol.ScalingSpec{
 		Max: 30, DomainPrices: map[string]float64{"a-1": 0.95, "a-2": 0.95, "b-1": 1, "b-2": 1, "c-1": 0.95, "c-2": 0.95},
 	}}, InitialServers: 40, BegunAnswers: 1, Running: 200, RunningByRegion: map[string]float64{"a": 1, "b": 1, "c": 1}}
@@ -210,13 +210,13 @@
 	}
 }
 
-// TestCappedLayoutBearsLosses checks for any number of full-price servers that take up room
+// TestCappedLayoutToleratesLosses checks for any number of full-price servers that take up room
 // that the chosen layout tolerates the loss of two domains as far as the even one does.
-func TestCappedLayoutBearsLosses(t *testing.T) {
+func TestCappedLayoutToleratesLosses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		part := rapid.Float64Range(0.01, 1)
 		r := threeRegionPlanner(map[string]float64{"a": part.Draw(t, "a"), "b": part.Draw(t, "b"), "c": part.Draw(t, "c")},
-			rapid.SampledFrom([]float64{0, crossRegionCost, 4, 20}).Draw(t, "across"), rapid.IntRange(4, 40).Draw(t, "most"))
+			rapid.SampledFrom([]float64{0, crossRegionCost, 4, 20}).Draw(t, "cross cost"), rapid.IntRange(4, 40).Draw(t, "limit"))
 		all := r.shares["a"] + r.shares["b"] + r.shares["c"]
 		for region := range r.shares {
 			r.shares[region] /= all
@@ -237,10 +237,10 @@
 	})
 }
 
-// TestServersOnTheirWayStay checks that full-price servers ordered in a region stay when
+// TestOrderedServersStay checks that full-price servers ordered in a region stay when
 // the load moves to another one before they have started. Otherwise the planner would start
 // them in both regions.
-func TestServersOnTheirWayStay(t *testing.T) {
+func TestOrderedServersStay(t *testing.T) {
 	r := threeRegionPlanner(map[string]float64{"a": 0.2, "b": 0.2, "c": 0.6}, crossRegionCost, 30)
 	want, committed := []int{10, 0, 0, 0, 0, 0}, []int{0, 0, 7, 0, 0, 0} // Seven are ordered in b-1.
 	if got := r.placeFullPrice(want, committed); got[2] != 7 || sum(got) != 10 {
@@ -275,9 +275,9 @@
 	}
 }
 
-// TestLeastNumberStays checks that no domain falls below its minimum number of servers,
+// TestRegionsKeepMinimum checks that no domain falls below its minimum number of servers,
 // wherever the load is.
-func TestLeastNumberStays(t *testing.T) {
+func TestRegionsKeepMinimum(t *testing.T) {
 	for _, load := range []map[string]float64{{"a": 1}, {"b": 1}, {"a": 0.2, "b": 0.2, "c": 0.6}} {
 		r := threeRegionPlanner(load, crossRegionCost, 30)
 		r.spec.Min = 2
@@ -295,10 +295,10 @@
 	}
 }
 
-// TestPartsAreSteady checks that the regions' shares of the load, which determine the
+// TestRegionSharesAreStable checks that the regions' shares of the load, which determine the
 // layouts, are stable while reports vary, follow a load that moves, and quickly replace the
 // first reports of a term, which do not cover all gateways.
-func TestPartsAreSteady(t *testing.T) {
+func TestRegionSharesAreStable(t *testing.T) {
 	p, now := New(WithTopology(threeRegions())), start
 	s := Service{Spec: &protocol.ServiceSpec{Name: "model", Slots: 16, Scaling: &protocol.ScalingSpec{
 		Max: 30, DomainPrices: map[string]float64{"a-1": 1, "b-1": 1},
--- a/coordination/scale/scale_test.go
+++ b/coordination/scale/scale_test.go
@@ -73,9 +73,9 @@
 	return n
 }
 
-// TestReclaimableTakeOver checks that reclaimable servers replace full-price ones, and that
+// TestReclaimableReplaceFullPrice checks that reclaimable servers replace full-price ones, and that
 // enough are left when two domains lose theirs.
-func TestReclaimableTakeOver(t *testing.T) {
+func TestReclaimableReplaceFullPrice(t *testing.T) {
 	w := &fakePlatform{counts: map[Order]int{{Service: "model", Domain: "a"}: 5, {Service: "model", Domain: "b"}: 4}}
 	p, now := New(), start
 	s := Service{Spec: spec(), InitialServers: 9}
@@ -146,10 +146,10 @@
 	}
 }
 
-// TestReclaimWhileNoneAreLeft checks that full-price servers are ordered when all
+// TestReclaimWithoutReplacements checks that full-price servers are ordered when all
 // reclaimable ones are taken away and no others are available. Counting the ordered
 // reclaimable servers towards a domain's maximum once left the service without any.
-func TestReclaimWhileNoneAreLeft(t *testing.T) {
+func TestReclaimWithoutReplacements(t *testing.T) {
 	w := &fakePlatform{counts: map[Order]int{{Service: "model", Domain: "a"}: 9}}
 	p, now := New(), start
 	s := Service{Spec: spec(), InitialServers: 24}
@@ -192,9 +192,9 @@
 	}
 }
 
-// TestAnotherLossIsBorne checks that, while no reclaimable servers are available, enough
+// TestFurtherLossIsTolerated checks that, while no reclaimable servers are available, enough
 // full-price ones are running for the loss of the fullest domain's reclaimable servers.
-func TestAnotherLossIsBorne(t *testing.T) {
+func TestFurtherLossIsTolerated(t *testing.T) {
 	w := &fakePlatform{counts: map[Order]int{{Service: "model", Domain: "a"}: 9}}
 	p, now := New(), start
 	s := Service{Spec: spec(), InitialServers: 16}
@@ -249,11 +249,11 @@
 	}
 }
 
-// TestChangesOverBeforeTheFirstRequest checks that full-price servers of an idle service
+// TestIdleServiceSwitchesToReclaimable checks that full-price servers of an idle service
 // are removed, down to the minimum, as soon as reclaimable ones are ordered, and that they
 // stay until these are running if the service has received requests. Ordered servers that
 // do not appear count for a limited time only.
-func TestChangesOverBeforeTheFirstRequest(t *testing.T) {
+func TestIdleServiceSwitchesToReclaimable(t *testing.T) {
 	full := func() []protocol.Instance {
 		w := &fakePlatform{counts: map[Order]int{{Service: "model", Domain: "a"}: 5, {Service: "model", Domain: "b"}: 4}}
 		return w.list()
@@ -286,22 +286,22 @@
 	}
 }
 
-// TestOrdersKeepToTheBounds checks that no order is below or above the operators' limits,
+// TestOrdersStayWithinBounds checks that no order is below or above the operators' limits,
 // for any load and list.
-func TestOrdersKeepToTheBounds(t *testing.T) {
+func TestOrdersStayWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &fakePlatform{counts: map[Order]int{}}
 		for _, d := range []string{"a", "b", "c", "d"} {
 			w.counts[Order{Service: "model", Domain: d}] = rapid.IntRange(0, 5).Draw(t, "full")
 		}
 		p, now := New(), start
-		s := Service{Spec: spec(), InitialServers: rapid.IntRange(1, 30).Draw(t, "base")}
+		s := Service{Spec: spec(), InitialServers: rapid.IntRange(1, 30).Draw(t, "initial servers")}
 		for range 60 {
 			now = now.Add(time.Duration(rapid.IntRange(50, 2000).Draw(t, "pause")) * time.Millisecond)
-			s.Running = rapid.Float64Range(0, 600).Draw(t, "work")
+			s.Running = rapid.Float64Range(0, 600).Draw(t, "running")
 			s.BegunAnswers += 50
 			s.SlowAnswers += int64(rapid.IntRange(0, 20).Draw(t, "slow"))
-			w.exhausted = rapid.Bool().Draw(t, "dry")
+			w.exhausted = rapid.Bool().Draw(t, "exhausted")
 			for _, o := range p.Plan(PlanMsg{Services: []Service{s}, Servers: w.list(), Now: now}) {
 				if o.Count < 0 || o.Count > s.Spec.Scaling.Max {
 					t.Fatalf("order %+v", o)
@@ -312,9 +312,9 @@
 	})
 }
 
-// TestSlowAnswersCallForMore checks that the need rises and falls with the fraction of slow
+// TestSlowAnswersRaiseNeed checks that the need rises and falls with the fraction of slow
 // answers.
-func TestSlowAnswersCallForMore(t *testing.T) {
+func TestSlowAnswersRaiseNeed(t *testing.T) {
 	s := Service{Spec: spec(), InitialServers: 8}
 	l := newLoad(&s, start)
 	now := start
@@ -377,9 +377,9 @@
 	}
 }
 
-// TestFullPriceGoesOnGoing checks that further full-price servers are removed after
+// TestFullPriceShrinkDelay checks that further full-price servers are removed after
 // settleTime, but after shrinkDelay if the last order added some.
-func TestFullPriceGoesOnGoing(t *testing.T) {
+func TestFullPriceShrinkDelay(t *testing.T) {
 	for _, c := range []struct {
 		counts []int
 		pause  time.Duration
@@ -401,9 +401,9 @@
 	}
 }
 
-// TestLeastNumber checks that each domain has the operators' minimum number of servers,
+// TestMinimumPerDomain checks that each domain has the operators' minimum number of servers,
 // however low the load is.
-func TestLeastNumber(t *testing.T) {
+func TestMinimumPerDomain(t *testing.T) {
 	dst := make([]int, 6)
 	spreadReclaimable(dst, 1, &protocol.ScalingSpec{Min: 2, Max: 10})
 	for i, n := range dst {
@@ -413,9 +413,9 @@
 	}
 }
 
-// TestGuessedBase checks that no full-price servers are ordered or removed while
+// TestProvisionalInitialServers checks that no full-price servers are ordered or removed while
 // InitialServers is provisional.
-func TestGuessedBase(t *testing.T) {
+func TestProvisionalInitialServers(t *testing.T) {
 	w := &fakePlatform{counts: map[Order]int{{Service: "model", Domain: "a"}: 2}}
 	for _, guessed := range []bool{true, false} {
 		full := false
@@ -447,10 +447,10 @@
 	}
 }
 
-// TestOneDomainIsAskedForAll checks that domains are probed in turn, longest ago first,
+// TestDomainsAreProbedInTurn checks that domains are probed in turn, longest ago first,
 // while all of them refuse, and that all domains receive their servers soon after one probe
 // succeeds.
-func TestOneDomainIsAskedForAll(t *testing.T) {
+func TestDomainsAreProbedInTurn(t *testing.T) {
 	w := &fakePlatform{counts: map[Order]int{{Service: "model", Domain: "a"}: 9}, exhausted: true}
 	p, now := New(), start
 	s := Service{Spec: spec(), InitialServers: 9}
@@ -487,11 +487,11 @@
 	}
 }
 
-// TestTakenAwayServersAreOrderedAgain simulates a domain that loses a server soon after its
+// TestReclaimedServersAreReordered simulates a domain that loses a server soon after its
 // number changed. The ordered servers had all started, so there is nothing to wait for: the
 // next order shows whether others are available, and if not, full-price servers start early
 // enough to be running before the next domain is lost.
-func TestTakenAwayServersAreOrderedAgain(t *testing.T) {
+func TestReclaimedServersAreReordered(t *testing.T) {
 	const order = 5
 	p := New()
 	key := Order{Service: "model", Domain: "a", Count: order, Reclaimable: true}
