--- a/coordination/backpressure/backpressure_test.go
+++ b/coordination/backpressure/backpressure_test.go
@@ -43,8 +43,9 @@
 	from *gateway
 }
 
-// maxInWindow returns the most requests in a window that ends enforcedAfter or more behind
-// the first limit. It counts the requests of gateways that got the limit gatewayGrace before.
+// maxInWindow returns the most requests in a window that ends at least enforcedAfter after
+// the first limit. It counts only the requests of gateways that have known the limit for
+// gatewayGrace at the end of the window.
 func (s *fakeServer) maxInWindow() int {
 	most := 0
 	for i, a := range s.arrivals {
@@ -360,9 +361,9 @@
 	}
 }
 
-// TestLimitBehindABurst has a server name its limit right after a burst, and checks that
+// TestLimitAfterABurst has a server name its limit right after a burst, and checks that
 // the requests of the burst count.
-func TestLimitBehindABurst(t *testing.T) {
+func TestLimitAfterABurst(t *testing.T) {
 	for _, gateways := range []int{1, 9, 40} {
 		const limit = 20
 		f := newFleet(1, gateways)
@@ -407,7 +408,7 @@
 // how many requests that one sent, and that it counts requests sent without a permit.
 func TestPermitsNeedCounts(t *testing.T) {
 	named := []protocol.HeardLimit{{Server: "s", Limit: protocol.RateLimit{Named: true, PerSecond: 2}}}
-	ask := func(b *PermitAllocator, m protocol.LimitsMsg, now time.Time) int {
+	report := func(b *PermitAllocator, m protocol.LimitsMsg, now time.Time) int {
 		m.Gateway, m.Heard = "g", named
 		if m.Wants == nil {
 			m.Wants = []protocol.PermitWant{{Server: "s", Count: 1}}
@@ -415,20 +416,20 @@
 		return b.HandleReport(&m, 1, now).Grants[0].Count
 	}
 	b := NewPermitAllocator()
-	ask(b, protocol.LimitsMsg{}, start)
+	report(b, protocol.LimitsMsg{}, start)
 	now := start.Add(time.Second)
-	if n := ask(b, protocol.LimitsMsg{}, now); n != 0 {
+	if n := report(b, protocol.LimitsMsg{}, now); n != 0 {
 		t.Errorf("%d permits to a gateway whose sent requests are unknown", n)
 	}
 	counted := []protocol.SentRequests{{Server: "s", Slots: []int{1}}}
-	if n := ask(b, protocol.LimitsMsg{Sent: counted}, now); n != 1 {
+	if n := report(b, protocol.LimitsMsg{Sent: counted}, now); n != 1 {
 		t.Errorf("%d permits to a gateway whose sent requests are known; want 1", n)
 	}
-	ask(b, protocol.LimitsMsg{Wants: []protocol.PermitWant{{Server: "s", Alone: 4}}}, now)
-	if n := ask(b, protocol.LimitsMsg{}, now.Add(time.Second)); n != 0 {
+	report(b, protocol.LimitsMsg{Wants: []protocol.PermitWant{{Server: "s", Alone: 4}}}, now)
+	if n := report(b, protocol.LimitsMsg{}, now.Add(time.Second)); n != 0 {
 		t.Errorf("%d permits one second after 4 requests without a permit", n)
 	}
-	if n := ask(b, protocol.LimitsMsg{}, now.Add(3*time.Second)); n != 1 {
+	if n := report(b, protocol.LimitsMsg{}, now.Add(3*time.Second)); n != 1 {
 		t.Errorf("%d permits after the deficit is made up; want 1", n)
 	}
 }
@@ -454,10 +455,10 @@
 	}
 }
 
-// TestLimitPassedOnAtSize has the leader fail right as a server names its limit, with up to
-// a thousand gateways. The rate of their queries to control instances must stay within the
-// bound that also holds for queries to the leader.
-func TestLimitPassedOnAtSize(t *testing.T) {
+// TestLimitIsForwardedAtScale has the leader fail right as a server names its limit, with up
+// to a thousand gateways. The rate of their queries to control instances must stay within
+// the bound that also holds for queries to the leader.
+func TestLimitIsForwardedAtScale(t *testing.T) {
 	for _, gateways := range []int{300, 986} {
 		for _, limit := range []float64{1, 10} {
 			f := newFleet(uint64(gateways), gateways)
@@ -476,9 +477,9 @@
 	}
 }
 
-// BenchmarkAnswer measures the replies to gateways of the largest fleet while all its
+// BenchmarkHandleReport measures the replies to gateways of the largest fleet while all its
 // servers have limits: each report requests permits for five of them.
-func BenchmarkAnswer(b *testing.B) {
+func BenchmarkHandleReport(b *testing.B) {
 	const servers, gateways, wants = 600, 360, 5
 	allocator, now := NewPermitAllocator(), start
 	var heard []protocol.HeardLimit
--- a/coordination/backpressure/limits.go
+++ b/coordination/backpressure/limits.go
@@ -205,9 +205,9 @@
 
 // Prune removes the servers that are no longer listed.
 func (l *Limits) Prune(listed func(server string) bool) {
-	gone := func(server string) bool { return !listed(server) }
-	maps.DeleteFunc(l.servers, func(server string, _ *serverState) bool { return gone(server) })
-	maps.DeleteFunc(l.sent, func(server string, _ *sentCounter) bool { return gone(server) })
+	unlisted := func(server string) bool { return !listed(server) }
+	maps.DeleteFunc(l.servers, func(server string, _ *serverState) bool { return unlisted(server) })
+	maps.DeleteFunc(l.sent, func(server string, _ *sentCounter) bool { return unlisted(server) })
 }
 
 // IsStale reports whether the leader has limits that are not known here.
--- a/coordination/backpressure/rests_test.go
+++ b/coordination/backpressure/rests_test.go
@@ -41,14 +41,14 @@
 	if !d.MarkLeaving("s", start) || d.MarkLeaving("s", start) {
 		t.Error("want true for the first announcement only")
 	}
-	listed, gone := func(string) bool { return true }, func(string) bool { return false }
+	listed, unlisted := func(string) bool { return true }, func(string) bool { return false }
 	now := start.Add(time.Hour)
 	d.Prune(listed, now)
-	d.Prune(gone, now.Add(departureRetention))
+	d.Prune(unlisted, now.Add(departureRetention))
 	if !d.IsLeaving("s") || d.IsLeaving("other") {
 		t.Error("the departure is forgotten, or attributed to another server")
 	}
-	d.Prune(gone, now.Add(departureRetention+time.Second))
+	d.Prune(unlisted, now.Add(departureRetention+time.Second))
 	if d.IsLeaving("s") {
 		t.Error("the departure is still remembered after departureRetention")
 	}
