--- a/coordination/memory/memory_test.go
+++ b/coordination/memory/memory_test.go
@@ -7,23 +7,24 @@
 
 	"pgregory.net/rapid"
 
-	_ "github.com/weldstream/weldstream/internal/testseed" // Fixes the seed.
+	_ "github.com/weldstream/weldstream/internal/testseed" // Sets the seed.
 )
 
 var start = time.Unix(1_700_000_000, 0)
 
 const bound = 1 << 20
 
-// key is what bytes are booked under.
+// key identifies reserved bytes in the reference bookkeeping.
 type key struct {
 	hold  int
 	cause Cause
 }
 
-// TestInvariant checks that what is held is what was taken less what was given back,
-// in all, by cause, by workspace and by hold; that it is never above the bound; that a
-// refusal changes nothing and says when to come back; that a workspace which holds
-// nothing gets as much as any other one has; and that nothing is left at rest.
+// TestInvariant checks over random histories that the bytes held match the bytes reserved
+// less those released, in total and by cause, workspace and hold; that the total never
+// exceeds the bound; that a refusal changes nothing and gives a valid time to retry; that a
+// workspace without bytes can get half of what is free; and that nothing remains after all
+// holds ended.
 func TestInvariant(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, now := New(bound), start
@@ -31,7 +32,7 @@
 		for i := range holds {
 			holds[i].Workspace = fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "workspace"))
 		}
-		book := map[key]int64{}
+		reserved := map[key]int64{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "pause")) * time.Millisecond)
 			k := key{rapid.IntRange(0, len(holds)-1).Draw(t, "hold"), rapid.SampledFrom(Causes).Draw(t, "cause")}
@@ -40,44 +41,44 @@
 			case 0, 1, 2:
 				v := a.Reserve(&holds[k.hold], k.cause, n, now)
 				if v.Granted {
-					book[k] += n
-				} else if v.RetryAfter < leastWait || v.RetryAfter > mostWait {
-					t.Fatalf("a refusal says to come back after %v: %+v", v.RetryAfter, v)
+					reserved[k] += n
+				} else if v.RetryAfter < minWait || v.RetryAfter > maxWait {
+					t.Fatalf("a refusal advises a retry after %v: %+v", v.RetryAfter, v)
 				}
 			case 3, 4:
 				a.Release(&holds[k.hold], k.cause, n, now)
-				book[k] -= min(n, book[k])
+				reserved[k] -= min(n, reserved[k])
 			case 5:
 				a.ReleaseAll(&holds[k.hold], now)
 				for _, c := range Causes {
-					delete(book, key{k.hold, c})
+					delete(reserved, key{k.hold, c})
 				}
 			}
-			checkBook(t, a, holds, book)
+			checkBytes(t, a, holds, reserved)
 			checkRoom(t, a, now)
 		}
 		for i := range holds {
 			a.ReleaseAll(&holds[i], now)
 		}
-		checkBook(t, a, holds, nil)
+		checkBytes(t, a, holds, nil)
 		if len(a.Workspaces()) > 0 {
-			t.Fatalf("at rest there are %v", a.Workspaces())
+			t.Fatalf("workspaces left after all holds ended: %v", a.Workspaces())
 		}
 	})
 }
 
-func checkBook(t *rapid.T, a *Account, holds []Hold, book map[key]int64) {
+func checkBytes(t *rapid.T, a *Account, holds []Hold, reserved map[key]int64) {
 	t.Helper()
 	var all int64
-	byCause, bySpace := map[Cause]int64{}, map[string]int64{}
-	for k, n := range book {
+	byCause, byWorkspace := map[Cause]int64{}, map[string]int64{}
+	for k, n := range reserved {
 		if got := holds[k.hold].Held(k.cause); got != n {
 			t.Fatalf("hold %d has %d bytes for %v, want %d", k.hold, got, k.cause, n)
 		}
 		all += n
 		byCause[k.cause] += n
 		if k.cause != Connection {
-			bySpace[holds[k.hold].Workspace] += n
+			byWorkspace[holds[k.hold].Workspace] += n
 		}
 	}
 	if a.Held() != all || all > bound {
@@ -89,13 +90,13 @@
 		}
 	}
 	for _, w := range []string{"0", "1", "2", "3"} {
-		if a.HeldBy(w) != bySpace[w] {
-			t.Fatalf("workspace %s has %d bytes, want %d", w, a.HeldBy(w), bySpace[w])
+		if a.HeldBy(w) != byWorkspace[w] {
+			t.Fatalf("workspace %s has %d bytes, want %d", w, a.HeldBy(w), byWorkspace[w])
 		}
 	}
 }
 
-// checkRoom checks that a workspace that holds nothing could take half of what is free.
+// checkRoom checks that a workspace that holds nothing can reserve half of what is free.
 func checkRoom(t *rapid.T, a *Account, now time.Time) {
 	t.Helper()
 	var h Hold
@@ -113,12 +114,12 @@
 	}
 }
 
-// TestShares checks what workspaces get that take all they can.
+// TestShares checks the shares of workspaces that each reserve as much as they can.
 func TestShares(t *testing.T) {
 	const piece = bound / 1000
-	for spaces, want := range map[int]float64{1: 1. / 2, 2: 1. / 3, 3: 1. / 4, 9: 1. / 10} {
+	for workspaces, want := range map[int]float64{1: 1. / 2, 2: 1. / 3, 3: 1. / 4, 9: 1. / 10} {
 		a := New(bound)
-		holds := make([]Hold, spaces)
+		holds := make([]Hold, workspaces)
 		for i := range holds {
 			holds[i].Workspace = fmt.Sprint(i)
 		}
@@ -129,14 +130,14 @@
 		}
 		for i := range holds {
 			if got := float64(a.HeldBy(holds[i].Workspace)) / bound; got < want-0.01 || got > want+0.01 {
-				t.Errorf("of %d workspaces one has %.3f of the bound, want %.3f", spaces, got, want)
+				t.Errorf("of %d workspaces one has %.3f of the bound, want %.3f", workspaces, got, want)
 			}
 		}
 	}
 }
 
-// TestConnectionsLeaveRoom checks that connections take half of the bound at the most,
-// and that a body is taken beside them.
+// TestConnectionsLeaveRoom checks that connections use at most half of the bound, and that
+// a body still fits beside them.
 func TestConnectionsLeaveRoom(t *testing.T) {
 	a := New(bound)
 	conns := make([]Hold, 1000)
@@ -152,8 +153,8 @@
 	}
 }
 
-// TestWait checks that the time to come back follows how fast bytes are given back,
-// and that what can never be taken is told apart.
+// TestWait checks that the time to retry is shorter the faster bytes are released, and that
+// a size that can never be granted is marked.
 func TestWait(t *testing.T) {
 	wait := func(given int64) time.Duration {
 		a := New(bound)
@@ -169,8 +170,8 @@
 		}
 		return v.RetryAfter
 	}
-	if none, slow, fast := wait(0), wait(bound/32), wait(bound/4); none != mostWait || slow >= none || fast >= slow {
-		t.Errorf("waits are %v where nothing is given back, %v where little, %v where much", none, slow, fast)
+	if none, slow, fast := wait(0), wait(bound/32), wait(bound/4); none != maxWait || slow >= none || fast >= slow {
+		t.Errorf("retry after %v without releases, %v with few, %v with many", none, slow, fast)
 	}
 	var h Hold
 	if v := New(bound).Reserve(&h, Body, bound/2+1, start); v.Granted || !v.TooLarge {
