--- a/coordination/route/affinity.go
+++ b/coordination/route/affinity.go
@@ -6,29 +6,27 @@
 	"github.com/weldstream/weldstream/state"
 )
 
-// Affinity sends requests that share a prompt's first part to the same server,
-// so that its prefix cache is used, unless that server has clearly more to do
-// than the others.
+// Affinity sends requests with the same first prompt part to the same server to use its
+// prefix cache, unless that server has clearly more load than the others.
 //
-// It ranks servers by rendezvous hashing of the prefix, so that gateways agree
-// without telling each other, and bounds the load: a server whose load is above
-// Bound times the mean is passed over for the next in rank. Reports come late,
-// and gateways that all follow the same old report herd onto the server that
-// looked empty. Here a report only takes servers out; the rank, which differs
-// from prefix to prefix, spreads the rest.
+// Servers are ranked by rendezvous hashing of the prefix, so that gateways agree without
+// communication, and load is bounded: a server whose load exceeds Bound times the mean is
+// skipped in favor of the next in rank. Reports arrive late, and gateways that all follow
+// the same outdated report would overload the server that looked idle. Here a report only
+// excludes servers; the ranks, which differ for each prefix, spread the rest.
 type Affinity struct {
-	// Bound is how far above the mean a server's load may be, such as 1.25.
+	// Bound is the permitted load as a multiple of the mean, such as 1.25.
 	Bound float64
-	// Slack is added to the bound, so that a few requests do not break up a
-	// prefix while there is little to do.
+	// Slack is added to the permitted load, so that a few requests do not separate a prefix
+	// from its server while the load is low.
 	Slack float64
 }
 
-// NewAffinity returns the chooser with the bounds that the experiments argue
-// for; see docs/design/0006-routing.md.
+// NewAffinity returns the chooser with the bounds that the experiments support; see
+// docs/design/0006-routing.md.
 func NewAffinity() Affinity { return Affinity{Bound: 1.25, Slack: 2} }
 
-// class orders groups of servers: a lower one is taken first.
+// The classes of servers are sums of these flags; lower classes are preferred.
 const (
 	classNoAdapter = 1
 	classSilent    = 2
@@ -36,8 +34,8 @@
 	classes        = 8
 )
 
-// Choose implements [Chooser]. It looks at each server of the pool twice and
-// allocates nothing.
+// Choose implements [Chooser]. It looks at each server of the pool twice and does not
+// allocate.
 func (a Affinity) Choose(v *state.View, counts []int32, m ChooseMsg) (int, error) {
 	p := v.Model(m.Model)
 	if m.Service != "" {
@@ -46,7 +44,7 @@
 	if p == nil {
 		return -1, ErrNoServer
 	}
-	c := candidates{view: v, pool: p, msg: m, with: p.Adapter(m.Adapter)}
+	c := candidates{view: v, pool: p, msg: m, hasAdapter: p.Adapter(m.Adapter)}
 	best, mean := c.lightest(counts)
 	if best == classes {
 		return -1, ErrNoServer
@@ -54,21 +52,21 @@
 	return c.ranked(counts, best, a.Bound*mean+a.Slack), nil
 }
 
-// candidates are the servers of a pool as one request sees them.
+// candidates is the server pool of one request.
 type candidates struct {
-	view *state.View
-	pool *state.Pool
-	msg  ChooseMsg
-	with []bool // with tells which servers hold the adapter.
+	view       *state.View
+	pool       *state.Pool
+	msg        ChooseMsg
+	hasAdapter []bool // hasAdapter says which servers have loaded the adapter.
 }
 
-// class returns the class of the k-th server, or classes if it may not be chosen.
+// class returns the class of the k-th server, or classes if it must not be chosen.
 func (c *candidates) class(k int) int {
 	n := 0
 	if c.pool.Silent[k] {
 		n += classSilent
 	}
-	if c.msg.Adapter != "" && (c.with == nil || !c.with[k]) {
+	if c.msg.Adapter != "" && (c.hasAdapter == nil || !c.hasAdapter[k]) {
 		n += classNoAdapter
 	}
 	if len(c.msg.AvoidServers)+len(c.msg.AvoidDomains) == 0 {
@@ -84,7 +82,7 @@
 	return n
 }
 
-// lightest returns the lowest class that there is, and its mean load.
+// lightest returns the lowest class of any server and the mean load in that class.
 func (c *candidates) lightest(counts []int32) (best int, mean float64) {
 	best = classes
 	total, n := 0.0, 0
@@ -101,12 +99,12 @@
 	return best, total / float64(max(1, n))
 }
 
-// ranked returns the server of a class that ranks highest for the prefix among
-// those with a load up to limit. The least loaded is always one of them.
+// ranked returns the server of the class with the highest rank for the prefix among those
+// with a load up to limit. The least loaded server is always among them.
 func (c *candidates) ranked(counts []int32, want int, limit float64) int {
 	key := c.msg.Prefix
 	if key == 0 {
-		key = c.msg.Rand // Nothing is shared: the rank only spreads.
+		key = c.msg.Rand // Without a shared prefix, the rank only spreads requests.
 	}
 	chosen, highest := -1, uint64(0)
 	for k, i := range c.pool.Index {
@@ -119,8 +117,7 @@
 	return chosen
 }
 
-// mix is the finalizer of SplitMix64: each bit of the input reaches all of the
-// output.
+// mix is the finalizer of SplitMix64: each input bit affects all output bits.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/coordination/route/experiment_test.go
+++ b/coordination/route/experiment_test.go
@@ -15,46 +15,45 @@
 	"github.com/weldstream/weldstream/state"
 )
 
-// This file compares ways to choose a server over a small, seeded fake of
-// engines that is stepped in time. Nine gateways decide apart from each other,
-// each with its own counts and with load reports that lag; a failure domain is
-// lost in the middle. The table is in testdata/experiment.golden.
+// This file compares choosers in a small, seeded discrete-time simulation of engines. Nine
+// gateways decide independently, each with its own counts and with delayed load reports; a
+// failure domain is lost halfway. The resulting table is in testdata/experiment.golden.
 
 const (
-	stepTime    = 10 * time.Millisecond // one step of the fake
-	lagSteps    = 50                    // a report is up to half a second old
-	gateways    = 9
-	simSteps    = 9000 // 90 s
-	lossStep    = 4500
-	returnStep  = 6500
-	prefillRate = 80  // prompt tokens an engine computes in a step
-	batchFull   = 8   // requests that an engine serves at full speed
-	stepsAToken = 3   // steps between two tokens at up to batchFull requests
-	firstTarget = 320 // ms
-	gapTarget   = 57  // ms
-	hourly      = 1.0 // price of an engine
+	stepTime        = 10 * time.Millisecond // one step of the simulation
+	lagSteps        = 50                    // a report is up to half a second old
+	gateways        = 9
+	simSteps        = 9000 // 90 s
+	lossStep        = 4500
+	returnStep      = 6500
+	prefillRate     = 80  // prompt tokens that an engine prefills in a step
+	batchFull       = 8   // requests that an engine serves at full speed
+	stepsPerToken   = 3   // steps between two tokens with up to batchFull requests
+	firstTarget     = 320 // ms
+	gapTarget       = 57  // ms
+	engineHourPrice = 1.0 // price of an engine-hour
 )
 
-// shape is a users' load.
-type shape struct {
+// workload is the load of one deployment.
+type workload struct {
 	name       string
 	engines    int
-	rate       float64 // conversations a second
+	rate       float64 // conversations per second
 	turns      int
 	prompt     int // tokens of the first prompt
 	grow       int // tokens that a turn adds to the prompt
 	answer     int // tokens of an answer
-	cache      int // tokens that an engine's prefix cache holds
+	cache      int // capacity of an engine's prefix cache in tokens
 	workspaces []float64
 }
 
-var shapes = []shape{
+var workloads = []workload{
 	{name: "baton-rouge", engines: 9, rate: 2.4, turns: 5, prompt: 900, grow: 250, answer: 80, cache: 40000, workspaces: []float64{.45, .3, .15, .06, .04}},
 	{name: "santiago", engines: 18, rate: 3.2, turns: 6, prompt: 1800, grow: 400, answer: 120, cache: 60000, workspaces: []float64{.4, .3, .2, .06, .04}},
 }
 
-// talk is a conversation.
-type talk struct {
+// conversation is a sequence of turns with a growing prompt.
+type conversation struct {
 	id        uint64
 	workspace int
 	turn      int
@@ -62,186 +61,186 @@
 	due       int // due is the step of the next turn.
 }
 
-// task is one turn in an engine.
+// task is one turn running at an engine.
 type task struct {
-	talk    *talk
-	gateway int
-	sent    int
-	prefill int
-	made    int
-	first   int
-	phase   int
+	conversation *conversation
+	gateway      int
+	sent         int
+	prefill      int
+	generated    int
+	first        int
+	phase        int
 }
 
-// box is a fake engine.
-type box struct {
+// engine is a simulated engine.
+type engine struct {
 	tasks []*task
-	cache map[uint64]int // cache is the tokens held, by conversation.
-	order []uint64       // order is from the one used longest ago.
+	cache map[uint64]int // cache is the number of cached tokens by conversation.
+	order []uint64       // order lists conversations from the least to the most recently used.
 	used  int
 	down  bool
 }
 
-func (b *box) touch(id uint64, tokens, limit int) {
-	b.used += tokens - b.cache[id]
-	b.cache[id] = tokens
-	b.order = append(slices.DeleteFunc(b.order, func(o uint64) bool { return o == id }), id)
-	for b.used > limit && len(b.order) > 1 {
-		old := b.order[0]
-		b.order = b.order[1:]
-		b.used -= b.cache[old]
-		delete(b.cache, old)
+func (e *engine) touch(id uint64, tokens, limit int) {
+	e.used += tokens - e.cache[id]
+	e.cache[id] = tokens
+	e.order = append(slices.DeleteFunc(e.order, func(o uint64) bool { return o == id }), id)
+	for e.used > limit && len(e.order) > 1 {
+		old := e.order[0]
+		e.order = e.order[1:]
+		e.used -= e.cache[old]
+		delete(e.cache, old)
 	}
 }
 
-// score is what a way came to.
-type score struct {
-	done, good          int
-	prompted, prefilled int
-	reclaimed           int // reclaimed are tokens computed again for answers that lost their engine.
-	refused             int
-	byWorkspace         [5][2]int
-	first               []int
+// result holds the totals of one run.
+type result struct {
+	done, good                  int
+	promptTokens, prefillTokens int
+	recomputed                  int // recomputed counts tokens computed again for answers that lost their engine.
+	refused                     int
+	byWorkspace                 [5][2]int
+	first                       []int
 }
 
-// run simulates one way on one shape.
-func run(sh shape, c Chooser, reads int, seed uint64) score {
+// run simulates one chooser on one workload.
+func run(load workload, c Chooser, reads int, seed uint64) result {
 	rnd := rand.New(rand.NewPCG(seed, 7))
-	w := newWorld(sh, c, rnd)
-	w.reads = reads
+	w := newSimulation(load, c, rnd)
+	w.polled = reads
 	for step := range simSteps {
 		w.step(step)
 	}
-	return w.score
+	return w.result
 }
 
-type world struct {
-	shape   shape
-	chance  *rand.Rand
-	choose  Chooser
-	boxes   []*box
-	servers [gateways][]state.Server
-	views   [gateways]*state.View
-	counts  [gateways][]int32
-	talks   []*talk
-	reads   int // reads is how many engines a gateway asks in a round; 0 means all.
-	nextID  uint64
-	score   score
+type simulation struct {
+	workload      workload
+	rnd           *rand.Rand
+	chooser       Chooser
+	engines       []*engine
+	servers       [gateways][]state.Server
+	views         [gateways]*state.View
+	counts        [gateways][]int32
+	conversations []*conversation
+	polled        int // polled is how many engines a gateway polls in a round; 0 means all.
+	nextID        uint64
+	result        result
 }
 
-func newWorld(sh shape, c Chooser, rnd *rand.Rand) *world {
-	w := &world{shape: sh, chance: rnd, choose: c}
-	for range sh.engines {
-		w.boxes = append(w.boxes, &box{cache: map[uint64]int{}})
+func newSimulation(load workload, c Chooser, rnd *rand.Rand) *simulation {
+	w := &simulation{workload: load, rnd: rnd, chooser: c}
+	for range load.engines {
+		w.engines = append(w.engines, &engine{cache: map[uint64]int{}})
 	}
 	for g := range gateways {
 		var servers []state.Server
-		for i := range sh.engines {
+		for i := range load.engines {
 			s := state.Server{Hash: mix(uint64(i + 1)), Counters: &state.Counters{}}
 			s.ID, s.Kind, s.Domain = fmt.Sprintf("e%02d", i), protocol.InstanceEngine, fmt.Sprint("z", i%4)
 			s.Report.Models = []string{"m"}
 			servers = append(servers, s)
 		}
-		w.servers[g], w.views[g], w.counts[g] = servers, state.NewView(servers), make([]int32, sh.engines)
+		w.servers[g], w.views[g], w.counts[g] = servers, state.NewView(servers), make([]int32, load.engines)
 	}
 	return w
 }
 
-func (w *world) step(step int) {
+func (sim *simulation) step(step int) {
 	switch step {
 	case lossStep:
-		w.lose(step)
+		sim.loseDomain(step)
 	case returnStep:
-		w.setDown(false)
+		sim.setDown(false)
 	}
-	w.report(step)
-	w.arrive(step)
-	for i, b := range w.boxes {
-		w.work(i, b, step)
+	sim.report(step)
+	sim.arrive(step)
+	for i, b := range sim.engines {
+		sim.compute(i, b, step)
 	}
 }
 
-// setDown takes the domain z0 away or brings it back, empty.
-func (w *world) setDown(down bool) {
-	for i, b := range w.boxes {
+// setDown takes domain z0 down or brings it back with empty caches.
+func (sim *simulation) setDown(down bool) {
+	for i, b := range sim.engines {
 		if i%4 != 0 {
 			continue
 		}
 		b.down = down
 		b.cache, b.order, b.used = map[uint64]int{}, nil, 0
 		for g := range gateways {
-			w.servers[g][i].Leaving = down
+			sim.servers[g][i].Leaving = down
 		}
 	}
 	for g := range gateways {
-		w.views[g] = state.NewView(w.servers[g])
+		sim.views[g] = state.NewView(sim.servers[g])
 	}
 }
 
-// lose loses the domain without notice: its answers resume elsewhere.
-func (w *world) lose(step int) {
+// loseDomain takes the domain down without notice; its answers resume elsewhere.
+func (sim *simulation) loseDomain(step int) {
 	var lost []*task
-	for i, b := range w.boxes {
+	for i, b := range sim.engines {
 		if i%4 == 0 {
 			for _, t := range b.tasks {
-				w.counts[t.gateway][i]--
+				sim.counts[t.gateway][i]--
 			}
 			lost = append(lost, b.tasks...)
 			b.tasks = nil
 		}
 	}
-	w.setDown(true)
+	sim.setDown(true)
 	for _, t := range lost {
-		if i := w.pick(t); i >= 0 {
-			w.place(t, i, t.made)
-			w.score.reclaimed += t.prefill
+		if i := sim.pick(t); i >= 0 {
+			sim.place(t, i, t.generated)
+			sim.result.recomputed += t.prefill
 		}
 	}
 	_ = step
 }
 
-// report refreshes each gateway's reports at times of its own.
-func (w *world) report(step int) {
+// report refreshes each gateway's reports at a different time.
+func (sim *simulation) report(step int) {
 	for g := range gateways {
 		if (step+g*7)%lagSteps != 0 {
 			continue
 		}
 		now := time.Unix(0, 0).Add(time.Duration(step+1) * stepTime)
-		most := w.reads
-		if most == 0 {
-			most = len(w.boxes)
+		polled := sim.polled
+		if polled == 0 {
+			polled = len(sim.engines)
 		}
-		for _, i := range poll.Plan(w.views[g], most) {
-			b, s := w.boxes[i], &w.servers[g][i]
+		for _, i := range poll.Plan(sim.views[g], polled) {
+			b, s := sim.engines[i], &sim.servers[g][i]
 			s.AskedAt, s.ReportAt, s.SentAt = now, now, s.Counters.Sent.Load()
 			s.Report.Running = min(len(b.tasks), batchFull)
 			s.Report.Waiting = max(0, len(b.tasks)-batchFull)
-			s.Report.KVUsed = float64(b.used) / float64(w.shape.cache)
-			s.OwnAt = w.counts[g][i]
+			s.Report.KVUsed = float64(b.used) / float64(sim.workload.cache)
+			s.OwnAt = sim.counts[g][i]
 		}
-		for i := range w.servers[g] {
-			w.servers[g][i].Old = now.Sub(w.servers[g][i].ReportAt) > 2*time.Second
+		for i := range sim.servers[g] {
+			sim.servers[g][i].Old = now.Sub(sim.servers[g][i].ReportAt) > 2*time.Second
 		}
-		w.views[g] = state.NewView(w.servers[g])
+		sim.views[g] = state.NewView(sim.servers[g])
 	}
 }
 
-func (w *world) arrive(step int) {
-	if w.chance.Float64() < w.shape.rate*stepTime.Seconds() {
-		w.nextID++
-		t := &talk{id: mix(w.nextID), prompt: w.shape.prompt, due: step, workspace: w.draw()}
-		w.talks = append(w.talks, t)
+func (sim *simulation) arrive(step int) {
+	if sim.rnd.Float64() < sim.workload.rate*stepTime.Seconds() {
+		sim.nextID++
+		t := &conversation{id: mix(sim.nextID), prompt: sim.workload.prompt, due: step, workspace: sim.drawWorkspace()}
+		sim.conversations = append(sim.conversations, t)
 	}
-	for _, t := range w.talks {
+	for _, t := range sim.conversations {
 		if t.due == step {
-			w.send(t, step)
+			sim.send(t, step)
 		}
 	}
 }
 
-func (w *world) draw() int {
-	x := w.chance.Float64()
-	for i, part := range w.shape.workspaces {
+func (sim *simulation) drawWorkspace() int {
+	x := sim.rnd.Float64()
+	for i, part := range sim.workload.workspaces {
 		if x -= part; x < 0 {
 			return i
 		}
@@ -249,43 +248,43 @@
 	return 0
 }
 
-func (w *world) send(t *talk, step int) {
-	k := &task{talk: t, gateway: w.chance.IntN(gateways), sent: step, first: -1}
-	w.score.prompted += t.prompt
-	i := w.pick(k)
+func (sim *simulation) send(t *conversation, step int) {
+	k := &task{conversation: t, gateway: sim.rnd.IntN(gateways), sent: step, first: -1}
+	sim.result.promptTokens += t.prompt
+	i := sim.pick(k)
 	if i < 0 {
-		w.score.refused++
-		t.due = step + 100 // It comes back after a second.
+		sim.result.refused++
+		t.due = step + 100 // Retries after a second.
 		return
 	}
-	w.place(k, i, 0)
+	sim.place(k, i, 0)
 }
 
-func (w *world) pick(k *task) int {
-	m := ChooseMsg{Model: "m", Prefix: k.talk.id, Rand: w.chance.Uint64()}
-	i, err := w.choose.Choose(w.views[k.gateway], w.counts[k.gateway], m)
+func (sim *simulation) pick(k *task) int {
+	m := ChooseMsg{Model: "m", Prefix: k.conversation.id, Rand: sim.rnd.Uint64()}
+	i, err := sim.chooser.Choose(sim.views[k.gateway], sim.counts[k.gateway], m)
 	if err != nil {
 		return -1
 	}
 	return i
 }
 
-// place puts a task into an engine, which computes what its cache lacks.
-func (w *world) place(k *task, i, made int) {
-	b := w.boxes[i]
-	k.prefill = max(0, k.talk.prompt+made-b.cache[k.talk.id])
-	w.score.prefilled += k.prefill
-	b.touch(k.talk.id, k.talk.prompt, w.shape.cache)
+// place assigns a task to an engine, which prefills what its cache lacks.
+func (sim *simulation) place(k *task, i, generated int) {
+	b := sim.engines[i]
+	k.prefill = max(0, k.conversation.prompt+generated-b.cache[k.conversation.id])
+	sim.result.prefillTokens += k.prefill
+	b.touch(k.conversation.id, k.conversation.prompt, sim.workload.cache)
 	b.tasks = append(b.tasks, k)
-	w.counts[k.gateway][i]++
-	w.servers[k.gateway][i].Counters.Sent.Add(1)
+	sim.counts[k.gateway][i]++
+	sim.servers[k.gateway][i].Counters.Sent.Add(1)
 }
 
-// work lets an engine compute for one step: the prompts first come first
-// served, and for each task up to batchFull a token now and then.
-func (w *world) work(i int, b *box, step int) {
+// compute runs an engine for one step: prefill in order of arrival, then one token every
+// few steps for each task, at full speed for up to batchFull tasks.
+func (sim *simulation) compute(i int, b *engine, step int) {
 	budget := prefillRate
-	every := stepsAToken * max(1, (len(b.tasks)+batchFull-1)/batchFull)
+	every := stepsPerToken * max(1, (len(b.tasks)+batchFull-1)/batchFull)
 	for _, k := range b.tasks {
 		if k.prefill > 0 {
 			n := min(budget, k.prefill)
@@ -296,50 +295,50 @@
 		if k.phase++; k.phase%every != 0 {
 			continue
 		}
-		if k.made++; k.first < 0 {
+		if k.generated++; k.first < 0 {
 			k.first = step
 		}
 	}
 	b.tasks = slices.DeleteFunc(b.tasks, func(k *task) bool {
-		if k.made < w.shape.answer {
+		if k.generated < sim.workload.answer {
 			return false
 		}
-		w.counts[k.gateway][i]--
-		w.finish(k, b, step)
+		sim.counts[k.gateway][i]--
+		sim.finish(k, b, step)
 		return true
 	})
 }
 
-func (w *world) finish(k *task, b *box, step int) {
-	t := k.talk
+func (sim *simulation) finish(k *task, b *engine, step int) {
+	t := k.conversation
 	first := (k.first - k.sent) * int(stepTime.Milliseconds())
-	gap := float64(step-k.first) * float64(stepTime.Milliseconds()) / float64(w.shape.answer-1)
-	w.score.done++
-	w.score.first = append(w.score.first, first)
-	w.score.byWorkspace[t.workspace][0]++
+	gap := float64(step-k.first) * float64(stepTime.Milliseconds()) / float64(sim.workload.answer-1)
+	sim.result.done++
+	sim.result.first = append(sim.result.first, first)
+	sim.result.byWorkspace[t.workspace][0]++
 	if first <= firstTarget && gap <= gapTarget {
-		w.score.good++
-		w.score.byWorkspace[t.workspace][1]++
+		sim.result.good++
+		sim.result.byWorkspace[t.workspace][1]++
 	}
 	t.turn++
-	t.prompt += w.shape.answer + w.shape.grow
-	b.touch(t.id, t.prompt-w.shape.grow, w.shape.cache)
+	t.prompt += sim.workload.answer + sim.workload.grow
+	b.touch(t.id, t.prompt-sim.workload.grow, sim.workload.cache)
 	t.due = -1
-	if t.turn < w.shape.turns {
-		t.due = step + 100 + w.chance.IntN(400)
+	if t.turn < sim.workload.turns {
+		t.due = step + 100 + sim.rnd.IntN(400)
 	}
 }
 
-// row is the summary of one way over the seeds.
-func row(sh shape, name string, c Chooser, reads, seeds int) string {
-	var within, cost, again, reclaimed, slowest, p95 []float64
+// row returns the table row of one chooser over the seeds.
+func row(load workload, name string, c Chooser, reads, seeds int) string {
+	var within, cost, computed, recomputed, slowest, p95 []float64
 	for seed := range uint64(seeds) {
-		s := run(sh, c, reads, seed)
+		s := run(load, c, reads, seed)
 		within = append(within, 100*float64(s.good)/float64(s.done+s.refused))
-		hours := float64(sh.engines) * simSteps * stepTime.Hours()
-		cost = append(cost, 1e6*hours*hourly/float64(max(1, s.good)))
-		again = append(again, 100*float64(s.prefilled)/float64(s.prompted))
-		reclaimed = append(reclaimed, float64(s.reclaimed))
+		hours := float64(load.engines) * simSteps * stepTime.Hours()
+		cost = append(cost, 1e6*hours*engineHourPrice/float64(max(1, s.good)))
+		computed = append(computed, 100*float64(s.prefillTokens)/float64(s.promptTokens))
+		recomputed = append(recomputed, float64(s.recomputed))
 		worst := 100.0
 		for _, w := range s.byWorkspace {
 			if w[0] > 0 {
@@ -351,20 +350,19 @@
 		p95 = append(p95, float64(s.first[len(s.first)*95/100]))
 	}
 	cells := []string{fmt.Sprintf("%-18s", name)}
-	for _, list := range [][]float64{within, p95, cost, again, reclaimed, slowest} {
+	for _, list := range [][]float64{within, p95, cost, computed, recomputed, slowest} {
 		slices.Sort(list)
 		cells = append(cells, fmt.Sprintf("%7.1f (%.1f-%.1f)", list[len(list)/2], list[0], list[len(list)-1]))
 	}
 	return "| " + strings.Join(cells, " | ") + " |\n"
 }
 
-// TestExperiment prints the table and compares it with the one that the docs
-// quote.
+// TestExperiment compares the table with the one that the docs quote.
 func TestExperiment(t *testing.T) {
 	const seeds = 7
 	var out strings.Builder
-	for _, sh := range shapes {
-		fmt.Fprintf(&out, "### %s: %d engines, 4 failure domains, 9 gateways, %d seeds, median (least-most)\n\n", sh.name, sh.engines, seeds)
+	for _, load := range workloads {
+		fmt.Fprintf(&out, "### %s: %d engines, 4 failure domains, 9 gateways, %d seeds, median (least-most)\n\n", load.name, load.engines, seeds)
 		out.WriteString("| way | within target % | first token p95 ms | cost a good request, millionths of an engine-hour | prompt tokens computed % | tokens again for the lost domain | slowest workspace % |\n| --- | --- | --- | --- | --- | --- | --- |\n")
 		for _, w := range []struct {
 			name  string
@@ -379,7 +377,7 @@
 			{"1.25+2, one report", NewAffinity(), 1},
 			{"affinity-1.5+1", Affinity{Bound: 1.5, Slack: 1}, 0},
 		} {
-			out.WriteString(row(sh, w.name, w.c, w.reads, seeds))
+			out.WriteString(row(load, w.name, w.c, w.reads, seeds))
 		}
 		out.WriteString("\n")
 	}
--- a/coordination/route/route.go
+++ b/coordination/route/route.go
@@ -1,8 +1,8 @@
 // Package route chooses the backend server for an attempt.
 //
-// A [Chooser] is a function of a snapshot and a message. It holds no clock and
-// sends nothing: the caller copies the counts of requests in progress out of
-// the tables first, so that the numbers stand still while it looks at them.
+// A [Chooser] depends only on a snapshot and a message. It reads no clock and sends
+// nothing: the caller first copies the counts of requests in progress, so that they do not
+// change during the choice.
 //
 //	counts = view.Outstanding(counts)
 //	i, err := route.LeastOutstanding{}.Choose(view, counts, route.ChooseMsg{Model: "docket-8b"})
@@ -17,34 +17,34 @@
 	"github.com/weldstream/weldstream/state"
 )
 
-// ErrNoServer is returned when no backend server may take the request.
+// ErrNoServer is returned if no backend server may take the request.
 var ErrNoServer = eris.New("no backend server can take the request")
 
-// ChooseMsg asks for a backend server.
+// ChooseMsg requests a backend server.
 type ChooseMsg struct {
-	Model        string   // Model must be loaded; empty for a plain service.
-	Adapter      string   // Adapter is preferred to be loaded.
+	Model        string   // Model is the model that must be loaded; empty for a plain service.
+	Adapter      string   // Adapter is the adapter that is preferably loaded.
 	Service      string   // Service is the plain service; empty for a model.
 	Prefix       uint64   // Prefix is the hash of the prompt's first part.
 	Rand         uint64   // Rand is fresh randomness.
-	Sheddable    bool     // Sheddable says that the request has a low priority.
-	AvoidServers []string // AvoidServers are never chosen: they failed this request.
-	AvoidDomains []string // AvoidDomains are chosen only when nothing else is left.
+	Sheddable    bool     // Sheddable says that the request has low priority.
+	AvoidServers []string // AvoidServers are never chosen, since they failed this request.
+	AvoidDomains []string // AvoidDomains are chosen only if no other domain is left.
 }
 
-// Chooser chooses one server of the view.
+// Chooser chooses one server of a view.
 type Chooser interface {
-	// Choose returns an index into v.Servers, or ErrNoServer. The counts are
-	// the requests in progress per server, in the same order.
+	// Choose returns an index into v.Servers, or ErrNoServer. The counts are the requests
+	// in progress by server, in the same order.
 	Choose(v *state.View, counts []int32, m ChooseMsg) (int, error)
 }
 
-// LeastOutstanding prefers, in this order: a failure domain that did not fail
-// the request, an adapter that is loaded, the fewest requests in progress. It
-// is the baseline against which other choosers are measured.
+// LeastOutstanding prefers, in this order, failure domains that did not fail the request,
+// servers that are not silent, servers with the adapter loaded, and the fewest requests in
+// progress. It is the baseline for other choosers.
 type LeastOutstanding struct{}
 
-// rank orders candidates; less is better, field by field.
+// rank orders candidates lexicographically; lower is better.
 type rank struct {
 	domain   int
 	silent   int
@@ -98,8 +98,8 @@
 	return r
 }
 
-// Eligible reports whether a server may take the request at all: it is not
-// leaving, has not failed this request, and serves what is asked for.
+// Eligible reports whether a server may take the request: it is not leaving, has not failed
+// this request, and serves the requested model or service.
 func Eligible(s *state.Server, m ChooseMsg) bool {
 	if s.Leaving || slices.Contains(m.AvoidServers, s.ID) {
 		return false
--- a/coordination/route/route_test.go
+++ b/coordination/route/route_test.go
@@ -8,12 +8,12 @@
 
 	"pgregory.net/rapid"
 
-	_ "github.com/weldstream/weldstream/internal/testseed" // Fixes the seed.
+	_ "github.com/weldstream/weldstream/internal/testseed" // Sets the seed.
 	"github.com/weldstream/weldstream/protocol"
 	"github.com/weldstream/weldstream/state"
 )
 
-// naive sorts all servers that may take the request and takes the first.
+// naive sorts all eligible servers and returns the first.
 func naive(v *state.View, counts []int32, m ChooseMsg) int {
 	type candidate struct{ key, index int }
 	var all []candidate
@@ -64,7 +64,7 @@
 	return state.NewView(servers), counts
 }
 
-// TestLeastOutstanding compares the choice with the naive full scan.
+// TestLeastOutstanding compares the choice with a naive scan of all servers.
 func TestLeastOutstanding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v, counts := drawView(t)
@@ -80,18 +80,18 @@
 		}
 		got, err := LeastOutstanding{}.Choose(v, counts, m)
 		if want := naive(v, counts, m); got != want || (err == nil) != (want >= 0) {
-			t.Fatalf("chose %d (%v), the naive scan %d", got, err, want)
+			t.Fatalf("chose %d (%v), the naive scan chose %d", got, err, want)
 		}
 	})
 }
 
-// naiveClass is the class of a server by its row.
+// naiveClass derives the class of a server from its rank.
 func naiveClass(s *state.Server, m ChooseMsg) int {
 	r := rankOf(s, 0, m)
 	return classAvoided*r.domain + classSilent*r.silent + classNoAdapter*r.adapter
 }
 
-// naiveAffinity lists, sorts and picks without any shortcut.
+// naiveAffinity lists, sorts and picks servers without any shortcut.
 func naiveAffinity(a Affinity, v *state.View, counts []int32, m ChooseMsg) int {
 	var best []int
 	for i := range v.Servers {
@@ -120,9 +120,8 @@
 	return best[0]
 }
 
-// TestAffinity compares the choice with the naive one, and checks what it is
-// for: two gateways with the same reports agree, and no server above the bound
-// is chosen while another is below.
+// TestAffinity compares the choice with the naive one. So two gateways with the same reports
+// agree, and no server above the bound is chosen while another is below it.
 func TestAffinity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v, counts := drawView(t)
@@ -135,12 +134,12 @@
 		}
 		got, err := a.Choose(v, counts, m)
 		if want := naiveAffinity(a, v, counts, m); got != want || (err == nil) != (want >= 0) {
-			t.Fatalf("chose %d (%v), the naive way %d", got, err, want)
+			t.Fatalf("chose %d (%v), the naive chooser chose %d", got, err, want)
 		}
 	})
 }
 
-// BenchmarkChoose measures a decision among as many servers as are planned for.
+// BenchmarkChoose measures a choice among up to the planned number of servers.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{64, 240, 600} {
 		for name, chooser := range map[string]Chooser{"least-outstanding": LeastOutstanding{}, "affinity": NewAffinity()} {
