--- a/coordination/usage/clock.go
+++ b/coordination/usage/clock.go
@@ -21,19 +21,19 @@
 // NewClock returns a clock that starts at a time of day.
 func NewClock(start time.Time) *Clock { return &Clock{start: start.Round(0)} }
 
-// Own returns the time of day some time after the start, as this instance alone
+// Local returns the time of day some time after the start, as this instance alone
 // knows it.
-func (c *Clock) Own(since time.Duration) time.Time { return c.start.Add(since) }
+func (c *Clock) Local(since time.Duration) time.Time { return c.start.Add(since) }
 
 // Now returns the time of day some time after the start.
-func (c *Clock) Now(since time.Duration) time.Time { return c.Own(since).Add(c.shift) }
+func (c *Clock) Now(since time.Duration) time.Time { return c.Local(since).Add(c.shift) }
 
 // Agreed takes the time of day that most instances agree on.
 func (c *Clock) Agreed(at time.Time, since time.Duration) {
 	if at.IsZero() {
 		return // None was received.
 	}
-	c.shift = at.Sub(c.Own(since))
+	c.shift = at.Sub(c.Local(since))
 	if c.shift.Abs() < farOff {
 		c.shift = 0
 	}
--- a/coordination/usage/clock_test.go
+++ b/coordination/usage/clock_test.go
@@ -22,7 +22,7 @@
 		if got := c.Now(2 * time.Minute).Sub(start.Add(2 * time.Minute)); got != want {
 			t.Errorf("a clock that was off by %v is off by %v", off, got)
 		}
-		if own := c.Own(0); !own.Equal(start.Add(off)) {
+		if own := c.Local(0); !own.Equal(start.Add(off)) {
 			t.Errorf("what it tells others is %v, not its own", own)
 		}
 	}
--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -303,7 +303,7 @@
 func (u *Uplink) answerOwn(m *protocol.SyncMsg, reply *protocol.SyncReply, now time.Time) {
 	g := &gateway{at: now, domain: m.Domain, pressure: m.Pressure}
 	if !m.Clock.IsZero() {
-		g.ahead = m.Clock.Sub(u.clock.Own(now.Sub(u.began)))
+		g.ahead = m.Clock.Sub(u.clock.Local(now.Sub(u.began)))
 	}
 	u.gateways[m.Gateway] = g
 	u.earlier = max(u.earlier, m.Gateways)
@@ -386,7 +386,7 @@
 		ahead = append(ahead, g.ahead)
 	}
 	since := now.Sub(u.began)
-	u.clock.Agreed(u.clock.Own(since).Add(usage.Median(ahead)), since)
+	u.clock.Agreed(u.clock.Local(since).Add(usage.Median(ahead)), since)
 	return u.clock.Now(since)
 }
 
--- a/transport/forward/limits.go
+++ b/transport/forward/limits.go
@@ -175,7 +175,7 @@
 	defer g.mu.Unlock()
 	now := clock.Now()
 	since := now.Sub(g.began)
-	m := protocol.SyncMsg{Gateway: g.cfg.Name, Term: term, Number: g.Number(), Clock: g.clock.Own(since), Usage: g.counter.Rows(term, g.clock.Now(since)), Counted: g.clock.Now(since), Domain: g.cfg.Domain, Running: g.view.Load().Running(), Distrusts: g.view.Load().Distrusts(now)}
+	m := protocol.SyncMsg{Gateway: g.cfg.Name, Term: term, Number: g.Number(), Clock: g.clock.Local(since), Usage: g.counter.Rows(term, g.clock.Now(since)), Counted: g.clock.Now(since), Domain: g.cfg.Domain, Running: g.view.Load().Running(), Distrusts: g.view.Load().Distrusts(now)}
 	if !g.apart {
 		m.Wants = g.allowance.Wants(now)
 		m.Done, g.done = g.done, nil // One that is lost is forgotten by the leader in time.
