--- a/coordination/usage/clock.go
+++ b/coordination/usage/clock.go
@@ -28,8 +28,8 @@
 // Now returns the time of day some time after the start.
 func (c *Clock) Now(since time.Duration) time.Time { return c.Local(since).Add(c.shift) }
 
-// Agreed takes the time of day that most instances agree on.
-func (c *Clock) Agreed(at time.Time, since time.Duration) {
+// SetAgreed takes the time of day that most instances agree on.
+func (c *Clock) SetAgreed(at time.Time, since time.Duration) {
 	if at.IsZero() {
 		return // None was received.
 	}
--- a/coordination/usage/clock_test.go
+++ b/coordination/usage/clock_test.go
@@ -18,7 +18,7 @@
 		20 * time.Millisecond: 20 * time.Millisecond,
 	} {
 		c := NewClock(start.Add(off))
-		c.Agreed(start.Add(time.Minute), time.Minute)
+		c.SetAgreed(start.Add(time.Minute), time.Minute)
 		if got := c.Now(2 * time.Minute).Sub(start.Add(2 * time.Minute)); got != want {
 			t.Errorf("a clock that was off by %v is off by %v", off, got)
 		}
--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -386,7 +386,7 @@
 		ahead = append(ahead, g.ahead)
 	}
 	since := now.Sub(u.began)
-	u.clock.Agreed(u.clock.Local(since).Add(usage.Median(ahead)), since)
+	u.clock.SetAgreed(u.clock.Local(since).Add(usage.Median(ahead)), since)
 	return u.clock.Now(since)
 }
 
--- a/transport/forward/limits.go
+++ b/transport/forward/limits.go
@@ -200,7 +200,7 @@
 	g.counter.Acknowledged(reply.Term, m.Usage)
 	g.allowance.SetShort(reply.Short)
 	g.allowance.Acknowledge(m.Wants)
-	g.clock.Agreed(reply.Clock, clock.Since(g.began))
+	g.clock.SetAgreed(reply.Clock, clock.Since(g.began))
 	g.takeReadings(reply, clock.Now())
 	g.reportedQuarantine(reply.Term, m)
 	for i := range m.Trials {
