--- a/coordination/usage/usage.go
+++ b/coordination/usage/usage.go
@@ -47,8 +47,8 @@
 	return &Counter{length: length, kept: int64(due/length) + 2, counts: map[key]int64{}, acknowledged: map[key]int64{}}
 }
 
-// Began notes that a request of a workspace began to run.
-func (c *Counter) Began(workspace string, now time.Time) {
+// RecordStart notes that a request of a workspace began to run.
+func (c *Counter) RecordStart(workspace string, now time.Time) {
 	c.counts[key{Window(now, c.length), workspace}]++
 }
 
--- a/coordination/usage/usage_test.go
+++ b/coordination/usage/usage_test.go
@@ -38,7 +38,7 @@
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
 				workspace := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "workspace")
-				counters[name].Began(workspace, now)
+				counters[name].RecordStart(workspace, now)
 				want[workspace]++
 			case 2:
 				tell(name, rapid.Bool().Draw(t, "answer lost"), now)
@@ -85,7 +85,7 @@
 func TestOldCountsAreForgotten(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	c := NewCounter(length, 2*length)
-	c.Began("w", now)
+	c.RecordStart("w", now)
 	if rows := c.Rows(1, now.Add(3*length)); len(rows) != 1 {
 		t.Errorf("%d counts before the report is due", len(rows))
 	}
@@ -101,7 +101,7 @@
 func TestNextLeaderGetsWhatTheOneBeforeHad(t *testing.T) {
 	c := NewCounter(time.Second, time.Second)
 	now := time.Unix(1_700_000_000, 0)
-	c.Began("w", now)
+	c.RecordStart("w", now)
 	c.Acknowledged(1, c.Rows(1, now))
 	c.Acknowledged(2, c.Rows(1, now))
 	if rows := c.Rows(2, now); len(rows) != 1 || rows[0].Count != 1 {
@@ -124,12 +124,12 @@
 		l.Take("g", 1, rows)
 		c.Acknowledged(answers, rows)
 	}
-	c.Began("x", now)
+	c.RecordStart("x", now)
 	first, second := NewLedger(), NewLedger()
 	tell(first, 0, 1)
-	c.Began("y", now)
+	c.RecordStart("y", now)
 	tell(second, 1, 2)
-	c.Began("z", now)
+	c.RecordStart("z", now)
 	tell(second, 2, 2)
 	want := map[string]int64{"x": 1, "y": 1, "z": 1}
 	if diff := cmp.Diff(want, second.Total(Window(now, length))); diff != "" {
--- a/coordination/usage/watermark_test.go
+++ b/coordination/usage/watermark_test.go
@@ -80,7 +80,7 @@
 				marks.Take(fmt.Sprint(i), now, now)
 				heard[i] = now
 			} else if now.Sub(heard[i]) <= alone {
-				counters[i].Began("w", now)
+				counters[i].RecordStart("w", now)
 				began[Window(now, windowLength)]++
 			}
 			w := Window(now, windowLength) - 1
--- a/transport/forward/limits.go
+++ b/transport/forward/limits.go
@@ -115,7 +115,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.counter.Began(workspace, g.clock.Now(clock.Since(g.began)))
+	g.counter.RecordStart(workspace, g.clock.Now(clock.Since(g.began)))
 }
 
 // askTime is how long a request waits for a part of its quota.
