--- a/coordination/usage/usage.go
+++ b/coordination/usage/usage.go
@@ -116,9 +116,9 @@
 	return &Ledger{windows: map[int64]map[source]map[string]int64{}, changed: map[change]bool{}}
 }
 
-// Take notes the counts of a gateway. Counts only rise, so an old message
+// Record notes the counts of a gateway. Counts only rise, so an old message
 // changes nothing.
-func (l *Ledger) Take(gateway string, life uint64, rows []protocol.UsageRow) {
+func (l *Ledger) Record(gateway string, life uint64, rows []protocol.UsageRow) {
 	from := source{gateway, life}
 	for _, r := range rows {
 		w := l.windows[r.Window]
@@ -150,7 +150,7 @@
 // Recall takes counts that were logged.
 func (l *Ledger) Recall(rows []protocol.TallyRow) {
 	for _, r := range rows {
-		l.Take(r.Gateway, r.Life, []protocol.UsageRow{{Window: r.Window, Workspace: r.Workspace, Count: r.Count}})
+		l.Record(r.Gateway, r.Life, []protocol.UsageRow{{Window: r.Window, Workspace: r.Workspace, Count: r.Count}})
 	}
 	clear(l.changed)
 }
--- a/coordination/usage/usage_test.go
+++ b/coordination/usage/usage_test.go
@@ -27,7 +27,7 @@
 		ledger, term := NewLedger(), uint64(1)
 		tell := func(name string, lost bool, now time.Time) {
 			rows := counters[name].Rows(term, now)
-			ledger.Take(name, 1, rows)
+			ledger.Record(name, 1, rows)
 			if !lost {
 				counters[name].Acknowledged(term, rows)
 			}
@@ -64,9 +64,9 @@
 // former self.
 func TestLivesAddUp(t *testing.T) {
 	l := NewLedger()
-	l.Take("a", 1, []protocol.UsageRow{{Window: 3, Workspace: "x", Count: 5}})
-	l.Take("a", 2, []protocol.UsageRow{{Window: 3, Workspace: "x", Count: 2}})
-	l.Take("a", 1, []protocol.UsageRow{{Window: 3, Workspace: "x", Count: 4}}) // Late and older.
+	l.Record("a", 1, []protocol.UsageRow{{Window: 3, Workspace: "x", Count: 5}})
+	l.Record("a", 2, []protocol.UsageRow{{Window: 3, Workspace: "x", Count: 2}})
+	l.Record("a", 1, []protocol.UsageRow{{Window: 3, Workspace: "x", Count: 4}}) // Late and older.
 	if got := l.Total(3)["x"]; got != 7 {
 		t.Errorf("counted %d, want 7", got)
 	}
@@ -121,7 +121,7 @@
 	c := NewCounter(length, 10*time.Second)
 	tell := func(l *Ledger, asked, answers uint64) {
 		rows := c.Rows(asked, now)
-		l.Take("g", 1, rows)
+		l.Record("g", 1, rows)
 		c.Acknowledged(answers, rows)
 	}
 	c.RecordStart("x", now)
--- a/coordination/usage/watermark_test.go
+++ b/coordination/usage/watermark_test.go
@@ -76,7 +76,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(1, 900).Draw(t, "pause")) * time.Millisecond)
 			i := rapid.IntRange(0, gateways-1).Draw(t, "gateway")
 			if rapid.Bool().Draw(t, "tells") {
-				ledger.Take(fmt.Sprint(i), 1, counters[i].Rows(1, now))
+				ledger.Record(fmt.Sprint(i), 1, counters[i].Rows(1, now))
 				marks.Take(fmt.Sprint(i), now, now)
 				heard[i] = now
 			} else if now.Sub(heard[i]) <= alone {
--- a/transport/control/control_test.go
+++ b/transport/control/control_test.go
@@ -293,9 +293,9 @@
 	if !a.mayAct(ctx) {
 		t.Fatal("the first holder did not act")
 	}
-	a.uplink.ledger.Take("g", 1, []protocol.UsageRow{{Window: 1, Workspace: "w", Count: 3}})
+	a.uplink.ledger.Record("g", 1, []protocol.UsageRow{{Window: 1, Workspace: "w", Count: 3}})
 	a.reportWindow(ctx, 1)
-	a.uplink.ledger.Take("g", 1, []protocol.UsageRow{{Window: 1, Workspace: "w", Count: 9}})
+	a.uplink.ledger.Record("g", 1, []protocol.UsageRow{{Window: 1, Workspace: "w", Count: 9}})
 	a.reportWindow(ctx, 1)
 	g.set(2, true)
 	b := newDuties(g, s, "b")
@@ -404,14 +404,14 @@
 		t.Fatal("the first holder did not act")
 	}
 	now := time.Now().UnixNano() / int64(a.limits.UsageWindow)
-	a.uplink.ledger.Take("g", 1, []protocol.UsageRow{{Window: now, Workspace: "w", Count: 40}})
+	a.uplink.ledger.Record("g", 1, []protocol.UsageRow{{Window: now, Workspace: "w", Count: 40}})
 	a.tally(ctx)
 	g.set(2, true)
 	b := newDuties(g, &fakeSource{}, "a")
 	if !b.mayAct(ctx) {
 		t.Fatal("the next holder did not act")
 	}
-	b.uplink.ledger.Take("g", 2, []protocol.UsageRow{{Window: now, Workspace: "w", Count: 9}})
+	b.uplink.ledger.Record("g", 2, []protocol.UsageRow{{Window: now, Workspace: "w", Count: 9}})
 	if got := b.uplink.Used(now)["w"]; got != 49 {
 		t.Errorf("counted %d, want 49", got)
 	}
@@ -448,7 +448,7 @@
 	loops.Go(func() { _ = d.RunTally(ctx) })
 	window := time.Now().UnixNano() / int64(d.limits.UsageWindow)
 	d.uplink.mu.Lock()
-	d.uplink.ledger.Take("g", 1, []protocol.UsageRow{{Window: window, Workspace: "w", Count: 40}})
+	d.uplink.ledger.Record("g", 1, []protocol.UsageRow{{Window: window, Workspace: "w", Count: 40}})
 	d.uplink.mu.Unlock()
 	limit := time.NewTimer(patience)
 	defer limit.Stop()
--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -307,7 +307,7 @@
 	}
 	u.gateways[m.Gateway] = g
 	u.earlier = max(u.earlier, m.Gateways)
-	u.ledger.Take(m.Gateway, m.Life, m.Usage)
+	u.ledger.Record(m.Gateway, m.Life, m.Usage)
 	if m.Term == u.term {
 		u.marks.Take(m.Gateway, m.Counted, u.clock.Now(now.Sub(u.began)))
 	}
