--- a/coordination/usage/usage.go
+++ b/coordination/usage/usage.go
@@ -147,8 +147,8 @@
 	return rows
 }
 
-// Recall takes counts that were logged.
-func (l *Ledger) Recall(rows []protocol.TallyRow) {
+// Restore takes counts that were logged.
+func (l *Ledger) Restore(rows []protocol.TallyRow) {
 	for _, r := range rows {
 		l.Record(r.Gateway, r.Life, []protocol.UsageRow{{Window: r.Window, Workspace: r.Workspace, Count: r.Count}})
 	}
--- a/transport/control/counts.go
+++ b/transport/control/counts.go
@@ -41,7 +41,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.enter(term)
-	u.ledger.Recall(rows)
+	u.ledger.Restore(rows)
 	for _, r := range rows {
 		u.marks.Expect(r.Gateway, usage.End(r.Window-1, length))
 	}
