--- a/coordination/usage/watermark.go
+++ b/coordination/usage/watermark.go
@@ -27,9 +27,9 @@
 	return &Watermarks{alone: alone, gateways: map[string]watermark{}}
 }
 
-// Take notes that a gateway has told all that it counted before a time. One that was
+// Record notes that a gateway has told all that it counted before a time. One that was
 // started anew tells nothing of its former life, which nobody else knows either.
-func (w *Watermarks) Take(gateway string, counted, now time.Time) {
+func (w *Watermarks) Record(gateway string, counted, now time.Time) {
 	w.gateways[gateway] = watermark{counted: counted, heard: now}
 }
 
--- a/coordination/usage/watermark_test.go
+++ b/coordination/usage/watermark_test.go
@@ -24,27 +24,27 @@
 		tell func(w *Watermarks)
 		want []string
 	}{
-		{"told beyond the end", func(w *Watermarks) { w.Take("g", end, end.Add(time.Second)) }, nil},
-		{"frozen before the end", func(w *Watermarks) { w.Take("g", end.Add(-time.Millisecond), end) }, []string{"g"}},
+		{"told beyond the end", func(w *Watermarks) { w.Record("g", end, end.Add(time.Second)) }, nil},
+		{"frozen before the end", func(w *Watermarks) { w.Record("g", end.Add(-time.Millisecond), end) }, []string{"g"}},
 		{"cut off before the window, while it may serve alone", func(w *Watermarks) {
 			at := inWindow(window, -alone)
-			w.Take("g", at, at)
+			w.Record("g", at, at)
 		}, []string{"g"}},
 		{"cut off for longer than it serves alone", func(w *Watermarks) {
 			at := inWindow(window, -alone-time.Millisecond)
-			w.Take("g", at, at)
+			w.Record("g", at, at)
 		}, nil},
 		{"it comes back", func(w *Watermarks) {
-			w.Take("g", inWindow(window, time.Second), inWindow(window, time.Second))
-			w.Take("g", end.Add(time.Second), end.Add(time.Second))
+			w.Record("g", inWindow(window, time.Second), inWindow(window, time.Second))
+			w.Record("g", end.Add(time.Second), end.Add(time.Second))
 		}, nil},
 		{"known from the log alone", func(w *Watermarks) { w.Expect("g", inWindow(window, 0)) }, []string{"g"}},
 		{"known from the log, and told since", func(w *Watermarks) {
-			w.Take("g", end, end)
+			w.Record("g", end, end)
 			w.Expect("g", inWindow(window, 0))
 		}, nil},
 		{"forgotten", func(w *Watermarks) {
-			w.Take("g", inWindow(window, 0), inWindow(window, 0))
+			w.Record("g", inWindow(window, 0), inWindow(window, 0))
 			w.Forget(end)
 		}, nil},
 	} {
@@ -69,7 +69,7 @@
 		now := inWindow(100, 0)
 		for i := range counters {
 			counters[i], heard[i] = NewCounter(windowLength, 2*windowLength), now
-			marks.Take(fmt.Sprint(i), now, now)
+			marks.Record(fmt.Sprint(i), now, now)
 		}
 		began := map[int64]int64{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
@@ -77,7 +77,7 @@
 			i := rapid.IntRange(0, gateways-1).Draw(t, "gateway")
 			if rapid.Bool().Draw(t, "tells") {
 				ledger.Record(fmt.Sprint(i), 1, counters[i].Rows(1, now))
-				marks.Take(fmt.Sprint(i), now, now)
+				marks.Record(fmt.Sprint(i), now, now)
 				heard[i] = now
 			} else if now.Sub(heard[i]) <= alone {
 				counters[i].RecordStart("w", now)
--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -309,7 +309,7 @@
 	u.earlier = max(u.earlier, m.Gateways)
 	u.ledger.Record(m.Gateway, m.Life, m.Usage)
 	if m.Term == u.term {
-		u.marks.Take(m.Gateway, m.Counted, u.clock.Now(now.Sub(u.began)))
+		u.marks.Record(m.Gateway, m.Counted, u.clock.Now(now.Sub(u.began)))
 	}
 	u.answerTrials(m, reply, now)
 	u.keeper.AddObservations(m.Gateway, m.Observations, u.leaves, now)
