--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -29,7 +29,7 @@
 type Config struct {
 	Headroom     float64       // Headroom is what is held above the need, as a part of it.
 	OnDemand     bool          // OnDemand allows on-demand instances.
-	Most         int           // Most bounds the instances, those on the way with them.
+	MaxInstances int           // Most bounds the instances, those on the way with them.
 	Settle       time.Duration // Settle is how long a new leader looks on: the lag of the platform's list.
 	Boot         time.Duration // Boot is how long a started instance may take to show up in the list.
 	Surplus      time.Duration // Surplus is how long an instance must be one too many before it is given back.
@@ -45,7 +45,7 @@
 func DefaultConfig() Config {
 	return Config{
 		Headroom:     0.15,
-		Most:         1000,
+		MaxInstances: 1000,
 		Settle:       30 * time.Second,
 		Boot:         5 * time.Minute,
 		Surplus:      5 * time.Minute,
@@ -307,7 +307,7 @@
 }
 
 func (p *Planner) start(m ViewMsg, g *held, o Offer) []Cmd {
-	if len(m.Instances)+len(p.orders) >= p.cfg.Most {
+	if len(m.Instances)+len(p.orders) >= p.cfg.MaxInstances {
 		return nil
 	}
 	p.order++
--- a/transport/fleet.go
+++ b/transport/fleet.go
@@ -86,7 +86,7 @@
 	}
 	cfg := fleet.DefaultConfig()
 	cfg.Headroom = float64(policy.HeadroomPercent) / 100
-	cfg.OnDemand, cfg.Most = policy.OnDemand, policy.MaxInstances
+	cfg.OnDemand, cfg.MaxInstances = policy.OnDemand, policy.MaxInstances
 	cfg.Settle, cfg.Surplus = f.settings.Fleet.Settle, f.settings.Fleet.Surplus
 	f.planner, f.term, f.policy = fleet.New(cfg), term, policy
 }
