--- a/coordination/fleet/message.go
+++ b/coordination/fleet/message.go
@@ -93,9 +93,9 @@
 
 // LoadCmd has an instance load a model's weights.
 type LoadCmd struct {
-	ID    string
-	Model string
-	Turn  bool // Turn says that the instance gives up what it has loaded.
+	ID      string
+	Model   string
+	Replace bool // Turn says that the instance gives up what it has loaded.
 }
 
 // DrainCmd has an instance get no new work, and its requests moved.
--- a/coordination/fleet/shrink.go
+++ b/coordination/fleet/shrink.go
@@ -91,7 +91,7 @@
 		in := &m.Instances[i]
 		model := p.models[in.ID]
 		if in.Ready && !in.Leaving && model != "" && !slices.Contains(in.Models, model) {
-			waiting = append(waiting, LoadCmd{ID: in.ID, Model: model, Turn: len(in.Models) > 0})
+			waiting = append(waiting, LoadCmd{ID: in.ID, Model: model, Replace: len(in.Models) > 0})
 		}
 	}
 	lack := p.lacks(m)
--- a/transport/fleet.go
+++ b/transport/fleet.go
@@ -219,7 +219,7 @@
 		return nil
 	}
 	kind := protocol.OrderLoadModel
-	if cmd.Turn {
+	if cmd.Replace {
 		kind = protocol.OrderRole
 	}
 	return f.commander.command(f.term, order.Order{Server: s.ID, Address: s.Address, Kind: kind, Name: cmd.Model})
