--- a/coordination/move/move.go
+++ b/coordination/move/move.go
@@ -1,31 +1,33 @@
-// Package move decides how a running answer (a run) goes on at another server with its
-// memory while its own server is leaving: the source has the run, the target takes it.
+// Package move is the state machine that moves a running answer (a run) with its KV
+// cache from a server that is leaving, the source, to another server, the target.
 //
-// A run is copied to a target while it goes on, then copied once more and stopped, and
-// only behind the answer that says that it has stopped is the same request sent on with
-// the name of the copy. Where the target turns it away unrun, it goes back to the source,
-// which keeps the memory of a run that it has stopped. Whatever cannot be proved ends as
-// any broken stream does: the caller of [Next] decides that by the route.
+// The source copies the run's KV cache to the target while the run continues. It then
+// stops the run and copies what is new. Only after the source has confirmed that the run
+// has stopped is the same request sent to the target, with the handle of the copy. If the
+// target refuses it without running it, it is sent back to the source, which keeps the KV
+// cache of a run that it has stopped. If it cannot be proved that no server runs the
+// request, the move ends like any broken stream, and the caller of [Next] decides by the
+// route what follows.
 //
 //	staying ─► copying ─► stopping ─► stopped ─► going ─► over
 //	   ▲          │           │                    │
 //	   └──────────┴───────────┘                    └─► back at the source ─► over
 //
-// A copy is set aside at a server, so each has an end: it is used, or a [FreeCmd] names
-// it. Only a run whose servers cannot be reached leaves that to their own limit.
+// A copy occupies memory at a server until it is used or freed by a [FreeCmd]. Only if
+// the servers cannot be reached is a copy left to expire by their own limit.
 package move
 
-// Phase is how far a run is.
+// Phase is the phase of a run's move.
 type Phase uint8
 
 // The phases.
 const (
-	Staying  Phase = iota // Staying is a run that is not being moved.
-	Copying               // Copying is one that is copied while it goes on.
-	Stopping              // Stopping was asked to stop and has not confirmed it.
-	Stopped               // Stopped is one that has, and that lies at the target or at the source.
-	Going                 // Going is one that was sent on; the server's answer is not here yet.
-	Over                  // Over is one that is moved, has ended, or is not moved any more.
+	Staying  Phase = iota // Staying means that no move is in progress.
+	Copying               // Copying means that the KV cache is being copied while the run continues.
+	Stopping              // Stopping means that the source was asked to stop the run and has not answered.
+	Stopped               // Stopped means that the run has stopped and its copy is at the target or the source.
+	Going                 // Going means that the request was sent on and the server has not answered.
+	Over                  // Over means that the run was moved, has ended, or will not be moved any more.
 )
 
 var phaseNames = [...]string{"staying", "copying", "stopping", "stopped", "going", "over"}
@@ -38,16 +40,16 @@
 	return "unknown"
 }
 
-// Outcome is what a server answered to a copy.
+// Outcome is a server's answer to a copy or stop command.
 type Outcome uint8
 
 // The outcomes.
 const (
-	Failed Outcome = iota // Failed is no answer, or one that cannot be read.
-	Copied                // Copied is a copy that lies at the target.
-	NoRun                 // NoRun is a run that the source does not have.
-	Busy                  // Busy is a copy that is under way already.
-	NoRoom                // NoRoom is a target without room, or that cannot be reached.
+	Failed Outcome = iota // Failed means that there was no answer or that it cannot be parsed.
+	Copied                // Copied means that the copy is at the target.
+	NoRun                 // NoRun means that the source does not have the run.
+	Busy                  // Busy means that a copy of the run is already in progress.
+	NoRoom                // NoRoom means that the target is full or cannot be reached.
 )
 
 var outcomeNames = [...]string{"failed", "copied", "no run", "busy", "no room"}
@@ -60,25 +62,25 @@
 	return "unknown"
 }
 
-// State is what is known of one run. The zero value stays where it is.
+// State is the state of one run's move. The zero value is a run that is not being moved.
 type State struct {
 	Phase        Phase
-	Target       string // Target is the server that the copy lies at, or is made at.
-	Handle       string // Handle names the copy; empty without one.
-	FailedCopies int    // Tries are copies that came to nothing.
-	AtSource     bool   // AtSource says that the run is to go on at the source, which kept its memory.
-	Broke        bool   // Broke says that the source's stream broke off: it ended before the end of the answer.
+	Target       string // Target is the server that holds or receives the copy.
+	Handle       string // Handle identifies the copy; empty without one.
+	FailedCopies int    // FailedCopies is the number of failed copies.
+	AtSource     bool   // AtSource is set when the run is to continue at the source, which kept its KV cache.
+	StreamBroken bool   // StreamBroken is set when the source's stream ended before the end of the answer.
 }
 
-// mostTries bounds the failed copies of one run: each loads a link and holds a target's
-// memory for some milliseconds.
-const mostTries = 8
+// maxFailedCopies limits the failed copies of one run: each loads a link and occupies
+// memory at a target for some milliseconds.
+const maxFailedCopies = 8
 
-// Msg is what happened.
+// Msg is an event passed to [Next].
 type Msg interface{ msg() }
 
-// LeavingMsg tells that the source leaves before the run will have ended, and which
-// server has room; none where it is empty.
+// LeavingMsg reports that the source will leave before the run ends. Target is a server
+// with room for the run; empty if there is none.
 type LeavingMsg struct{ Target string }
 
 // CopiedMsg is the answer to a [CopyCmd].
@@ -87,26 +89,27 @@
 	Handle  string
 }
 
-// StoppedMsg is the answer to a [StopCmd]. With NoRoom and a handle the run has
-// stopped and lies at the source.
+// StoppedMsg is the answer to a [StopCmd]. NoRoom with a handle means that the run has
+// stopped and its KV cache is kept at the source.
 type StoppedMsg struct {
 	Outcome Outcome
 	Handle  string
 }
 
-// StreamBrokenMsg tells that the source's stream broke off.
+// StreamBrokenMsg reports that the source's stream ended before the end of the answer.
 type StreamBrokenMsg struct{}
 
-// AcceptedMsg tells that a server answers the run that was sent on.
+// AcceptedMsg reports that a server has begun to answer the request that was sent on.
 type AcceptedMsg struct{}
 
-// RefusedMsg tells that the server turned it away, and proved that it did not run it.
+// RefusedMsg reports that the server refused the request and proved that it did not run
+// it.
 type RefusedMsg struct{}
 
-// LostMsg tells that the server may have run it, and did not answer.
+// LostMsg reports that the server did not answer and may have run the request.
 type LostMsg struct{}
 
-// EndedMsg tells that the request has ended, whatever it ended with.
+// EndedMsg reports that the request has ended, with any outcome.
 type EndedMsg struct{}
 
 func (LeavingMsg) msg()      {}
@@ -118,27 +121,28 @@
 func (LostMsg) msg()         {}
 func (EndedMsg) msg()        {}
 
-// Cmd is what is to be done.
+// Cmd is a command returned by [Next].
 type Cmd interface{ cmd() }
 
-// CopyCmd has the source copy the run while it goes on.
+// CopyCmd asks the source to copy the run's KV cache while the run continues.
 type CopyCmd struct{ Target string }
 
-// StopCmd has the source stop the run and copy what is new.
+// StopCmd asks the source to stop the run and to copy what is new.
 type StopCmd struct{ Target string }
 
-// ContinueCmd sends the request on: to the target, or back to the source.
+// ContinueCmd sends the request to the target, or back to the source, to be continued.
 type ContinueCmd struct {
 	Target   string
 	AtSource bool
 	Handle   string
 }
 
-// BreakCmd ends the move: the stream counts as broken, and the route decides what follows.
+// BreakCmd ends the move. The stream is treated as broken, and the route decides what
+// follows.
 type BreakCmd struct{}
 
-// FreeCmd has a copy that nobody uses dropped: by the source, which tells the target, or
-// by the target alone where the source is gone.
+// FreeCmd frees an unused copy: through the source, which tells the target, or directly
+// at the target if the source is gone.
 type FreeCmd struct {
 	Handle string
 	Target string
@@ -150,19 +154,19 @@
 func (BreakCmd) cmd()    {}
 func (FreeCmd) cmd()     {}
 
-// Next returns the state behind a message, and what is to be done.
+// Next returns the state after a message and the commands to execute.
 func Next(s State, m Msg) (State, []Cmd) {
 	switch m := m.(type) {
 	case LeavingMsg:
-		return s.leaves(m)
+		return s.leaving(m)
 	case CopiedMsg:
 		return s.copied(m)
 	case StoppedMsg:
 		return s.stopped(m)
 	case StreamBrokenMsg:
-		return s.broke()
+		return s.streamBroken()
 	case AcceptedMsg:
-		return s.taken()
+		return s.accepted()
 	case RefusedMsg:
 		return s.refused()
 	case LostMsg:
@@ -173,8 +177,8 @@
 	return s, nil
 }
 
-// leaves begins a copy, if there is a target.
-func (s State) leaves(m LeavingMsg) (State, []Cmd) {
+// leaving starts a copy if there is a target.
+func (s State) leaving(m LeavingMsg) (State, []Cmd) {
 	if s.Phase != Staying || m.Target == "" {
 		return s, nil
 	}
@@ -182,10 +186,10 @@
 	return s, []Cmd{CopyCmd(m)}
 }
 
-// copied goes on to stop a run of which a copy lies at the target.
+// copied asks the source to stop the run once a copy is at the target.
 func (s State) copied(m CopiedMsg) (State, []Cmd) {
 	if s.Phase != Copying {
-		return s, s.free(m.Handle) // The run ended, or broke off, meanwhile.
+		return s, s.free(m.Handle) // The run ended or its stream broke meanwhile.
 	}
 	switch m.Outcome {
 	case Copied:
@@ -195,22 +199,23 @@
 		s.Phase = Over
 		return s, s.free(m.Handle)
 	}
-	return s.stays(m.Handle)
+	return s.abandonCopy(m.Handle)
 }
 
-// stays gives up a copy; another one may follow, unless too many came to nothing: the
-// run is then left alone, so that others of its server are moved.
-func (s State) stays(handle string) (State, []Cmd) {
+// abandonCopy abandons a copy. Another one may follow, unless too many have failed: the
+// run is then no longer moved, so that other runs of its server can be.
+func (s State) abandonCopy(handle string) (State, []Cmd) {
 	cmds := s.free(handle)
 	s.Phase, s.Target, s.Handle = Staying, "", ""
 	s.FailedCopies++
-	if s.FailedCopies >= mostTries {
+	if s.FailedCopies >= maxFailedCopies {
 		s.Phase = Over
 	}
 	return s, cmds
 }
 
-// stopped sends the run on once its stream has ended, or gives the copy up.
+// stopped continues the run elsewhere once its stream has ended, or abandons the copy if
+// the run has not stopped.
 func (s State) stopped(m StoppedMsg) (State, []Cmd) {
 	if s.Phase != Stopping {
 		return s, s.free(m.Handle) // The request ended meanwhile.
@@ -220,43 +225,44 @@
 		s.Phase, s.Handle = Stopped, m.Handle
 	case m.Outcome == NoRoom && m.Handle != "":
 		s.Phase, s.Handle, s.AtSource = Stopped, m.Handle, true
-	case s.Broke:
-		// A request to stop does not prove that the run has stopped.
+	case s.StreamBroken:
+		// The stream broke without an answer that confirms the stop, so there is no
+		// proof that the run has stopped.
 		cmds := append([]Cmd{BreakCmd{}}, s.free(s.Handle)...)
 		s.Phase, s.Handle = Over, ""
 		return s, cmds
 	default:
-		return s.stays(s.Handle)
+		return s.abandonCopy(s.Handle)
 	}
-	if s.Broke {
-		return s.continues()
+	if s.StreamBroken {
+		return s.sendOn()
 	}
 	return s, nil
 }
 
-// broke answers the end of the source's stream. While it is not known whether the run
-// was stopped nothing follows: the answer to the stop does.
-func (s State) broke() (State, []Cmd) {
+// streamBroken handles the end of the source's stream. While a stop is unanswered, what
+// follows depends on that answer.
+func (s State) streamBroken() (State, []Cmd) {
 	switch s.Phase {
 	case Stopping:
-		s.Broke = true
+		s.StreamBroken = true
 		return s, nil
 	case Stopped:
-		s.Broke = true
-		return s.continues()
+		s.StreamBroken = true
+		return s.sendOn()
 	}
 	s.Phase = Over
 	return s, []Cmd{BreakCmd{}}
 }
 
-// continues sends the stopped run on, once its stream has ended.
-func (s State) continues() (State, []Cmd) {
+// sendOn sends the request of a stopped run on, once its stream has ended.
+func (s State) sendOn() (State, []Cmd) {
 	s.Phase = Going
 	return s, []Cmd{ContinueCmd{Target: s.Target, AtSource: s.AtSource, Handle: s.Handle}}
 }
 
-// taken notes that the copy is used.
-func (s State) taken() (State, []Cmd) {
+// accepted ends the move: the copy is in use.
+func (s State) accepted() (State, []Cmd) {
 	if s.Phase != Going {
 		return s, nil
 	}
@@ -264,7 +270,7 @@
 	return s, nil
 }
 
-// refused goes back to the source, or ends the move there.
+// refused sends the request back to the source, or ends the move if that refused it.
 func (s State) refused() (State, []Cmd) {
 	switch {
 	case s.Phase != Going:
@@ -276,7 +282,7 @@
 	return s.lost()
 }
 
-// lost ends the move.
+// lost ends the move and frees the copy.
 func (s State) lost() (State, []Cmd) {
 	if s.Phase != Going {
 		return s, nil
@@ -286,14 +292,14 @@
 	return s, cmds
 }
 
-// ended frees what was set aside. A copy under way is freed when its answer comes.
+// ended frees the copy. One in progress is freed when its answer arrives.
 func (s State) ended() (State, []Cmd) {
 	cmds := s.free(s.Handle)
 	s.Phase, s.Handle = Over, ""
 	return s, cmds
 }
 
-// free returns the command that drops a copy, or none without a handle.
+// free returns the command that frees a copy, or none without a handle.
 func (s State) free(handle string) []Cmd {
 	if handle == "" {
 		return nil
--- a/coordination/move/order.go
+++ b/coordination/move/order.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// Run is a run that could be moved.
+// Run describes a run that could be moved.
 type Run struct {
-	Priority        int  // Priority is its rank, 0 first.
-	ComputedTokens  int  // Read are the tokens that were read and made for it: what would be done again.
-	RemainingTokens int  // Left are the most tokens that it may still make.
-	NoRetry         bool // NoRetry says that its request is not repeatable: without a move its answer is lost.
+	Priority        int  // Priority is the priority of its request; 0 is the highest.
+	ComputedTokens  int  // ComputedTokens is the number of tokens that would have to be computed again.
+	RemainingTokens int  // RemainingTokens is the maximum number of tokens still to be generated.
+	NoRetry         bool // NoRetry is set when the request is not repeatable: without a move its answer is lost.
 }
 
-// Order returns the indices of some runs, the most worthwhile first: those of a higher
-// rank, then those that would be lost without a move, then those that would have the
-// most read again. It is the order in which they are moved where the links or the time
-// do not carry all.
+// Order returns the indices of the runs in the order in which to move them, for when
+// link bandwidth or time does not suffice for all: by priority, then those that would be
+// lost without a move, then by the tokens that would have to be computed again, then by
+// the tokens that remain, most first.
 func Order(runs []Run) []int {
 	order := make([]int, len(runs))
 	for i := range order {
