--- a/coordination/usage/clock.go
+++ b/coordination/usage/clock.go
@@ -5,42 +5,45 @@
 	"time"
 )
 
-// Clock tells the time of day by which requests are counted into windows. The
-// machine's time of day may jump, and differ from that of others, while windows
-// are to mean the same everywhere. So a clock goes by the steady clock since its
-// start, and takes the time that most instances agree on if its own is far off.
+// Clock provides the wall-clock time by which requests are assigned to windows.
+// The system's wall clock may jump and may differ between instances, but windows
+// have to be the same on all of them. A Clock therefore advances with the
+// monotonic clock from its start, and uses the time that most instances agree on
+// if its own is far off.
 type Clock struct {
-	start time.Time
-	shift time.Duration
+	start      time.Time
+	correction time.Duration
 }
 
-// farOff is a difference that neither the way of a message nor the usual spread
-// of clocks explains.
-const farOff = 250 * time.Millisecond
+// maxSkew is the largest difference that message latency and normal clock skew
+// can explain.
+const maxSkew = 250 * time.Millisecond
 
-// NewClock returns a clock that starts at a time of day.
+// NewClock returns a clock that starts at the given wall-clock time.
 func NewClock(start time.Time) *Clock { return &Clock{start: start.Round(0)} }
 
-// Local returns the time of day some time after the start, as this instance alone
-// knows it.
+// Local returns the wall-clock time at a duration since the start, by this
+// instance's clock alone.
 func (c *Clock) Local(since time.Duration) time.Time { return c.start.Add(since) }
 
-// Now returns the time of day some time after the start.
-func (c *Clock) Now(since time.Duration) time.Time { return c.Local(since).Add(c.shift) }
+// Now returns the wall-clock time at a duration since the start, corrected to the
+// time agreed on.
+func (c *Clock) Now(since time.Duration) time.Time { return c.Local(since).Add(c.correction) }
 
-// SetAgreed takes the time of day that most instances agree on.
-func (c *Clock) SetAgreed(at time.Time, since time.Duration) {
-	if at.IsZero() {
-		return // None was received.
+// SetAgreed sets the wall-clock time that most instances agree on. A difference
+// below maxSkew is ignored.
+func (c *Clock) SetAgreed(agreed time.Time, since time.Duration) {
+	if agreed.IsZero() {
+		return // No agreed time was received.
 	}
-	c.shift = at.Sub(c.Local(since))
-	if c.shift.Abs() < farOff {
-		c.shift = 0
+	c.correction = agreed.Sub(c.Local(since))
+	if c.correction.Abs() < maxSkew {
+		c.correction = 0
 	}
 }
 
-// Median returns the middle one of some differences between clocks, 0 without
-// any. Fewer than half of them may be wrong by any amount.
+// Median returns the median of differences between clocks, or 0 if there are
+// none. It tolerates arbitrary errors in fewer than half of them.
 func Median(differences []time.Duration) time.Duration {
 	if len(differences) == 0 {
 		return 0
--- a/coordination/usage/clock_test.go
+++ b/coordination/usage/clock_test.go
@@ -9,9 +9,9 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// TestClockKeepsToTheMost checks that a clock which is far off follows the others,
-// and that one which differs by no more than usual stays as it is.
-func TestClockKeepsToTheMost(t *testing.T) {
+// TestClockFollowsMajority checks that a clock which is far off is corrected to
+// the agreed time, and that a difference within normal skew is left as it is.
+func TestClockFollowsMajority(t *testing.T) {
 	for off, want := range map[time.Duration]time.Duration{
 		2 * time.Second:       0,
 		-3 * time.Second:      0,
@@ -20,17 +20,17 @@
 		c := NewClock(start.Add(off))
 		c.SetAgreed(start.Add(time.Minute), time.Minute)
 		if got := c.Now(2 * time.Minute).Sub(start.Add(2 * time.Minute)); got != want {
-			t.Errorf("a clock that was off by %v is off by %v", off, got)
+			t.Errorf("a clock that started off by %v is now off by %v", off, got)
 		}
 		if own := c.Local(0); !own.Equal(start.Add(off)) {
-			t.Errorf("what it tells others is %v, not its own", own)
+			t.Errorf("local time is %v, want the uncorrected time", own)
 		}
 	}
 }
 
-// TestMedianBearsWrongClocks checks that clocks which are wrong, fewer than half
-// of them, move the agreed time by no more than the others differ.
-func TestMedianBearsWrongClocks(t *testing.T) {
+// TestMedianToleratesWrongClocks checks that wrong clocks, fewer than half of all,
+// shift the agreed time by no more than the spread of the others.
+func TestMedianToleratesWrongClocks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		wrong := rapid.IntRange(0, 10).Draw(t, "wrong")
 		right := wrong + 1 + rapid.IntRange(0, 10).Draw(t, "more")
--- a/coordination/usage/usage.go
+++ b/coordination/usage/usage.go
@@ -1,11 +1,12 @@
-// Package usage counts the requests that began to run, by workspace and window
-// of wall-clock time.
+// Package usage counts started requests by workspace and window of wall-clock
+// time.
 //
-// A [Counter] counts on a gateway. A [Ledger], on the control instance that
-// leads, adds the gateways' counts up. Counts are totals since the gateway's
-// start and are reported again until a leader has them, so a lost or doubled message
-// does no harm. What is reported for a window is settled in the replicated log
-// first; see protocol.SettleUsageMsg.
+// A [Counter] counts on a gateway. A [Ledger], on the leading control instance,
+// adds up the gateways' counts. Each count is the total that the gateway has
+// counted in the window since it started, and is sent until a leader acknowledges
+// it, so lost and duplicate messages do no harm. The usage of a window is
+// committed to the replicated log before it is reported; see
+// protocol.SettleUsageMsg.
 package usage
 
 import (
@@ -16,45 +17,45 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Window returns the number of the window that a time lies in.
+// Window returns the number of the window that contains a time.
 func Window(t time.Time, length time.Duration) int64 {
 	return t.UnixNano() / int64(length)
 }
 
-// End returns when a window closes.
+// End returns the time at which a window ends.
 func End(window int64, length time.Duration) time.Time {
 	return time.Unix(0, (window+1)*int64(length))
 }
 
-// key names one count.
+// key identifies a count of a [Counter].
 type key struct {
 	window    int64
 	workspace string
 }
 
-// Counter counts on one gateway.
+// Counter holds the counts of one gateway.
 type Counter struct {
 	length       time.Duration
-	kept         int64 // kept is for how many windows counts are reported again.
+	retained     int64 // retained is the number of windows for which counts are kept.
 	counts       map[key]int64
 	acknowledged map[key]int64
-	term         uint64 // term is of the leader that acknowledged counts were reported to.
+	term         uint64 // term is the term of the leader that sent the acknowledgements.
 }
 
-// NewCounter returns a counter of windows with a length, which tells its counts
-// for as long as a report is not due.
+// NewCounter returns a counter for windows of a length. It keeps the counts of a
+// window until the report on it is due.
 func NewCounter(length, due time.Duration) *Counter {
-	return &Counter{length: length, kept: int64(due/length) + 2, counts: map[key]int64{}, acknowledged: map[key]int64{}}
+	return &Counter{length: length, retained: int64(due/length) + 2, counts: map[key]int64{}, acknowledged: map[key]int64{}}
 }
 
-// RecordStart notes that a request of a workspace began to run.
+// RecordStart counts a request of a workspace that started to run.
 func (c *Counter) RecordStart(workspace string, now time.Time) {
 	c.counts[key{Window(now, c.length), workspace}]++
 }
 
-// Rows returns the counts that a leader of a term lacks.
+// Rows returns the counts that the leader of a term has not acknowledged.
 func (c *Counter) Rows(term uint64, now time.Time) []protocol.UsageRow {
-	c.forget(Window(now, c.length) - c.kept)
+	c.forget(Window(now, c.length) - c.retained)
 	var rows []protocol.UsageRow
 	for k, n := range c.counts {
 		if c.term == term && c.acknowledged[k] == n {
@@ -71,8 +72,9 @@
 	return rows
 }
 
-// Acknowledged notes that the leader of a term has the rows. They may have been made
-// for the leader before: what only that one had is told again.
+// Acknowledged records that the leader of a term has the rows. If the rows were built
+// for a leader of another term, counts that only that one has acknowledged are sent
+// again.
 func (c *Counter) Acknowledged(term uint64, rows []protocol.UsageRow) {
 	if c.term != term {
 		clear(c.acknowledged)
@@ -92,38 +94,38 @@
 	}
 }
 
-// Ledger adds up the counts of all gateways.
+// Ledger holds the counts of all gateways.
 type Ledger struct {
-	windows map[int64]map[source]map[string]int64
-	changed map[change]bool // changed are counts that were not logged yet.
+	windows map[int64]map[incarnation]map[string]int64
+	changed map[change]bool // changed are the counts that have not been logged yet.
 }
 
-// change names a count of a ledger.
+// change identifies a count of a [Ledger].
 type change struct {
-	window    int64
-	from      source
-	workspace string
+	window      int64
+	incarnation incarnation
+	workspace   string
 }
 
-// source is one life of one gateway.
-type source struct {
+// incarnation is one incarnation of one gateway.
+type incarnation struct {
 	gateway string
 	life    uint64
 }
 
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
-	return &Ledger{windows: map[int64]map[source]map[string]int64{}, changed: map[change]bool{}}
+	return &Ledger{windows: map[int64]map[incarnation]map[string]int64{}, changed: map[change]bool{}}
 }
 
-// Record notes the counts of a gateway. Counts only rise, so an old message
-// changes nothing.
+// Record merges the counts of a gateway. Counts only increase, so a stale message
+// has no effect.
 func (l *Ledger) Record(gateway string, life uint64, rows []protocol.UsageRow) {
-	from := source{gateway, life}
+	from := incarnation{gateway, life}
 	for _, r := range rows {
 		w := l.windows[r.Window]
 		if w == nil {
-			w = map[source]map[string]int64{}
+			w = map[incarnation]map[string]int64{}
 			l.windows[r.Window] = w
 		}
 		if w[from] == nil {
@@ -137,17 +139,17 @@
 	}
 }
 
-// Changes returns the counts that changed since the last call, to be logged.
+// Changes returns the counts that have changed since the last call, to be logged.
 func (l *Ledger) Changes() []protocol.TallyRow {
 	rows := make([]protocol.TallyRow, 0, len(l.changed))
 	for c := range l.changed {
-		rows = append(rows, protocol.TallyRow{Gateway: c.from.gateway, Life: c.from.life, Window: c.window, Workspace: c.workspace, Count: l.windows[c.window][c.from][c.workspace]})
+		rows = append(rows, protocol.TallyRow{Gateway: c.incarnation.gateway, Life: c.incarnation.life, Window: c.window, Workspace: c.workspace, Count: l.windows[c.window][c.incarnation][c.workspace]})
 	}
 	clear(l.changed)
 	return rows
 }
 
-// Restore takes counts that were logged.
+// Restore merges counts from the log.
 func (l *Ledger) Restore(rows []protocol.TallyRow) {
 	for _, r := range rows {
 		l.Record(r.Gateway, r.Life, []protocol.UsageRow{{Window: r.Window, Workspace: r.Workspace, Count: r.Count}})
@@ -155,7 +157,7 @@
 	clear(l.changed)
 }
 
-// Total returns a window's counts by workspace.
+// Total returns a window's counts, summed over all gateways, by workspace.
 func (l *Ledger) Total(window int64) map[string]int64 {
 	total := map[string]int64{}
 	for _, counts := range l.windows[window] {
@@ -166,7 +168,7 @@
 	return total
 }
 
-// Forget drops the windows before one.
+// Forget deletes the windows before a given one.
 func (l *Ledger) Forget(before int64) {
 	for w := range l.windows {
 		if w < before {
--- a/coordination/usage/usage_test.go
+++ b/coordination/usage/usage_test.go
@@ -13,9 +13,9 @@
 
 const length = 5 * time.Second
 
-// TestCountsSurviveLeaders checks that a ledger has every count in the end,
-// though messages are lost and doubled and leaders change.
-func TestCountsSurviveLeaders(t *testing.T) {
+// TestCountsSurviveLeaderChanges checks that the ledger has every count in the
+// end, despite lost answers, repeated messages and leader changes.
+func TestCountsSurviveLeaderChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(1_700_000_000, 0)
 		names := []string{"a", "b"}
@@ -25,7 +25,7 @@
 		}
 		want := map[string]int64{}
 		ledger, term := NewLedger(), uint64(1)
-		tell := func(name string, lost bool, now time.Time) {
+		report := func(name string, lost bool, now time.Time) {
 			rows := counters[name].Rows(term, now)
 			ledger.Record(name, 1, rows)
 			if !lost {
@@ -41,38 +41,38 @@
 				counters[name].RecordStart(workspace, now)
 				want[workspace]++
 			case 2:
-				tell(name, rapid.Bool().Draw(t, "answer lost"), now)
+				report(name, rapid.Bool().Draw(t, "answer lost"), now)
 			case 3:
 				ledger, term = NewLedger(), term+1
 			}
 		}
 		for _, name := range names {
-			tell(name, false, now)
+			report(name, false, now)
 		}
 		if diff := cmp.Diff(want, ledger.Total(Window(now, length))); diff != "" {
 			t.Fatal(diff)
 		}
 		for _, name := range names {
 			if rows := counters[name].Rows(term, now); len(rows) > 0 {
-				t.Fatalf("told once more without news: %v", rows)
+				t.Fatalf("counts are sent again after they were acknowledged: %v", rows)
 			}
 		}
 	})
 }
 
-// TestLivesAddUp checks that a gateway that was started anew counts beside its
-// former self.
-func TestLivesAddUp(t *testing.T) {
+// TestIncarnationsAddUp checks that the counts of a restarted gateway are added
+// to those from before the restart.
+func TestIncarnationsAddUp(t *testing.T) {
 	l := NewLedger()
 	l.Record("a", 1, []protocol.UsageRow{{Window: 3, Workspace: "x", Count: 5}})
 	l.Record("a", 2, []protocol.UsageRow{{Window: 3, Workspace: "x", Count: 2}})
-	l.Record("a", 1, []protocol.UsageRow{{Window: 3, Workspace: "x", Count: 4}}) // Late and older.
+	l.Record("a", 1, []protocol.UsageRow{{Window: 3, Workspace: "x", Count: 4}}) // Delayed and stale.
 	if got := l.Total(3)["x"]; got != 7 {
 		t.Errorf("counted %d, want 7", got)
 	}
 }
 
-// TestWindow checks the bounds of windows.
+// TestWindow checks the boundaries of a window.
 func TestWindow(t *testing.T) {
 	at := time.Unix(25, 0)
 	if w := Window(at, length); w != 5 || !End(w, length).Equal(time.Unix(30, 0)) {
@@ -81,58 +81,58 @@
 }
 
 // TestOldCountsAreForgotten checks that a counter keeps the windows whose report
-// is still to come, and no others.
+// is not due yet, and no others.
 func TestOldCountsAreForgotten(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	c := NewCounter(length, 2*length)
 	c.RecordStart("w", now)
 	if rows := c.Rows(1, now.Add(3*length)); len(rows) != 1 {
-		t.Errorf("%d counts before the report is due", len(rows))
+		t.Errorf("%d counts before the report is due, want 1", len(rows))
 	}
 	c.Rows(1, now.Add(9*length))
 	if len(c.counts) > 0 {
-		t.Errorf("%d counts are kept for good", len(c.counts))
+		t.Errorf("%d counts are still kept after the report", len(c.counts))
 	}
 }
 
-// TestNextLeaderGetsWhatTheOneBeforeHad checks that counts which only a former leader
-// was told are told to the next one, though the first message to that one, sent before
-// its term is known, left them out.
-func TestNextLeaderGetsWhatTheOneBeforeHad(t *testing.T) {
+// TestNewLeaderGetsAcknowledgedCounts checks that counts which only the previous leader
+// has acknowledged are sent to the new one, although the first message to it, built
+// before its term was known, left them out.
+func TestNewLeaderGetsAcknowledgedCounts(t *testing.T) {
 	c := NewCounter(time.Second, time.Second)
 	now := time.Unix(1_700_000_000, 0)
 	c.RecordStart("w", now)
 	c.Acknowledged(1, c.Rows(1, now))
 	c.Acknowledged(2, c.Rows(1, now))
 	if rows := c.Rows(2, now); len(rows) != 1 || rows[0].Count != 1 {
-		t.Errorf("the next leader is told %v, want the count of 1", rows)
+		t.Errorf("the new leader is sent %v, want one count of 1", rows)
 	}
 	c.Acknowledged(2, c.Rows(2, now))
 	if rows := c.Rows(2, now); len(rows) != 0 {
-		t.Errorf("told again: %v", rows)
+		t.Errorf("counts are sent again after they were acknowledged: %v", rows)
 	}
 }
 
-// TestLeaderInAnotherTermGetsAll checks that a leader whose term the gateway learned with
-// its answer gets the counts that an earlier one had acknowledged: the question was
-// made for that one.
-func TestLeaderInAnotherTermGetsAll(t *testing.T) {
+// TestLeaderOfUnknownTermGetsAllCounts checks that a leader whose term the gateway learns
+// only from its answer still gets the counts that an earlier leader has acknowledged,
+// although the message was built for the earlier one.
+func TestLeaderOfUnknownTermGetsAllCounts(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	c := NewCounter(length, 10*time.Second)
-	tell := func(l *Ledger, asked, answers uint64) {
+	report := func(l *Ledger, asked, answers uint64) {
 		rows := c.Rows(asked, now)
 		l.Record("g", 1, rows)
 		c.Acknowledged(answers, rows)
 	}
 	c.RecordStart("x", now)
 	first, second := NewLedger(), NewLedger()
-	tell(first, 0, 1)
+	report(first, 0, 1)
 	c.RecordStart("y", now)
-	tell(second, 1, 2)
+	report(second, 1, 2)
 	c.RecordStart("z", now)
-	tell(second, 2, 2)
+	report(second, 2, 2)
 	want := map[string]int64{"x": 1, "y": 1, "z": 1}
 	if diff := cmp.Diff(want, second.Total(Window(now, length))); diff != "" {
-		t.Errorf("the leader of the next term lacks counts: %s", diff)
+		t.Errorf("counts of the leader of the next term differ: %s", diff)
 	}
 }
