--- a/coordination/fleet/experiment_test.go
+++ b/coordination/fleet/experiment_test.go
@@ -233,7 +233,7 @@
 		if b := m.find(cmd.ID); b != nil {
 			b.Leaving = true
 		}
-	case ReleaseCmd:
+	case GiveBackCmd:
 		m.boxes = slices.DeleteFunc(m.boxes, func(b *box) bool { return b.ID == cmd.ID })
 	}
 }
--- a/coordination/fleet/fleet_test.go
+++ b/coordination/fleet/fleet_test.go
@@ -62,7 +62,7 @@
 					f.t.Fatalf("%s was given up, and %v does not bear a loss at a need of %d: %+v", cmd.ID, got, n.Slots, f.list)
 				}
 			}
-		case ReleaseCmd:
+		case GiveBackCmd:
 			f.each(cmd.ID, func(in *Instance) {
 				if !in.Leaving || in.Running > 0 {
 					f.t.Fatalf("%+v was given back at work", *in)
--- a/coordination/fleet/message.go
+++ b/coordination/fleet/message.go
@@ -101,10 +101,10 @@
 // DrainCmd has an instance get no new work, and its requests moved.
 type DrainCmd struct{ ID string }
 
-// ReleaseCmd gives an instance back that has nothing left to do.
-type ReleaseCmd struct{ ID string }
+// GiveBackCmd gives an instance back that has nothing left to do.
+type GiveBackCmd struct{ ID string }
 
-func (StartCmd) cmd()   {}
-func (LoadCmd) cmd()    {}
-func (DrainCmd) cmd()   {}
-func (ReleaseCmd) cmd() {}
+func (StartCmd) cmd()    {}
+func (LoadCmd) cmd()     {}
+func (DrainCmd) cmd()    {}
+func (GiveBackCmd) cmd() {}
--- a/coordination/fleet/shrink.go
+++ b/coordination/fleet/shrink.go
@@ -77,7 +77,7 @@
 		in := &m.Instances[i]
 		since, ok := p.draining[in.ID]
 		if ok && in.Leaving && in.Running == 0 && m.Now.Sub(since) >= p.cfg.Drain {
-			cmds = append(cmds, ReleaseCmd{ID: in.ID})
+			cmds = append(cmds, GiveBackCmd{ID: in.ID})
 		}
 	}
 	return cmds
--- a/transport/fleet.go
+++ b/transport/fleet.go
@@ -168,7 +168,7 @@
 	case fleet.DrainCmd:
 		f.log.Info().Str("server", cmd.ID).Msg("giving up an instance")
 		f.leaving(protocol.Leaving{Server: cmd.ID, Origin: "given up"})
-	case fleet.ReleaseCmd:
+	case fleet.GiveBackCmd:
 		err = f.giveBack(cmd.ID)
 	}
 	if err != nil {
