--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -303,13 +303,13 @@
 func (u *Uplink) answerOwn(m *protocol.SyncMsg, reply *protocol.SyncReply, now time.Time) {
 	g := &gateway{at: now, domain: m.Domain, pressure: m.Pressure}
 	if !m.Clock.IsZero() {
-		g.ahead = m.Clock.Sub(u.clock.Own(now.Sub(u.began)))
+		g.ahead = m.Clock.Sub(u.clock.Local(now.Sub(u.began)))
 	}
 	u.gateways[m.Gateway] = g
 	u.earlier = max(u.earlier, m.Gateways)
-	u.ledger.Take(m.Gateway, m.Life, m.Usage)
+	u.ledger.Record(m.Gateway, m.Life, m.Usage)
 	if m.Term == u.term {
-		u.marks.Take(m.Gateway, m.Counted, u.clock.Now(now.Sub(u.began)))
+		u.marks.Record(m.Gateway, m.Counted, u.clock.Now(now.Sub(u.began)))
 	}
 	u.answerTrials(m, reply, now)
 	u.keeper.AddObservations(m.Gateway, m.Observations, u.leaves, now)
@@ -386,7 +386,7 @@
 		ahead = append(ahead, g.ahead)
 	}
 	since := now.Sub(u.began)
-	u.clock.Agreed(u.clock.Own(since).Add(usage.Median(ahead)), since)
+	u.clock.SetAgreed(u.clock.Local(since).Add(usage.Median(ahead)), since)
 	return u.clock.Now(since)
 }
 
--- a/transport/forward/limits.go
+++ b/transport/forward/limits.go
@@ -115,7 +115,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.counter.Began(workspace, g.clock.Now(clock.Since(g.began)))
+	g.counter.RecordStart(workspace, g.clock.Now(clock.Since(g.began)))
 }
 
 // askTime is how long a request waits for a part of its quota.
@@ -175,7 +175,7 @@
 	defer g.mu.Unlock()
 	now := clock.Now()
 	since := now.Sub(g.began)
-	m := protocol.SyncMsg{Gateway: g.cfg.Name, Term: term, Number: g.Number(), Clock: g.clock.Own(since), Usage: g.counter.Rows(term, g.clock.Now(since)), Counted: g.clock.Now(since), Domain: g.cfg.Domain, Running: g.view.Load().Running(), Distrusts: g.view.Load().Distrusts(now)}
+	m := protocol.SyncMsg{Gateway: g.cfg.Name, Term: term, Number: g.Number(), Clock: g.clock.Local(since), Usage: g.counter.Rows(term, g.clock.Now(since)), Counted: g.clock.Now(since), Domain: g.cfg.Domain, Running: g.view.Load().Running(), Distrusts: g.view.Load().Distrusts(now)}
 	if !g.apart {
 		m.Wants = g.allowance.Wants(now)
 		m.Done, g.done = g.done, nil // One that is lost is forgotten by the leader in time.
@@ -200,7 +200,7 @@
 	g.counter.Acknowledged(reply.Term, m.Usage)
 	g.allowance.SetShort(reply.Short)
 	g.allowance.Acknowledge(m.Wants)
-	g.clock.Agreed(reply.Clock, clock.Since(g.began))
+	g.clock.SetAgreed(reply.Clock, clock.Since(g.began))
 	g.takeReadings(reply, clock.Now())
 	g.reportedQuarantine(reply.Term, m)
 	for i := range m.Trials {
