--- a/coordination/link/link.go
+++ b/coordination/link/link.go
@@ -131,8 +131,8 @@
 	l.failures[address] = f
 }
 
-// Answered notes that an instance answered.
-func (l *Selector) Answered(address string) {
+// RecordAnswer notes that an instance answered.
+func (l *Selector) RecordAnswer(address string) {
 	if l.Enabled() {
 		delete(l.failures, address)
 	}
--- a/coordination/link/link_test.go
+++ b/coordination/link/link_test.go
@@ -74,7 +74,7 @@
 			}
 			now, last = now.Add(away), away
 		}
-		l.Answered("at-a1")
+		l.RecordAnswer("at-a1")
 		l.RecordFailure("at-a1", silent, now)
 		if l.Choose("", now.Add(silentBackoff)) != "at-a1" {
 			t.Errorf("silent %v: an earlier failure counts after an answer", silent)
@@ -110,7 +110,7 @@
 			if rapid.Bool().Draw(t, "fails") {
 				l.RecordFailure(address, rapid.Bool().Draw(t, "silent"), now)
 			} else {
-				l.Answered(address)
+				l.RecordAnswer(address)
 			}
 			got, free := l.Choose("at-a1", now), 0
 			for _, address := range near {
--- a/transport/uplink/choice.go
+++ b/transport/uplink/choice.go
@@ -27,7 +27,7 @@
 	c.answerTime(address).Observe(took)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.links.Answered(address)
+	c.links.RecordAnswer(address)
 }
 
 // due returns the timeout after which an instance's answer is overdue.
