--- a/coordination/link/link.go
+++ b/coordination/link/link.go
@@ -41,14 +41,14 @@
 )
 
 const (
-	// AskEvery is the usual time between two questions of a gateway, at the least.
-	AskEvery = 150 * time.Millisecond
+	// MinAskInterval is the usual time between two questions of a gateway, at the least.
+	MinAskInterval = 150 * time.Millisecond
 	// AnswerEach is the time between two questions for each gateway that asks the same
 	// instance, which then answers 667 times a second at the most.
 	AnswerEach = 1500 * time.Microsecond
 	// ShareFrom is how many gateways of one region ask the leader themselves: as many as one
 	// instance answers at the usual pace.
-	ShareFrom = int(AskEvery / AnswerEach)
+	ShareFrom = int(MinAskInterval / AnswerEach)
 	// shareUntil is below how many they do so again.
 	shareUntil = ShareFrom * 3 / 4
 )
--- a/transport/uplink/uplink.go
+++ b/transport/uplink/uplink.go
@@ -69,7 +69,7 @@
 const (
 	// every is the usual time between two questions, at the least; it grows with
 	// the number of gateways, so that the leader's load is bounded.
-	every       = link.AskEvery
+	every       = link.MinAskInterval
 	everyMember = link.AnswerEach
 	// callTime bounds a question to an instance that may be gone, and firstTime one
 	// whose answer holds a whole list, for many gateways at once.
