--- a/coordination/link/link.go
+++ b/coordination/link/link.go
@@ -43,12 +43,12 @@
 const (
 	// MinAskInterval is the usual time between two questions of a gateway, at the least.
 	MinAskInterval = 150 * time.Millisecond
-	// AnswerEach is the time between two questions for each gateway that asks the same
+	// IntervalPerGateway is the time between two questions for each gateway that asks the same
 	// instance, which then answers 667 times a second at the most.
-	AnswerEach = 1500 * time.Microsecond
+	IntervalPerGateway = 1500 * time.Microsecond
 	// ShareFrom is how many gateways of one region ask the leader themselves: as many as one
 	// instance answers at the usual pace.
-	ShareFrom = int(MinAskInterval / AnswerEach)
+	ShareFrom = int(MinAskInterval / IntervalPerGateway)
 	// shareUntil is below how many they do so again.
 	shareUntil = ShareFrom * 3 / 4
 )
--- a/transport/control/share.go
+++ b/transport/control/share.go
@@ -30,5 +30,5 @@
 		return gatherTime
 	}
 	_, all := r.uplink.peers()
-	return max(gatherTime, time.Duration(len(all)-1)*link.AnswerEach)
+	return max(gatherTime, time.Duration(len(all)-1)*link.IntervalPerGateway)
 }
--- a/transport/uplink/uplink.go
+++ b/transport/uplink/uplink.go
@@ -70,7 +70,7 @@
 	// every is the usual time between two questions, at the least; it grows with
 	// the number of gateways, so that the leader's load is bounded.
 	every       = link.MinAskInterval
-	everyMember = link.AnswerEach
+	everyMember = link.IntervalPerGateway
 	// callTime bounds a question to an instance that may be gone, and firstTime one
 	// whose answer holds a whole list, for many gateways at once.
 	callTime  = 700 * time.Millisecond
