--- a/coordination/link/link.go
+++ b/coordination/link/link.go
@@ -46,11 +46,11 @@
 	// IntervalPerGateway is the time between two questions for each gateway that asks the same
 	// instance, which then answers 667 times a second at the most.
 	IntervalPerGateway = 1500 * time.Microsecond
-	// ShareFrom is how many gateways of one region ask the leader themselves: as many as one
+	// MaxDirectGateways is how many gateways of one region ask the leader themselves: as many as one
 	// instance answers at the usual pace.
-	ShareFrom = int(MinAskInterval / IntervalPerGateway)
+	MaxDirectGateways = int(MinAskInterval / IntervalPerGateway)
 	// shareUntil is below how many they do so again.
-	shareUntil = ShareFrom * 3 / 4
+	shareUntil = MaxDirectGateways * 3 / 4
 )
 
 // Selector are the control instances as one gateway knows them.
@@ -87,7 +87,7 @@
 func (l *Selector) SetGateways(n int) {
 	switch {
 	case l == nil:
-	case n > ShareFrom:
+	case n > MaxDirectGateways:
 		l.shared = true
 	case n < shareUntil:
 		l.shared = false
--- a/coordination/link/link_test.go
+++ b/coordination/link/link_test.go
@@ -170,11 +170,11 @@
 			l.RecordFailure("at-d0-0", true, start)
 			l.RecordFailure("at-d1-1", true, start)
 			counts[l.Choose(leader, start)]++
-			if share := l.GatewaysPerInstance(gateways); gateways > ShareFrom && share != (gateways+8)/9 || gateways <= ShareFrom && share != gateways {
+			if share := l.GatewaysPerInstance(gateways); gateways > MaxDirectGateways && share != (gateways+8)/9 || gateways <= MaxDirectGateways && share != gateways {
 				t.Fatalf("%d gateways: the share of an instance is %d", gateways, share)
 			}
 		}
-		if gateways <= ShareFrom {
+		if gateways <= MaxDirectGateways {
 			if counts[""] != gateways {
 				t.Errorf("%d gateways ask by themselves: %v", gateways, counts)
 			}
@@ -196,7 +196,7 @@
 	l := New(topology.New(nil), "d0", "g")
 	changes, before := 0, false
 	for n := range 200 {
-		l.SetGateways(ShareFrom - 10 + n%20)
+		l.SetGateways(MaxDirectGateways - 10 + n%20)
 		if l.Enabled() != before {
 			changes, before = changes+1, l.Enabled()
 		}
--- a/transport/control/share.go
+++ b/transport/control/share.go
@@ -16,7 +16,7 @@
 		return false
 	}
 	n := u.alive(now)
-	if n < link.ShareFrom {
+	if n < link.MaxDirectGateways {
 		return false
 	}
 	reply.Gateways = n + 1
--- a/transport/control/share_test.go
+++ b/transport/control/share_test.go
@@ -29,12 +29,12 @@
 		switch {
 		case r.Leads && len(r.List) > 0:
 			lists++
-		case r.Leads || r.Gateways <= link.ShareFrom || len(r.Controls) < 2:
+		case r.Leads || r.Gateways <= link.MaxDirectGateways || len(r.Controls) < 2:
 			t.Fatalf("gateway %d got %+v", i, r)
 		}
 	}
-	if lists != link.ShareFrom {
-		t.Errorf("%d gateways got the list of the leader itself, want %d", lists, link.ShareFrom)
+	if lists != link.MaxDirectGateways {
+		t.Errorf("%d gateways got the list of the leader itself, want %d", lists, link.MaxDirectGateways)
 	}
 	for name, m := range map[string]protocol.SyncMsg{
 		"that found no relay":  {Features: protocol.OwnFeatures, Gateways: 986},
