--- a/coordination/link/answertime.go
+++ b/coordination/link/answertime.go
@@ -32,9 +32,9 @@
 	t.mean += time.Duration(meanWeight * float64(took-t.mean))
 }
 
-// Due returns the timeout after which an answer is overdue: slack, which answers within
+// Timeout returns the timeout after which an answer is overdue: slack, which answers within
 // one region never take, and besides what is usual, or first before that is known.
-func (t *AnswerTime) Due(slack, first time.Duration) time.Duration {
+func (t *AnswerTime) Timeout(slack, first time.Duration) time.Duration {
 	if t.mean == 0 {
 		return slack + first
 	}
--- a/coordination/link/link_test.go
+++ b/coordination/link/link_test.go
@@ -134,17 +134,17 @@
 	for _, oneWay := range []time.Duration{1, 8, 40, 80} {
 		trip := 2 * oneWay * time.Millisecond
 		var p AnswerTime
-		if first := p.Due(slack, 400*time.Millisecond); first != 500*time.Millisecond {
+		if first := p.Timeout(slack, 400*time.Millisecond); first != 500*time.Millisecond {
 			t.Errorf("the first answer is overdue after %v", first)
 		}
 		for i := range 100 {
 			took := trip + time.Duration(i%10)*trip/10 // A batch under way is waited for.
-			if i > 10 && took > p.Due(slack, 0) {
-				t.Errorf("%v: an answer after %v is overdue at %v", oneWay, took, p.Due(slack, 0))
+			if i > 10 && took > p.Timeout(slack, 0) {
+				t.Errorf("%v: an answer after %v is overdue at %v", oneWay, took, p.Timeout(slack, 0))
 			}
 			p.Observe(took)
 		}
-		if due := p.Due(slack, 0); due > slack+4*trip {
+		if due := p.Timeout(slack, 0); due > slack+4*trip {
 			t.Errorf("%v: a missing answer is noticed after %v", oneWay, due)
 		}
 	}
--- a/transport/control/relay.go
+++ b/transport/control/relay.go
@@ -305,7 +305,7 @@
 	r.underWay++
 	r.meters.batches.Inc(1)
 	r.meters.questions.Inc(int64(len(list)))
-	return m, r.answerTime.Due(r.slack, batchFirst)
+	return m, r.answerTime.Timeout(r.slack, batchFirst)
 }
 
 // note takes what a gateway's question tells this relay. It needs r.mu.
--- a/transport/uplink/choice.go
+++ b/transport/uplink/choice.go
@@ -39,7 +39,7 @@
 	if !c.topology.Several() {
 		first = 0
 	}
-	return c.answerTime(address).Due(answerDue, first)
+	return c.answerTime(address).Timeout(answerDue, first)
 }
 
 // answerTime returns how long an instance's answers take.
