--- a/coordination/link/answertime.go
+++ b/coordination/link/answertime.go
@@ -41,10 +41,10 @@
 	return slack + t.mean + deviations*t.deviation
 }
 
-// Miss notes that an answer was overdue and given up. Each one in a row doubles the
+// RecordTimeout notes that an answer was overdue and given up. Each one in a row doubles the
 // deviation that the next is allowed, up to most in all: the path may have become
 // longer, and an answer that is given up tells nothing of it.
-func (t *AnswerTime) Miss(most time.Duration) {
+func (t *AnswerTime) RecordTimeout(most time.Duration) {
 	if t.mean == 0 {
 		return
 	}
--- a/transport/uplink/uplink.go
+++ b/transport/uplink/uplink.go
@@ -251,7 +251,7 @@
 	if got.err != nil {
 		c.silent, c.silentAt = address, clock.Now()
 		c.lost(address, got.err.Error())
-		c.answerTime(address).Miss(firstDue)
+		c.answerTime(address).RecordTimeout(firstDue)
 		c.failed(address, true)
 		c.overdueNear()
 		c.target = got.other
