--- a/coordination/link/link.go
+++ b/coordination/link/link.go
@@ -1,19 +1,19 @@
 // Package link decides which control instance a gateway asks, and how long an answer
 // may take.
 //
-// Where failure domains lie in several regions, a gateway asks a control instance of
-// its own region, which is the leader or a relay that passes its questions on. What
-// crosses between regions then grows with the control instances, not with the gateways.
-// One that fails is passed over for a while. Without one in the region, or without
-// several regions, [Selector.Choose] names none, and the gateway asks the leader.
+// With several regions, a gateway asks a control instance of its own region, which is
+// either the leader or a relay that forwards the question. So the traffic between regions
+// grows with the number of control instances, not of gateways. An instance that fails is
+// skipped for a backoff. If there is no instance in the region, or only one region,
+// [Selector.Choose] returns none, and the gateway asks the leader.
 //
-// In one region the gateways ask the leader while there are no more of them than one
-// instance answers at the usual pace. Beyond that they are shared out over the control
-// instances, each gateway to one in its own domain if there is one, so that how long a
-// change takes to reach all of them does not grow with their number. The leader comes last:
+// In a single region all gateways ask the leader, as long as one instance can answer that
+// many at the usual interval. A larger fleet is distributed over the control instances,
+// with a preference for one in the gateway's own domain, so that the time in which a change
+// reaches all gateways does not grow with their number. The leader is chosen last, since
 // it answers the relays.
 //
-// The package reads no clock: the time comes in with each call.
+// The package reads no clock: callers pass the time.
 package link
 
 import (
@@ -27,40 +27,41 @@
 )
 
 const (
-	// refusedBackoff is for how long an instance that says that it cannot answer is passed
-	// over the first time: about the time in which a relay learns of a new leader.
+	// refusedBackoff is the initial backoff for an instance that replied that it cannot
+	// answer: about the time in which a relay learns of a new leader.
 	refusedBackoff = 100 * time.Millisecond
-	// silentBackoff is the same for one that is silent. It is longer, since each try of such
-	// an instance costs a gateway a whole timeout.
+	// silentBackoff is the initial backoff for one that did not reply. It is longer, since
+	// each attempt with such an instance costs a gateway a whole timeout.
 	silentBackoff = time.Second
-	// maxBackoff bounds both, which double with each failure in a row: an instance that is
-	// back is used again within that time.
+	// maxBackoff bounds both, which double with each consecutive failure: an instance that
+	// has recovered is used again within that time.
 	maxBackoff = 16 * time.Second
-	// maxDoublings keeps the doubled time from running over; maxBackoff is reached before.
+	// maxDoublings prevents an overflow of the backoff, which reaches maxBackoff earlier.
 	maxDoublings = 10
 )
 
 const (
-	// MinAskInterval is the usual time between two questions of a gateway, at the least.
+	// MinAskInterval is the minimum time between two questions of a gateway.
 	MinAskInterval = 150 * time.Millisecond
-	// IntervalPerGateway is the time between two questions for each gateway that asks the same
-	// instance, which then answers 667 times a second at the most.
+	// IntervalPerGateway is what each gateway that asks the same instance adds to the time
+	// between two questions of each, so that an instance answers at most 667 per second.
 	IntervalPerGateway = 1500 * time.Microsecond
-	// MaxDirectGateways is how many gateways of one region ask the leader themselves: as many as one
-	// instance answers at the usual pace.
+	// MaxDirectGateways is the maximum number of gateways of a single region that all ask
+	// the leader: as many as one instance can answer at MinAskInterval.
 	MaxDirectGateways = int(MinAskInterval / IntervalPerGateway)
-	// shareUntil is below how many they do so again.
-	shareUntil = MaxDirectGateways * 3 / 4
+	// minSharedGateways is the number of gateways below which they all ask the leader again.
+	// It is lower than MaxDirectGateways for hysteresis.
+	minSharedGateways = MaxDirectGateways * 3 / 4
 )
 
-// Selector are the control instances as one gateway knows them.
+// Selector selects a control instance for one gateway. A nil Selector chooses none.
 type Selector struct {
 	topology *topology.Topology
 	domain   string
 	gateway  string
 	controls []control
 	failures map[string]failure
-	shared   bool // shared says that the gateways of the only region are shared out.
+	shared   bool // shared reports that the gateways of a single region are distributed over the instances.
 }
 
 type control struct {
@@ -68,34 +69,35 @@
 	domain  string
 }
 
-// failure is what is known of an instance that failed.
+// failure is the backoff state of an instance that failed.
 type failure struct {
-	inRow int       // inRow is how many times in a row it failed.
-	until time.Time // until is when it may be asked again.
+	consecutive int       // consecutive is the number of consecutive failures.
+	retryAt     time.Time // retryAt is when it may be asked again.
 }
 
-// New returns links of which nothing is known, for a gateway in a failure domain.
+// New returns a selector without control instances, for a gateway in a failure domain.
 func New(t *topology.Topology, domain, gateway string) *Selector {
 	return &Selector{topology: t, domain: domain, gateway: gateway, failures: map[string]failure{}}
 }
 
-// Enabled reports whether instances of the own region are asked at all: only where there
-// are several regions, or many gateways. Choose names none otherwise.
+// Enabled reports whether the gateway asks instances of its own region: only with several
+// regions, or many gateways. Otherwise Choose returns none.
 func (l *Selector) Enabled() bool { return l != nil && (l.shared || l.topology.Several()) }
 
-// SetGateways notes how many gateways there are.
+// SetGateways sets the number of gateways.
 func (l *Selector) SetGateways(n int) {
 	switch {
 	case l == nil:
 	case n > MaxDirectGateways:
 		l.shared = true
-	case n < shareUntil:
+	case n < minSharedGateways:
 		l.shared = false
 	}
 }
 
-// GatewaysPerInstance is how many of some gateways one instance answers. Where there are several regions
-// it is all of them: their questions cross to the leader's, however they are parted.
+// GatewaysPerInstance returns how many of the gateways one instance answers. With several
+// regions it is all of them: however they are distributed, their questions are forwarded to
+// the leader's region.
 func (l *Selector) GatewaysPerInstance(gateways int) int {
 	if !l.Enabled() || l.topology.Several() {
 		return gateways
@@ -104,10 +106,11 @@
 	return (gateways + relays - 1) / relays
 }
 
-// SetControls takes the addresses of all control instances and their domains, in one order.
+// SetControls sets the addresses of all control instances and, in the same order, their
+// domains.
 func (l *Selector) SetControls(addresses, domains []string) {
 	if l == nil || len(addresses) != len(domains) {
-		return // An instance that does not tell domains.
+		return // The list comes from an instance that does not send domains.
 	}
 	l.controls = l.controls[:0]
 	for i, address := range addresses {
@@ -115,8 +118,8 @@
 	}
 }
 
-// RecordFailure notes that an instance did not answer in time (silent), or said that it cannot
-// answer. It is passed over for a backoff.
+// RecordFailure records that an instance did not reply in time (silent), or replied that it
+// cannot answer. It is skipped for a backoff.
 func (l *Selector) RecordFailure(address string, silent bool, now time.Time) {
 	if !l.Enabled() {
 		return
@@ -126,27 +129,27 @@
 	if silent {
 		backoff = silentBackoff
 	}
-	f.until = now.Add(min(maxBackoff, backoff<<min(f.inRow, maxDoublings)))
-	f.inRow++
+	f.retryAt = now.Add(min(maxBackoff, backoff<<min(f.consecutive, maxDoublings)))
+	f.consecutive++
 	l.failures[address] = f
 }
 
-// RecordAnswer notes that an instance answered.
+// RecordAnswer records that an instance answered, which resets its backoff.
 func (l *Selector) RecordAnswer(address string) {
 	if l.Enabled() {
 		delete(l.failures, address)
 	}
 }
 
-// Choose returns the address of the instance to ask; empty if there is none in the own
-// region that has not failed lately. The leader's address is empty while it is unknown.
+// Choose returns the address of the instance to ask; empty if every instance of the own
+// region is in backoff, or there is none. The leader's address is empty while unknown.
 func (l *Selector) Choose(leader string, now time.Time) string {
 	if !l.Enabled() {
 		return ""
 	}
 	var near []control
 	for _, c := range l.controls {
-		if l.inRegion(c) && !now.Before(l.failures[c.address].until) {
+		if l.inOwnRegion(c) && !now.Before(l.failures[c.address].retryAt) {
 			near = append(near, c)
 		}
 	}
@@ -156,14 +159,15 @@
 	return slices.MinFunc(near, func(a, b control) int {
 		return cmp.Or(
 			cmp.Compare(l.rank(a, leader), l.rank(b, leader)),
-			cmp.Compare(l.draw(a), l.draw(b)),
+			cmp.Compare(l.hash(a), l.hash(b)),
 			cmp.Compare(a.address, b.address),
 		)
 	}).address
 }
 
-// inRegion reports whether an instance is of the own region. One region needs no names.
-func (l *Selector) inRegion(c control) bool {
+// inOwnRegion reports whether an instance is in the gateway's own region. A single region
+// need not be configured.
+func (l *Selector) inOwnRegion(c control) bool {
 	if !l.topology.Several() {
 		return true
 	}
@@ -171,7 +175,7 @@
 	return own != "" && l.topology.Region(c.domain) == own
 }
 
-// rank is lower for an instance that is asked first.
+// rank returns the preference of an instance; lower is preferred.
 func (l *Selector) rank(c control, leader string) int {
 	switch {
 	case c.address == leader && !l.topology.Several():
@@ -184,6 +188,6 @@
 	return 2
 }
 
-// draw is a hash (rendezvous hashing) that spreads the gateways evenly over instances of
-// the same rank.
-func (l *Selector) draw(c control) uint64 { return xxhash.Sum64String(l.gateway + " " + c.address) }
+// hash returns the score for rendezvous hashing, which distributes the gateways evenly over
+// instances of the same rank.
+func (l *Selector) hash(c control) uint64 { return xxhash.Sum64String(l.gateway + " " + c.address) }
--- a/coordination/link/link_test.go
+++ b/coordination/link/link_test.go
@@ -15,13 +15,14 @@
 
 var start = time.Unix(1000, 0)
 
-// controls are one in each domain but c1, named by it, and a second one in b2.
-func controls(l *Selector) {
+// setControls sets one control instance in each domain except c1, and a second one in b2.
+// The addresses have the names of the domains.
+func setControls(l *Selector) {
 	l.SetControls([]string{"at-a1", "at-a2", "at-b1", "at-b2", "at-b2-2"}, []string{"a1", "a2", "b1", "b2", "b2"})
 }
 
-// TestChoice checks whom a gateway asks: its own domain's instance, its region's
-// leader, any of its region, and none where there is none.
+// TestChoice checks the order of preference: the instance of the own domain, the leader if
+// it is in the own region, any other instance of the region, none.
 func TestChoice(t *testing.T) {
 	for _, c := range []struct {
 		name, domain, leader string
@@ -37,31 +38,31 @@
 		{"a domain without a region", "x", "at-b1", nil, ""},
 	} {
 		l := New(regions, c.domain, "g")
-		controls(l)
+		setControls(l)
 		for _, address := range c.failed {
 			l.RecordFailure(address, true, start)
 		}
 		if got := l.Choose(c.leader, start); got != c.want {
-			t.Errorf("%s: asks %q, want %q", c.name, got, c.want)
+			t.Errorf("%s: chose %q, want %q", c.name, got, c.want)
 		}
 	}
 	one := New(topology.New(map[string]string{"a1": "a"}), "a1", "g")
-	controls(one)
+	setControls(one)
 	if got := one.Choose("at-a1", start); got != "" {
-		t.Errorf("with one region it asks %q by itself", got)
+		t.Errorf("chose %q with a single region, want none", got)
 	}
 	var none *Selector
 	if none.Choose("at-a1", start) != "" || none.Enabled() {
-		t.Error("without links something is chosen")
+		t.Error("a nil selector is enabled or chose an instance")
 	}
 }
 
-// TestFailedIsPassedOver checks that an instance that fails is passed over for longer
-// each time, and at once taken again after it has answered and failed once more.
-func TestFailedIsPassedOver(t *testing.T) {
+// TestBackoffGrows checks that the backoff of an instance grows with each failure up to
+// maxBackoff, and starts from its initial value again after an answer.
+func TestBackoffGrows(t *testing.T) {
 	for _, silent := range []bool{true, false} {
 		l := New(regions, "a1", "g")
-		controls(l)
+		setControls(l)
 		now, last := start, time.Duration(0)
 		for range 6 {
 			l.RecordFailure("at-a1", silent, now)
@@ -70,38 +71,38 @@
 				away += 10 * time.Millisecond
 			}
 			if away < last || away > maxBackoff || (away == last && away < maxBackoff) {
-				t.Errorf("silent %v: away for %v after %v", silent, away, last)
+				t.Errorf("silent %v: backoff %v after one of %v", silent, away, last)
 			}
 			now, last = now.Add(away), away
 		}
 		l.RecordAnswer("at-a1")
 		l.RecordFailure("at-a1", silent, now)
 		if l.Choose("", now.Add(silentBackoff)) != "at-a1" {
-			t.Errorf("silent %v: an earlier failure counts after an answer", silent)
+			t.Errorf("silent %v: an answer did not reset the backoff", silent)
 		}
 	}
 }
 
 // TestGatewaysSpread checks that the gateways of a domain with several instances are
-// parted between them.
+// distributed over them.
 func TestGatewaysSpread(t *testing.T) {
 	counts := map[string]int{}
 	for i := range 100 {
 		l := New(regions, "b2", fmt.Sprint("gateway-", i))
-		controls(l)
+		setControls(l)
 		counts[l.Choose("", start)]++
 	}
 	if counts["at-b2"] < 30 || counts["at-b2-2"] < 30 {
-		t.Errorf("100 gateways ask %v", counts)
+		t.Errorf("100 gateways are distributed unevenly: %v", counts)
 	}
 }
 
-// TestChoiceStaysNear checks over random failures that only an instance of the own
-// region is chosen, never one that is passed over, and always one if there is any.
-func TestChoiceStaysNear(t *testing.T) {
+// TestChoiceStaysInRegion checks over random failures that only an instance of the own
+// region is chosen, never one in backoff, and always one if any is not in backoff.
+func TestChoiceStaysInRegion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(regions, "b1", rapid.String().Draw(t, "gateway"))
-		controls(l)
+		setControls(l)
 		near := []string{"at-b1", "at-b2", "at-b2-2"}
 		now := start
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -114,47 +115,47 @@
 			}
 			got, free := l.Choose("at-a1", now), 0
 			for _, address := range near {
-				if !now.Before(l.failures[address].until) {
+				if !now.Before(l.failures[address].retryAt) {
 					free++
 				} else if address == got {
-					t.Fatalf("chose %s, which is passed over", got)
+					t.Fatalf("chose %s, which is in backoff", got)
 				}
 			}
 			if (got == "") != (free == 0) {
-				t.Fatalf("chose %q of %d", got, free)
+				t.Fatalf("chose %q with %d instances available", got, free)
 			}
 		}
 	})
 }
 
-// TestAnswerTimeFollowsRoundTrips checks that answers at any distance are not overdue once
-// some were seen, and a missing one is noticed within the slack and a few round trips.
+// TestAnswerTimeFollowsRoundTrips checks that after some observations at any distance
+// answers do not time out, and that the timeout is at most the slack and four round trips.
 func TestAnswerTimeFollowsRoundTrips(t *testing.T) {
 	const slack = 100 * time.Millisecond
 	for _, oneWay := range []time.Duration{1, 8, 40, 80} {
 		trip := 2 * oneWay * time.Millisecond
-		var p AnswerTime
-		if first := p.Timeout(slack, 400*time.Millisecond); first != 500*time.Millisecond {
-			t.Errorf("the first answer is overdue after %v", first)
+		var answerTime AnswerTime
+		if first := answerTime.Timeout(slack, 400*time.Millisecond); first != 500*time.Millisecond {
+			t.Errorf("the timeout of the first answer is %v, want 500ms", first)
 		}
 		for i := range 100 {
-			took := trip + time.Duration(i%10)*trip/10 // A batch under way is waited for.
-			if i > 10 && took > p.Timeout(slack, 0) {
-				t.Errorf("%v: an answer after %v is overdue at %v", oneWay, took, p.Timeout(slack, 0))
+			took := trip + time.Duration(i%10)*trip/10 // Waits up to a round trip for the batch in progress.
+			if i > 10 && took > answerTime.Timeout(slack, 0) {
+				t.Errorf("one way %d ms: an answer after %v exceeds the timeout of %v", oneWay, took, answerTime.Timeout(slack, 0))
 			}
-			p.Observe(took)
+			answerTime.Observe(took)
 		}
-		if due := p.Timeout(slack, 0); due > slack+4*trip {
-			t.Errorf("%v: a missing answer is noticed after %v", oneWay, due)
+		if due := answerTime.Timeout(slack, 0); due > slack+4*trip {
+			t.Errorf("one way %d ms: the timeout is %v, longer than the slack and four round trips", oneWay, due)
 		}
 	}
 }
 
-// TestManyGatewaysOfOneRegionAreShared checks the pattern of a thousand gateways before one
-// leader: beyond what it answers at the usual pace they are shared out evenly over the other
-// control instances, also over those that are left when two are gone, and the pause between
-// two questions of each does not grow with the fleet as long as the instances do.
-func TestManyGatewaysOfOneRegionAreShared(t *testing.T) {
+// TestManyGatewaysAreSpreadOverRelays guards against a thousand gateways asking one leader:
+// beyond MaxDirectGateways they must be distributed evenly over the other control instances,
+// also over the remaining ones after two have failed, and each instance must answer its
+// share alone, so that the interval of questions does not grow with the whole fleet.
+func TestManyGatewaysAreSpreadOverRelays(t *testing.T) {
 	var addresses, domains []string
 	for i := range 10 {
 		domains = append(domains, fmt.Sprint("d", i%5))
@@ -171,28 +172,29 @@
 			l.RecordFailure("at-d1-1", true, start)
 			counts[l.Choose(leader, start)]++
 			if share := l.GatewaysPerInstance(gateways); gateways > MaxDirectGateways && share != (gateways+8)/9 || gateways <= MaxDirectGateways && share != gateways {
-				t.Fatalf("%d gateways: the share of an instance is %d", gateways, share)
+				t.Fatalf("%d gateways: wrong number of gateways per instance: %d", gateways, share)
 			}
 		}
 		if gateways <= MaxDirectGateways {
 			if counts[""] != gateways {
-				t.Errorf("%d gateways ask by themselves: %v", gateways, counts)
+				t.Errorf("%d gateways: some do not ask the leader: %v", gateways, counts)
 			}
 			continue
 		}
 		if counts[""] > 0 || counts[leader] > 0 || counts["at-d0-0"] > 0 || counts["at-d1-1"] > 0 {
-			t.Errorf("%d gateways: some ask the leader, one that failed, or none: %v", gateways, counts)
+			t.Errorf("%d gateways: some chose the leader, a failed instance, or none: %v", gateways, counts)
 		}
 		for address, n := range counts {
 			if n > 2*gateways/9 {
-				t.Errorf("%d gateways: %d ask %s", gateways, n, address)
+				t.Errorf("%d gateways: uneven distribution, %d ask %s", gateways, n, address)
 			}
 		}
 	}
 }
 
-// TestSharingIsSteady checks that a fleet around the bound does not change to and fro.
-func TestSharingIsSteady(t *testing.T) {
+// TestSharingHysteresis checks that a fleet whose size varies around MaxDirectGateways
+// switches only once.
+func TestSharingHysteresis(t *testing.T) {
 	l := New(topology.New(nil), "d0", "g")
 	changes, before := 0, false
 	for n := range 200 {
@@ -202,10 +204,10 @@
 		}
 	}
 	if changes > 1 {
-		t.Errorf("changed %d times", changes)
+		t.Errorf("switched %d times, want at most once", changes)
 	}
-	l.SetGateways(shareUntil - 1)
+	l.SetGateways(minSharedGateways - 1)
 	if l.Enabled() {
-		t.Error("a fleet that shrank is still shared out")
+		t.Error("gateways are still distributed below minSharedGateways")
 	}
 }
