--- a/cmd/weldstreamd/control.go
+++ b/cmd/weldstreamd/control.go
@@ -187,7 +187,7 @@
 			Copies:    n.Tolerate + 1,
 			Voters:    2*n.Tolerate + 1,
 			Gone:      goneAfter,
-			Wide:      n.Topology().Several(),
+			Wide:      n.Topology().MultiRegion(),
 		},
 		SnapshotEntries: n.Replication.SnapshotEntries,
 		Batch:           n.Replication.Batch,
--- a/cmd/weldstreamd/regions.go
+++ b/cmd/weldstreamd/regions.go
@@ -39,7 +39,7 @@
 	if relay := c.relay.State(); relay.Batches > 0 {
 		d.Relay = &relay
 	}
-	if !topology.Several() {
+	if !topology.MultiRegion() {
 		return d
 	}
 	d.Regions = map[string]string{c.name(): d.Region}
@@ -55,7 +55,7 @@
 	var unplaced atomic.Int64
 	metrics.NewRegisteredFunctionalGauge("domains.unplaced", c.registry, unplaced.Load)
 	t := c.settings.Topology()
-	if !t.Several() {
+	if !t.MultiRegion() {
 		return nil
 	}
 	var before []string
--- a/coordination/link/link.go
+++ b/coordination/link/link.go
@@ -82,7 +82,7 @@
 
 // Enabled reports whether the gateway asks instances of its own region: only with several
 // regions, or many gateways. Otherwise Choose returns none.
-func (l *Selector) Enabled() bool { return l != nil && (l.shared || l.topology.Several()) }
+func (l *Selector) Enabled() bool { return l != nil && (l.shared || l.topology.MultiRegion()) }
 
 // SetGateways sets the number of gateways.
 func (l *Selector) SetGateways(n int) {
@@ -99,7 +99,7 @@
 // regions it is all of them: however they are distributed, their questions are forwarded to
 // the leader's region.
 func (l *Selector) GatewaysPerInstance(gateways int) int {
-	if !l.Enabled() || l.topology.Several() {
+	if !l.Enabled() || l.topology.MultiRegion() {
 		return gateways
 	}
 	relays := max(1, len(l.controls)-1)
@@ -168,7 +168,7 @@
 // inOwnRegion reports whether an instance is in the gateway's own region. A single region
 // need not be configured.
 func (l *Selector) inOwnRegion(c control) bool {
-	if !l.topology.Several() {
+	if !l.topology.MultiRegion() {
 		return true
 	}
 	own := l.topology.Region(l.domain)
@@ -178,7 +178,7 @@
 // rank returns the preference of an instance; lower is preferred.
 func (l *Selector) rank(c control, leader string) int {
 	switch {
-	case c.address == leader && !l.topology.Several():
+	case c.address == leader && !l.topology.MultiRegion():
 		return 3
 	case c.domain == l.domain:
 		return 0
--- a/coordination/place/near.go
+++ b/coordination/place/near.go
@@ -34,7 +34,7 @@
 // one region count alike here: reading shared prompts once in each domain cost as
 // much as the bytes that it saved.
 func nearest(v *View, rows []row, m ChooseMsg) []row {
-	if !v.topology.Several() {
+	if !v.topology.MultiRegion() {
 		return rows
 	}
 	near, far := v.byRegion(rows, m.Domain)
--- a/coordination/place/place.go
+++ b/coordination/place/place.go
@@ -85,7 +85,7 @@
 // look-up for each of them.
 func (v *View) numberRegions() {
 	v.regions = 1
-	if !v.topology.Several() {
+	if !v.topology.MultiRegion() {
 		return
 	}
 	numbers := map[string]int{}
@@ -273,7 +273,7 @@
 		}
 	}
 	limit := bound*sum/float64(max(1, n)) + slack/width
-	if v.topology.Several() {
+	if v.topology.MultiRegion() {
 		return min(limit, fullLoad-1/width)
 	}
 	return limit
--- a/coordination/scale/regions.go
+++ b/coordination/scale/regions.go
@@ -46,7 +46,7 @@
 	for _, work := range s.RunningByRegion {
 		sum += work
 	}
-	if !p.topology.Several() || sum <= 0 || len(domains) == 0 {
+	if !p.topology.MultiRegion() || sum <= 0 || len(domains) == 0 {
 		return nil
 	}
 	parts := map[string]float64{}
--- a/coordination/topology/topology.go
+++ b/coordination/topology/topology.go
@@ -59,13 +59,13 @@
 	return t.names
 }
 
-// Several reports whether there is more than one region.
-func (t *Topology) Several() bool { return len(t.Regions()) > 1 }
+// MultiRegion reports whether there is more than one region.
+func (t *Topology) MultiRegion() bool { return len(t.Regions()) > 1 }
 
 // Unplaced returns those of some domains, sorted, that have no region though there are
 // several: they count as near, which may be wrong.
 func (t *Topology) Unplaced(domains []string) []string {
-	if !t.Several() {
+	if !t.MultiRegion() {
 		return nil
 	}
 	unplaced := slices.DeleteFunc(slices.Clone(domains), func(d string) bool { return t.Region(d) != "" })
--- a/coordination/topology/topology_test.go
+++ b/coordination/topology/topology_test.go
@@ -44,8 +44,8 @@
 		{"none", New(nil), nil, false},
 		{"no topology", nil, nil, false},
 	} {
-		if got := c.topology.Regions(); !slices.Equal(got, c.want) || c.topology.Several() != c.several {
-			t.Errorf("%s: %v, several %v", c.name, got, c.topology.Several())
+		if got := c.topology.Regions(); !slices.Equal(got, c.want) || c.topology.MultiRegion() != c.several {
+			t.Errorf("%s: %v, several %v", c.name, got, c.topology.MultiRegion())
 		}
 	}
 }
--- a/transport/control/share.go
+++ b/transport/control/share.go
@@ -12,7 +12,7 @@
 // and each first answer holds the whole list: relays get that once for many of them. One that
 // knows how many gateways there are has found no relay, and is answered. It needs u.mu.
 func (u *Uplink) sharesOut(m *protocol.SyncMsg, reply *protocol.SyncReply, now time.Time) bool {
-	if m.Gateways > 0 || !m.Features.Has(protocol.FeatureLocalRelays) || u.topology.Several() || len(reply.Controls) < 2 {
+	if m.Gateways > 0 || !m.Features.Has(protocol.FeatureLocalRelays) || u.topology.MultiRegion() || len(reply.Controls) < 2 {
 		return false
 	}
 	n := u.alive(now)
@@ -26,7 +26,7 @@
 // gather is for how long questions are gathered. Within one region no request waits for a
 // batch, and the relays together ask the leader as rarely as gateways would.
 func (r *Relay) gather() time.Duration {
-	if r.uplink.topology.Several() {
+	if r.uplink.topology.MultiRegion() {
 		return gatherTime
 	}
 	_, all := r.uplink.peers()
--- a/transport/distance.go
+++ b/transport/distance.go
@@ -23,7 +23,7 @@
 // failure domains lie in several regions. It is called before any link is opened.
 func (l *Links) MeterDistances(t *topology.Topology, domain string, r metrics.Registry) {
 	l.domain = domain
-	if !t.Several() {
+	if !t.MultiRegion() {
 		return
 	}
 	l.distances = &distances{topology: t, domain: domain}
--- a/transport/uplink/choice.go
+++ b/transport/uplink/choice.go
@@ -36,7 +36,7 @@
 		return answerDue
 	}
 	first := firstDue
-	if !c.topology.Several() {
+	if !c.topology.MultiRegion() {
 		first = 0
 	}
 	return c.answerTime(address).Timeout(answerDue, first)
--- a/transport/uplink/place.go
+++ b/transport/uplink/place.go
@@ -26,7 +26,7 @@
 // region it is the leader itself: ledgers of several relays hear of one another's places
 // only with their batches, and each gives the same server to others meanwhile.
 func (c *Client) placer() string {
-	if c.topology.Several() {
+	if c.topology.MultiRegion() {
 		return c.linkAddress()
 	}
 	return c.leaderAddress()
--- a/transport/uplink/quota.go
+++ b/transport/uplink/quota.go
@@ -86,7 +86,7 @@
 // there are several regions a relay gathers the questions instead: those of single requests do
 // not cross regions.
 func (c *Client) mayApart(leader string) bool {
-	return !c.topology.Several() && c.noQuotaCall.Load() != leader
+	return !c.topology.MultiRegion() && c.noQuotaCall.Load() != leader
 }
 
 // askApart has parts of quotas asked for apart, or with the other questions.
--- a/transport/uplink/quota_test.go
+++ b/transport/uplink/quota_test.go
@@ -95,7 +95,7 @@
 		client := New(&quotaCaller{}, nil, nil, nil, zerolog.Nop(), WithQuotas(&wanting{}), WithRegions(c.topology, "a1", "g"))
 		client.lead("relay", "leader")
 		if client.mayApart("leader") != c.apart || client.placer() != c.placer {
-			t.Errorf("several regions %v: quotas apart %v, places by %q", c.topology.Several(), client.mayApart("leader"), client.placer())
+			t.Errorf("several regions %v: quotas apart %v, places by %q", c.topology.MultiRegion(), client.mayApart("leader"), client.placer())
 		}
 		client.lead("", "")
 		if got := client.placer(); got != "" {
--- a/transport/uplink/uplink_test.go
+++ b/transport/uplink/uplink_test.go
@@ -484,7 +484,7 @@
 		u := New(&fakeCaller{}, &fakeGateway{}, nil, unpackIDs, zerolog.Nop(), WithRegions(c.topology, "d1", "g"))
 		u.setGateways(986)
 		if got := u.due("relay"); got != c.want {
-			t.Errorf("several regions %v: overdue after %v, want %v", c.topology.Several(), got, c.want)
+			t.Errorf("several regions %v: overdue after %v, want %v", c.topology.MultiRegion(), got, c.want)
 		}
 	}
 }
