--- a/cmd/weldstreamd/regions.go
+++ b/cmd/weldstreamd/regions.go
@@ -88,5 +88,5 @@
 	for i := range servers {
 		domains = append(domains, servers[i].Domain)
 	}
-	return t.Unplaced(domains)
+	return t.WithoutRegion(domains)
 }
--- a/coordination/topology/topology.go
+++ b/coordination/topology/topology.go
@@ -62,9 +62,9 @@
 // MultiRegion reports whether there is more than one region.
 func (t *Topology) MultiRegion() bool { return len(t.Regions()) > 1 }
 
-// Unplaced returns those of some domains, sorted, that have no region though there are
+// WithoutRegion returns those of some domains, sorted, that have no region though there are
 // several: they count as near, which may be wrong.
-func (t *Topology) Unplaced(domains []string) []string {
+func (t *Topology) WithoutRegion(domains []string) []string {
 	if !t.MultiRegion() {
 		return nil
 	}
--- a/coordination/topology/topology_test.go
+++ b/coordination/topology/topology_test.go
@@ -77,7 +77,7 @@
 		{"one region", New(map[string]string{"a-1": "a"}), []string{"c"}, nil},
 		{"no topology", nil, []string{"c"}, nil},
 	} {
-		if got := c.topology.Unplaced(c.domains); !slices.Equal(got, c.want) {
+		if got := c.topology.WithoutRegion(c.domains); !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/transport/forward/regions.go
+++ b/transport/forward/regions.go
@@ -70,7 +70,7 @@
 	for i := range view.Servers {
 		domains = append(domains, view.Servers[i].Domain)
 	}
-	unplaced := g.cfg.Topology.Unplaced(domains)
+	unplaced := g.cfg.Topology.WithoutRegion(domains)
 	g.mu.Lock()
 	same := slices.Equal(g.unplaced, unplaced)
 	g.unplaced = unplaced
