--- a/coordination/topology/trips.go
+++ b/coordination/topology/trips.go
@@ -19,9 +19,9 @@
 	furtherFactor = 1.5
 )
 
-// Trips are the round trips and losses observed from one domain to others, learned
+// RoundTrips are the round trips and losses observed from one domain to others, learned
 // from connects. They hold from that domain alone.
-type Trips struct {
+type RoundTrips struct {
 	topology *Topology
 	own      string
 	domains  map[string]*trip
@@ -36,12 +36,12 @@
 }
 
 // NewTrips returns trips from a domain of which none was observed yet.
-func NewTrips(t *Topology, own string) *Trips {
-	return &Trips{topology: t, own: own, domains: map[string]*trip{}}
+func NewTrips(t *Topology, own string) *RoundTrips {
+	return &RoundTrips{topology: t, own: own, domains: map[string]*trip{}}
 }
 
 // domain returns what was observed of a domain.
-func (t *Trips) domain(name string) *trip {
+func (t *RoundTrips) domain(name string) *trip {
 	d := t.domains[name]
 	if d == nil {
 		d = &trip{}
@@ -51,7 +51,7 @@
 }
 
 // Observe notes how long a connect to a domain took.
-func (t *Trips) Observe(domain string, took time.Duration) {
+func (t *RoundTrips) Observe(domain string, took time.Duration) {
 	d := t.domain(domain)
 	d.seen++
 	switch {
@@ -65,10 +65,10 @@
 }
 
 // Lost notes a connect to a domain that failed.
-func (t *Trips) Lost(domain string) { t.domain(domain).lost++ }
+func (t *RoundTrips) Lost(domain string) { t.domain(domain).lost++ }
 
 // Losses returns how many connects over a distance failed.
-func (t *Trips) Losses(d Distance) int {
+func (t *RoundTrips) Losses(d Distance) int {
 	n := 0
 	for name, trip := range t.domains {
 		if t.topology.Distance(t.own, name) == d {
@@ -80,7 +80,7 @@
 
 // Trip returns the shortest round trip over a distance that was observed often enough;
 // 0 for none.
-func (t *Trips) Trip(d Distance) time.Duration {
+func (t *RoundTrips) Trip(d Distance) time.Duration {
 	least := time.Duration(0)
 	for name, trip := range t.domains {
 		if t.topology.Distance(t.own, name) == d && trip.seen >= tripsLeast && (least == 0 || trip.time < least) {
@@ -93,7 +93,7 @@
 // Contradicting returns the domains, sorted, that are configured as near and whose round
 // trip is furtherFactor times as long as the shortest one to another region, until it is
 // shorter than that one: either they or the latter lie elsewhere than the settings say.
-func (t *Trips) Contradicting() []string {
+func (t *RoundTrips) Contradicting() []string {
 	across := t.Trip(OtherRegion)
 	if across == 0 {
 		return nil
--- a/transport/forward/regions.go
+++ b/transport/forward/regions.go
@@ -29,7 +29,7 @@
 // paths are the observed round trips to the servers' domains.
 type paths struct {
 	mu            sync.Mutex // mu guards all below.
-	trips         *topology.Trips
+	trips         *topology.RoundTrips
 	contradicting []string // contradicting are domains whose round trips contradict their region.
 }
 
