--- a/coordination/topology/trips.go
+++ b/coordination/topology/trips.go
@@ -35,8 +35,8 @@
 	further bool          // further says that it contradicts the settings.
 }
 
-// NewTrips returns trips from a domain of which none was observed yet.
-func NewTrips(t *Topology, own string) *RoundTrips {
+// NewRoundTrips returns trips from a domain of which none was observed yet.
+func NewRoundTrips(t *Topology, own string) *RoundTrips {
 	return &RoundTrips{topology: t, own: own, domains: map[string]*trip{}}
 }
 
--- a/coordination/topology/trips_test.go
+++ b/coordination/topology/trips_test.go
@@ -26,7 +26,7 @@
 		{"seen too seldom", map[string]time.Duration{"a-3": 30 * time.Millisecond, "b-1": 16 * time.Millisecond}, tripsLeast - 1, 0, 0, nil},
 		{"no other region seen", map[string]time.Duration{"a-3": 30 * time.Millisecond}, tripsLeast, 30 * time.Millisecond, 0, nil},
 	} {
-		trips := NewTrips(regions, "a-1")
+		trips := NewRoundTrips(regions, "a-1")
 		for domain, took := range c.trips {
 			for range c.seen {
 				trips.Observe(domain, took)
@@ -39,7 +39,7 @@
 			t.Errorf("%s: %v are further than configured, want %v", c.name, got, c.wrong)
 		}
 	}
-	trips := NewTrips(regions, "a-1")
+	trips := NewRoundTrips(regions, "a-1")
 	trips.Lost("b-1")
 	trips.Lost("b-1")
 	if here, across := trips.Losses(SameRegion), trips.Losses(OtherRegion); here != 0 || across != 2 {
@@ -51,7 +51,7 @@
 // shortest and the longest that was observed.
 func TestTripsStayWithinWhatWasSeen(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		trips := NewTrips(New(map[string]string{"a": "x", "b": "y"}), "a")
+		trips := NewRoundTrips(New(map[string]string{"a": "x", "b": "y"}), "a")
 		seen := rapid.SliceOfN(rapid.Int64Range(1, int64(time.Second)), tripsLeast, 50).Draw(t, "seen")
 		for _, took := range seen {
 			trips.Observe("b", time.Duration(took))
@@ -66,7 +66,7 @@
 // another region is not told and taken back in turn, and that one that is told stays so
 // until it is nearer than the other region.
 func TestContradictionIsSteady(t *testing.T) {
-	trips := NewTrips(New(map[string]string{"a-1": "a", "a-2": "a", "b-1": "b"}), "a-1")
+	trips := NewRoundTrips(New(map[string]string{"a-1": "a", "a-2": "a", "b-1": "b"}), "a-1")
 	turns, before := 0, false
 	look := func(near, far time.Duration) {
 		trips.Observe("a-2", near)
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -153,7 +153,7 @@
 		pressure:    map[string]*pressure{},
 	}
 	g.gateways.Store(1)
-	g.paths.trips = topology.NewTrips(cfg.Topology, cfg.Domain)
+	g.paths.trips = topology.NewRoundTrips(cfg.Topology, cfg.Domain)
 	for _, opt := range opts {
 		opt(g)
 	}
--- a/transport/forward/regions_test.go
+++ b/transport/forward/regions_test.go
@@ -24,7 +24,7 @@
 func (w *world) regional(log io.Writer) metrics.Registry {
 	r := metrics.NewRegistry()
 	w.g.cfg.Topology = topology.New(map[string]string{"a": "near", "b": "near", "c": "far"})
-	w.g.paths.trips = topology.NewTrips(w.g.cfg.Topology, w.g.cfg.Domain)
+	w.g.paths.trips = topology.NewRoundTrips(w.g.cfg.Topology, w.g.cfg.Domain)
 	w.g.meters = newMeters(r)
 	w.g.log = zerolog.New(log)
 	return r
