--- a/coordination/topology/trips.go
+++ b/coordination/topology/trips.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// Lost notes a connect to a domain that failed.
-func (t *RoundTrips) Lost(domain string) { t.domain(domain).lost++ }
+// RecordLoss notes a connect to a domain that failed.
+func (t *RoundTrips) RecordLoss(domain string) { t.domain(domain).lost++ }
 
 // Losses returns how many connects over a distance failed.
 func (t *RoundTrips) Losses(d Distance) int {
--- a/coordination/topology/trips_test.go
+++ b/coordination/topology/trips_test.go
@@ -40,8 +40,8 @@
 		}
 	}
 	trips := NewRoundTrips(regions, "a-1")
-	trips.Lost("b-1")
-	trips.Lost("b-1")
+	trips.RecordLoss("b-1")
+	trips.RecordLoss("b-1")
 	if here, across := trips.Losses(SameRegion), trips.Losses(OtherRegion); here != 0 || across != 2 {
 		t.Errorf("%d lost in the region, %d across, want 0 and 2", here, across)
 	}
--- a/transport/forward/regions.go
+++ b/transport/forward/regions.go
@@ -92,7 +92,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if failed {
-		p.trips.Lost(s.Domain)
+		p.trips.RecordLoss(s.Domain)
 		m.lost[d].Inc(1)
 		return
 	}
