--- a/coordination/topology/trips.go
+++ b/coordination/topology/trips.go
@@ -78,9 +78,9 @@
 	return n
 }
 
-// Trip returns the shortest round trip over a distance that was observed often enough;
+// Shortest returns the shortest round trip over a distance that was observed often enough;
 // 0 for none.
-func (t *RoundTrips) Trip(d Distance) time.Duration {
+func (t *RoundTrips) Shortest(d Distance) time.Duration {
 	least := time.Duration(0)
 	for name, trip := range t.domains {
 		if t.topology.Distance(t.own, name) == d && trip.seen >= tripsLeast && (least == 0 || trip.time < least) {
@@ -94,7 +94,7 @@
 // trip is furtherFactor times as long as the shortest one to another region, until it is
 // shorter than that one: either they or the latter lie elsewhere than the settings say.
 func (t *RoundTrips) Contradicting() []string {
-	across := t.Trip(OtherRegion)
+	across := t.Shortest(OtherRegion)
 	if across == 0 {
 		return nil
 	}
--- a/coordination/topology/trips_test.go
+++ b/coordination/topology/trips_test.go
@@ -32,7 +32,7 @@
 				trips.Observe(domain, took)
 			}
 		}
-		if near, far := trips.Trip(SameRegion), trips.Trip(OtherRegion); near != c.near || far != c.far {
+		if near, far := trips.Shortest(SameRegion), trips.Shortest(OtherRegion); near != c.near || far != c.far {
 			t.Errorf("%s: %s in the region, %s across", c.name, near, far)
 		}
 		if got := trips.Contradicting(); !slices.Equal(got, c.wrong) {
@@ -56,7 +56,7 @@
 		for _, took := range seen {
 			trips.Observe("b", time.Duration(took))
 		}
-		if got := int64(trips.Trip(OtherRegion)); got < slices.Min(seen) || got > slices.Max(seen) {
+		if got := int64(trips.Shortest(OtherRegion)); got < slices.Min(seen) || got > slices.Max(seen) {
 			t.Fatalf("learned %d of %v", got, seen)
 		}
 	})
--- a/transport/forward/regions.go
+++ b/transport/forward/regions.go
@@ -97,7 +97,7 @@
 		return
 	}
 	p.trips.Observe(s.Domain, took)
-	m.trips[d].Store(p.trips.Trip(d).Microseconds())
+	m.trips[d].Store(p.trips.Shortest(d).Microseconds())
 	contradicting := p.trips.Contradicting()
 	if slices.Equal(contradicting, p.contradicting) {
 		return
@@ -105,7 +105,7 @@
 	p.contradicting = contradicting
 	m.contradicting.Store(int64(len(contradicting)))
 	if len(contradicting) > 0 {
-		g.log.Warn().Strs("domains", contradicting).Dur("across", p.trips.Trip(topology.OtherRegion)).Msg("domains whose round trips contradict their region")
+		g.log.Warn().Strs("domains", contradicting).Dur("across", p.trips.Shortest(topology.OtherRegion)).Msg("domains whose round trips contradict their region")
 	}
 }
 
