--- a/coordination/topology/topology_test.go
+++ b/coordination/topology/topology_test.go
@@ -18,8 +18,8 @@
 		want     Distance
 	}{
 		{"a domain and itself", regions, "a-1", "a-1", SameDomain},
-		{"two of a region", regions, "a-1", "a-2", SameRegion},
-		{"two of other regions", regions, "a-1", "b-1", OtherRegion},
+		{"two in one region", regions, "a-1", "a-2", SameRegion},
+		{"two in different regions", regions, "a-1", "b-1", OtherRegion},
 		{"one without a region", regions, "a-1", "c-1", SameRegion},
 		{"one without a region and itself", regions, "c-1", "c-1", SameDomain},
 		{"no regions", New(nil), "a-1", "b-1", SameRegion},
@@ -50,21 +50,22 @@
 	}
 }
 
-// TestDistanceIsSymmetric checks that a distance is the same both ways, whatever
-// domains are known.
+// TestDistanceIsSymmetric checks that a distance is the same in both directions, for any
+// configured regions.
 func TestDistanceIsSymmetric(t *testing.T) {
 	domain := rapid.StringMatching(`[a-d]`)
 	rapid.Check(t, func(t *rapid.T) {
 		topology := New(rapid.MapOf(domain, rapid.StringMatching(`[x-z]?`)).Draw(t, "regions"))
 		a, b := domain.Draw(t, "a"), domain.Draw(t, "b")
 		if there, back := topology.Distance(a, b), topology.Distance(b, a); there != back {
-			t.Fatalf("%s there, %s back", there, back)
+			t.Fatalf("distance is %s in one direction and %s in the other", there, back)
 		}
 	})
 }
 
-// TestUnplaced checks that domains without a region are told, where there are several.
-func TestUnplaced(t *testing.T) {
+// TestWithoutRegion checks that domains without a region are returned if there are several
+// regions.
+func TestWithoutRegion(t *testing.T) {
 	two := New(map[string]string{"a-1": "a", "b-1": "b"})
 	for _, c := range []struct {
 		name     string
--- a/coordination/topology/trips.go
+++ b/coordination/topology/trips.go
@@ -6,111 +6,112 @@
 )
 
 const (
-	// slowerWeight is the weight of an observation that is longer than the mean so far. It is
-	// small, since a connect also waits for a busy server, and that is not the path's time.
+	// slowerWeight is the weight of an observation above the mean. It is small, since a
+	// connect also waits for a busy server, which is not part of the round trip.
 	slowerWeight = 0.02
-	// fasterWeight is the weight of a shorter one, which is nearer the path's own time.
+	// fasterWeight is the weight of one below the mean, which is closer to the round trip.
 	fasterWeight = 0.2
-	// tripsLeast is how many observations of a domain are needed before it is judged.
-	tripsLeast = 10
-	// furtherFactor is by how many times the round trip to a near domain has to exceed the
-	// one to another region before it contradicts the settings: means of connects vary by
-	// some tenths (an estimate).
-	furtherFactor = 1.5
+	// minObservations is the number of observations needed before a domain's mean is used.
+	minObservations = 10
+	// contradictionFactor is the factor by which the round trip to a near domain has to
+	// exceed the one to another region to contradict the settings: means of connects vary
+	// by some tenths (an estimate).
+	contradictionFactor = 1.5
 )
 
-// RoundTrips are the round trips and losses observed from one domain to others, learned
-// from connects. They hold from that domain alone.
+// RoundTrips holds the round-trip times and losses from one domain to others, as measured
+// by connects. They are not valid for any other domain.
 type RoundTrips struct {
 	topology *Topology
-	own      string
-	domains  map[string]*trip
+	from     string
+	domains  map[string]*domainStats
 }
 
-// trip is what was observed of the way to one domain.
-type trip struct {
-	time    time.Duration // time is the mean round trip, weighted.
-	seen    int           // seen are connects that were made.
-	lost    int           // lost are connects that failed.
-	further bool          // further says that it contradicts the settings.
+// domainStats holds the observations of the connects to one domain.
+type domainStats struct {
+	mean        time.Duration // mean is the weighted mean round trip.
+	connects    int           // connects counts the successful connects.
+	failures    int           // failures counts the failed connects.
+	contradicts bool          // contradicts reports whether the round trip contradicts the settings.
 }
 
-// NewRoundTrips returns trips from a domain of which none was observed yet.
-func NewRoundTrips(t *Topology, own string) *RoundTrips {
-	return &RoundTrips{topology: t, own: own, domains: map[string]*trip{}}
+// NewRoundTrips returns the round trips from a domain, without any observations.
+func NewRoundTrips(t *Topology, from string) *RoundTrips {
+	return &RoundTrips{topology: t, from: from, domains: map[string]*domainStats{}}
 }
 
-// domain returns what was observed of a domain.
-func (t *RoundTrips) domain(name string) *trip {
+// stats returns the observations of a domain, and creates them if there are none.
+func (t *RoundTrips) stats(name string) *domainStats {
 	d := t.domains[name]
 	if d == nil {
-		d = &trip{}
+		d = &domainStats{}
 		t.domains[name] = d
 	}
 	return d
 }
 
-// Observe notes how long a connect to a domain took.
+// Observe records how long a connect to a domain took.
 func (t *RoundTrips) Observe(domain string, took time.Duration) {
-	d := t.domain(domain)
-	d.seen++
+	d := t.stats(domain)
+	d.connects++
 	switch {
-	case d.seen == 1:
-		d.time = took
-	case took < d.time:
-		d.time -= time.Duration(fasterWeight * float64(d.time-took))
+	case d.connects == 1:
+		d.mean = took
+	case took < d.mean:
+		d.mean -= time.Duration(fasterWeight * float64(d.mean-took))
 	default:
-		d.time += time.Duration(slowerWeight * float64(took-d.time))
+		d.mean += time.Duration(slowerWeight * float64(took-d.mean))
 	}
 }
 
-// RecordLoss notes a connect to a domain that failed.
-func (t *RoundTrips) RecordLoss(domain string) { t.domain(domain).lost++ }
+// RecordLoss records a failed connect to a domain.
+func (t *RoundTrips) RecordLoss(domain string) { t.stats(domain).failures++ }
 
-// Losses returns how many connects over a distance failed.
+// Losses returns the number of failed connects over a distance.
 func (t *RoundTrips) Losses(d Distance) int {
 	n := 0
-	for name, trip := range t.domains {
-		if t.topology.Distance(t.own, name) == d {
-			n += trip.lost
+	for name, stats := range t.domains {
+		if t.topology.Distance(t.from, name) == d {
+			n += stats.failures
 		}
 	}
 	return n
 }
 
-// Shortest returns the shortest round trip over a distance that was observed often enough;
-// 0 for none.
+// Shortest returns the shortest mean round trip over a distance, of domains with enough
+// observations; 0 if there is none.
 func (t *RoundTrips) Shortest(d Distance) time.Duration {
-	least := time.Duration(0)
-	for name, trip := range t.domains {
-		if t.topology.Distance(t.own, name) == d && trip.seen >= tripsLeast && (least == 0 || trip.time < least) {
-			least = trip.time
+	shortest := time.Duration(0)
+	for name, stats := range t.domains {
+		if t.topology.Distance(t.from, name) == d && stats.connects >= minObservations && (shortest == 0 || stats.mean < shortest) {
+			shortest = stats.mean
 		}
 	}
-	return least
+	return shortest
 }
 
 // Contradicting returns the domains, sorted, that are configured as near and whose round
-// trip is furtherFactor times as long as the shortest one to another region, until it is
-// shorter than that one: either they or the latter lie elsewhere than the settings say.
+// trip exceeds the shortest one to another region by contradictionFactor. For hysteresis a
+// domain is returned until its round trip is no longer than the latter. Either it or the
+// other region's domain is not where the settings say.
 func (t *RoundTrips) Contradicting() []string {
-	across := t.Shortest(OtherRegion)
-	if across == 0 {
+	otherRegion := t.Shortest(OtherRegion)
+	if otherRegion == 0 {
 		return nil
 	}
-	var further []string
-	for name, trip := range t.domains {
-		if t.topology.Distance(t.own, name) == OtherRegion || trip.seen < tripsLeast {
+	var contradicting []string
+	for name, stats := range t.domains {
+		if t.topology.Distance(t.from, name) == OtherRegion || stats.connects < minObservations {
 			continue
 		}
-		limit := time.Duration(furtherFactor * float64(across))
-		if trip.further {
-			limit = across
+		limit := time.Duration(contradictionFactor * float64(otherRegion))
+		if stats.contradicts {
+			limit = otherRegion
 		}
-		if trip.further = trip.time > limit; trip.further {
-			further = append(further, name)
+		if stats.contradicts = stats.mean > limit; stats.contradicts {
+			contradicting = append(contradicting, name)
 		}
 	}
-	slices.Sort(further)
-	return further
+	slices.Sort(contradicting)
+	return contradicting
 }
