--- a/coordination/roundtrip/place.go
+++ b/coordination/roundtrip/place.go
@@ -20,8 +20,8 @@
 	minTenure = 30 * time.Second
 )
 
-// PlaceMsg asks where the leader is best placed.
-type PlaceMsg struct {
+// DecideMsg asks where the leader is best placed.
+type DecideMsg struct {
 	Now    time.Duration
 	Since  time.Duration // Since is when this replica began to lead, or last failed to move.
 	Leader string
@@ -44,7 +44,7 @@
 }
 
 // Decide returns where to move, and whether that gains enough now and has for some time.
-func (p *Place) Decide(t *Table, m PlaceMsg) (Move, bool) {
+func (p *Place) Decide(t *Table, m DecideMsg) (Move, bool) {
 	move, ok := t.best(m)
 	if !ok || !enough(move) {
 		p.better = ""
@@ -64,7 +64,7 @@
 
 // best returns the place with the least round trip to a quorum, the leader's own among
 // equals.
-func (t *Table) best(m PlaceMsg) (Move, bool) {
+func (t *Table) best(m DecideMsg) (Move, bool) {
 	answers := len(m.Voters) / 2
 	before, ok := t.Quorum(m.Leader, m.Voters, answers, m.Now)
 	if !ok {
