--- a/coordination/replicate/handover.go
+++ b/coordination/replicate/handover.go
@@ -124,7 +124,7 @@
 func (r *Replica) cancelHandover() {
 	h := r.handover
 	r.handover = handover{}
-	r.leaderSince, r.placement = r.now, roundtrip.Place{}
+	r.leaderSince, r.placement = r.now, roundtrip.Placer{}
 	r.emit(HandoverCmd{Token: h.token, Err: ErrBusy})
 	for _, m := range h.proposals {
 		r.propose(m)
--- a/coordination/replicate/leader.go
+++ b/coordination/replicate/leader.go
@@ -13,7 +13,7 @@
 func (r *Replica) becomeLeader() {
 	r.role, r.leader = Leader, r.id
 	r.votes = nil
-	r.leaderSince, r.placement = r.now, roundtrip.Place{}
+	r.leaderSince, r.placement = r.now, roundtrip.Placer{}
 	r.peers = map[ID]*progress{}
 	r.requestedPromise = max(r.cfg.Election, r.hard.Promise)
 	r.hard.Led = true // It reaches the disk with the entry below.
--- a/coordination/replicate/replicate.go
+++ b/coordination/replicate/replicate.go
@@ -155,7 +155,7 @@
 	peers                map[ID]*progress
 	round                uint64
 	sentRounds           sentRounds
-	placement            roundtrip.Place
+	placement            roundtrip.Placer
 	nextPlacementCheckAt time.Duration        // nextPlacementCheckAt is when the leader next checks whether another replica is better placed to lead.
 	busy                 bool                 // busy says that an operation is in progress that a change of leader would abort.
 	leaderSince          time.Duration        // leaderSince is when this replica became the leader, or when its last handover failed.
--- a/coordination/roundtrip/place.go
+++ b/coordination/roundtrip/place.go
@@ -36,15 +36,15 @@
 	After  time.Duration // After is the one where it would be.
 }
 
-// Place chooses the leader's place. It holds what it has seen of late, and is for one
+// Placer chooses the leader's place. It holds what it has seen of late, and is for one
 // time of leading.
-type Place struct {
+type Placer struct {
 	better string        // better is the place that was best at the last look; empty for the leader's own.
 	since  time.Duration // since is from when on it has been that one.
 }
 
 // Decide returns where to move, and whether that gains enough now and has for some time.
-func (p *Place) Decide(t *Table, m DecideMsg) (Move, bool) {
+func (p *Placer) Decide(t *Table, m DecideMsg) (Move, bool) {
 	move, ok := t.best(m)
 	if !ok || !enough(move) {
 		p.better = ""
--- a/coordination/roundtrip/roundtrip.go
+++ b/coordination/roundtrip/roundtrip.go
@@ -3,7 +3,7 @@
 //
 // A [Table] holds a row for each replica and each other one, as that replica observed
 // it: a smoothed round trip, how much it varies, and the part that was lost. Each tells
-// the others its own rows. [Place] decides from them; see there.
+// the others its own rows. [Placer] decides from them; see there.
 package roundtrip
 
 import (
--- a/coordination/roundtrip/roundtrip_test.go
+++ b/coordination/roundtrip/roundtrip_test.go
@@ -66,7 +66,7 @@
 
 // placed drives a Place over some seconds with the same round trips.
 func placed(a, b time.Duration, lead, steady time.Duration) bool {
-	var p Place
+	var p Placer
 	moved := false
 	for now := lead; now <= lead+steady; now += time.Second {
 		table := New()
@@ -112,7 +112,7 @@
 			}
 		}
 		table, leader, led := New(), "a", time.Duration(0)
-		place, moves := Place{}, 0
+		place, moves := Placer{}, 0
 		for now := time.Duration(0); now < 10*time.Minute; now += time.Second {
 			for p, d := range trip {
 				noise := time.Duration(rapid.IntRange(-10, 10).Draw(t, "noise"))
@@ -125,7 +125,7 @@
 			if m.To == leader || now-led < minTenure || m.Before-m.After < leastGain {
 				t.Fatalf("moved from %s to %+v after %v", leader, m, now-led)
 			}
-			leader, led, place = m.To, now, Place{}
+			leader, led, place = m.To, now, Placer{}
 			moves++
 		}
 		if moves > len(voters)-1 {
