--- a/coordination/replicate/handover.go
+++ b/coordination/replicate/handover.go
@@ -182,7 +182,7 @@
 	}
 	r.nextPlacementCheckAt = r.now + pingInterval
 	voters := append(r.otherVoterNames(), r.id.Name)
-	move, ok := r.placement.Decide(r.pingTrips, roundtrip.DecideMsg{Now: r.now, Since: r.leaderSince, Leader: r.id.Name, Voters: voters, Able: r.canTakeOver})
+	move, ok := r.placement.Decide(r.pingTrips, roundtrip.DecideMsg{Now: r.now, Since: r.leaderSince, Leader: r.id.Name, Voters: voters, Eligible: r.canTakeOver})
 	if !ok || r.busy || !r.canChangeMembers() {
 		return
 	}
--- a/coordination/roundtrip/place.go
+++ b/coordination/roundtrip/place.go
@@ -22,11 +22,11 @@
 
 // DecideMsg asks where the leader is best placed.
 type DecideMsg struct {
-	Now    time.Duration
-	Since  time.Duration // Since is when this replica began to lead, or last failed to move.
-	Leader string
-	Voters []string
-	Able   func(name string) bool // Able reports whether a voter has the log, and answers.
+	Now      time.Duration
+	Since    time.Duration // Since is when this replica began to lead, or last failed to move.
+	Leader   string
+	Voters   []string
+	Eligible func(name string) bool // Able reports whether a voter has the log, and answers.
 }
 
 // Move is where the leader should move to, and what is gained.
@@ -73,7 +73,7 @@
 	move := Move{To: m.Leader, Before: before, After: before}
 	for _, name := range m.Voters {
 		trip, known := t.Quorum(name, m.Voters, answers, m.Now)
-		if name != m.Leader && known && trip < move.After && m.Able(name) {
+		if name != m.Leader && known && trip < move.After && m.Eligible(name) {
 			move.To, move.After = name, trip
 		}
 	}
--- a/coordination/roundtrip/roundtrip_test.go
+++ b/coordination/roundtrip/roundtrip_test.go
@@ -74,7 +74,7 @@
 		table.Observe("a", "c", a, now)
 		table.Observe("b", "a", a, now)
 		table.Observe("b", "c", b, now)
-		_, moved = p.Decide(table, DecideMsg{Now: now, Leader: "a", Voters: []string{"a", "b", "c"}, Able: func(string) bool { return true }})
+		_, moved = p.Decide(table, DecideMsg{Now: now, Leader: "a", Voters: []string{"a", "b", "c"}, Eligible: func(string) bool { return true }})
 	}
 	return moved
 }
@@ -118,7 +118,7 @@
 				noise := time.Duration(rapid.IntRange(-10, 10).Draw(t, "noise"))
 				table.Observe(p.from, p.to, d+d*noise/100, now)
 			}
-			m, ok := place.Decide(table, DecideMsg{Now: now, Since: led, Leader: leader, Voters: voters, Able: func(string) bool { return true }})
+			m, ok := place.Decide(table, DecideMsg{Now: now, Since: led, Leader: leader, Voters: voters, Eligible: func(string) bool { return true }})
 			if !ok {
 				continue
 			}
