--- a/cmd/weldctl/status.go
+++ b/cmd/weldctl/status.go
@@ -115,7 +115,7 @@
 	w := tabwriter.NewWriter(e.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "FROM\tTO\tROUND TRIP\tLATE\tLOST")
 	for _, trip := range views[from].RoundTrips {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.0f%%\n", trip.From, trip.To, trip.Smoothed.Round(tripRound), trip.Late().Round(tripRound), trip.Loss*percent)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.0f%%\n", trip.From, trip.To, trip.Smoothed.Round(tripRound), trip.UpperBound().Round(tripRound), trip.Loss*percent)
 	}
 	_ = w.Flush() // Writes to the terminal.
 }
--- a/coordination/roundtrip/roundtrip.go
+++ b/coordination/roundtrip/roundtrip.go
@@ -45,8 +45,8 @@
 	Age       time.Duration `json:"age"`  // Age is how long ago the last answer came.
 }
 
-// Late is a time within which nearly all answers come.
-func (t Trip) Late() time.Duration { return t.Smoothed + lateTimes*t.Variation }
+// UpperBound is a time within which nearly all answers come.
+func (t Trip) UpperBound() time.Duration { return t.Smoothed + lateTimes*t.Variation }
 
 type pair struct{ from, to string }
 
@@ -159,7 +159,7 @@
 	var times []time.Duration
 	for _, name := range others {
 		if trip, ok := t.Trip(from, name, now); ok && t.rows[pair{from, name}].first >= firstFew {
-			times = append(times, trip.Late())
+			times = append(times, trip.UpperBound())
 		}
 	}
 	if len(times) == 0 {
--- a/coordination/roundtrip/roundtrip_test.go
+++ b/coordination/roundtrip/roundtrip_test.go
@@ -19,8 +19,8 @@
 		table.Observe("a", "b", 16*ms, time.Duration(i)*40*ms)
 	}
 	table.Observe("a", "b", 2*time.Second, 2*time.Second)
-	if trip, ok := table.Trip("a", "b", 2*time.Second); !ok || trip.Smoothed > 20*ms || trip.Late() > 70*ms {
-		t.Errorf("%+v, %v; late %v", trip, ok, trip.Late())
+	if trip, ok := table.Trip("a", "b", 2*time.Second); !ok || trip.Smoothed > 20*ms || trip.UpperBound() > 70*ms {
+		t.Errorf("%+v, %v; late %v", trip, ok, trip.UpperBound())
 	}
 }
 
@@ -31,8 +31,8 @@
 	for i, trip := range []time.Duration{time.Second, 900 * ms, 16 * ms, 18 * ms} {
 		table.Observe("a", "b", trip, time.Duration(i)*40*ms)
 	}
-	if trip, ok := table.Trip("a", "b", time.Second); !ok || trip.Smoothed != 16*ms || trip.Late() != 32*ms {
-		t.Errorf("%+v, %v; late %v", trip, ok, trip.Late())
+	if trip, ok := table.Trip("a", "b", time.Second); !ok || trip.Smoothed != 16*ms || trip.UpperBound() != 32*ms {
+		t.Errorf("%+v, %v; late %v", trip, ok, trip.UpperBound())
 	}
 }
 
