--- a/coordination/replicate/timing.go
+++ b/coordination/replicate/timing.go
@@ -72,7 +72,7 @@
 		return
 	}
 	members := r.log.Members()
-	latency := r.roundTrips.Late(r.id.Name, r.otherVoterNames(), members.Quorum(), r.now)
+	latency := r.roundTrips.QuorumUpperBound(r.id.Name, r.otherVoterNames(), members.Quorum(), r.now)
 	step := max(r.cfg.Election/promiseStepsPerElection, 1)
 	promise := 2*latency + leaseHeartbeats*r.cfg.Heartbeat
 	promise += promise / leaseMarginDivisor
--- a/coordination/roundtrip/roundtrip.go
+++ b/coordination/roundtrip/roundtrip.go
@@ -153,9 +153,9 @@
 	return trips[answers-1], true
 }
 
-// Late returns a time within which nearly always so many of the others answer, or all
+// QuorumUpperBound returns a time within which nearly always so many of the others answer, or all
 // that were observed often enough where they are fewer; zero for none.
-func (t *Table) Late(from string, others []string, answers int, now time.Duration) time.Duration {
+func (t *Table) QuorumUpperBound(from string, others []string, answers int, now time.Duration) time.Duration {
 	var times []time.Duration
 	for _, name := range others {
 		if trip, ok := t.Trip(from, name, now); ok && t.rows[pair{from, name}].first >= firstFew {
