--- a/coordination/replicate/handover.go
+++ b/coordination/replicate/handover.go
@@ -74,8 +74,8 @@
 	}
 	names := r.otherVoterNames()
 	quorum := r.log.Members().Quorum() - 1
-	tripA, okA := r.pingTrips.Quorum(id.Name, names, quorum, r.now)
-	tripB, okB := r.pingTrips.Quorum(than.Name, names, quorum, r.now)
+	tripA, okA := r.pingTrips.QuorumRoundTrip(id.Name, names, quorum, r.now)
+	tripB, okB := r.pingTrips.QuorumRoundTrip(than.Name, names, quorum, r.now)
 	if okA != okB {
 		return okA
 	}
--- a/coordination/roundtrip/place.go
+++ b/coordination/roundtrip/place.go
@@ -66,13 +66,13 @@
 // equals.
 func (t *Table) best(m DecideMsg) (Move, bool) {
 	answers := len(m.Voters) / 2
-	before, ok := t.Quorum(m.Leader, m.Voters, answers, m.Now)
+	before, ok := t.QuorumRoundTrip(m.Leader, m.Voters, answers, m.Now)
 	if !ok {
 		return Move{}, false // A leader without a quorum steps down by itself.
 	}
 	move := Move{To: m.Leader, Before: before, After: before}
 	for _, name := range m.Voters {
-		trip, known := t.Quorum(name, m.Voters, answers, m.Now)
+		trip, known := t.QuorumRoundTrip(name, m.Voters, answers, m.Now)
 		if name != m.Leader && known && trip < move.After && m.Eligible(name) {
 			move.To, move.After = name, trip
 		}
--- a/coordination/roundtrip/roundtrip.go
+++ b/coordination/roundtrip/roundtrip.go
@@ -130,10 +130,10 @@
 	return list
 }
 
-// Quorum returns the round trip within which a leader would have the answers of so many
+// QuorumRoundTrip returns the round trip within which a leader would have the answers of so many
 // of the others, itself not counted. ok is false where that many cannot be reached, or
 // were not observed.
-func (t *Table) Quorum(leader string, others []string, answers int, now time.Duration) (trip time.Duration, ok bool) {
+func (t *Table) QuorumRoundTrip(leader string, others []string, answers int, now time.Duration) (trip time.Duration, ok bool) {
 	var trips []time.Duration
 	for _, name := range others {
 		if name == leader {
--- a/coordination/roundtrip/roundtrip_test.go
+++ b/coordination/roundtrip/roundtrip_test.go
@@ -50,7 +50,7 @@
 		want    time.Duration
 		ok      bool
 	}{{0, 0, 0, true}, {1, 0, 2 * ms, true}, {2, 0, 80 * ms, true}, {3, 0, 0, false}, {1, time.Minute, 0, false}} {
-		if got, ok := table.Quorum("a", []string{"a", "b", "c", "d"}, tt.answers, tt.now); got != tt.want || ok != tt.ok {
+		if got, ok := table.QuorumRoundTrip("a", []string{"a", "b", "c", "d"}, tt.answers, tt.now); got != tt.want || ok != tt.ok {
 			t.Errorf("Quorum of %d at %v: %v, %v", tt.answers, tt.now, got, ok)
 		}
 	}
