--- a/coordination/replicate/timing.go
+++ b/coordination/replicate/timing.go
@@ -203,7 +203,7 @@
 	}
 	r.nextPingAt = r.now + pingInterval
 	for id := range r.pendingPings {
-		r.pingTrips.Lose(r.id.Name, id.Name, 1)
+		r.pingTrips.RecordLoss(r.id.Name, id.Name, 1)
 	}
 	r.pendingPings = map[ID]time.Duration{}
 	for _, id := range members.Voters {
--- a/coordination/roundtrip/roundtrip.go
+++ b/coordination/roundtrip/roundtrip.go
@@ -84,8 +84,8 @@
 	r.at = now
 }
 
-// Lose takes in so many questions that were not answered.
-func (t *Table) Lose(from, to string, count int) {
+// RecordLoss takes in so many questions that were not answered.
+func (t *Table) RecordLoss(from, to string, count int) {
 	r := t.rows[pair{from, to}]
 	if r == nil {
 		return
--- a/coordination/roundtrip/roundtrip_test.go
+++ b/coordination/roundtrip/roundtrip_test.go
@@ -42,7 +42,7 @@
 		table.Observe("a", to, trip, 0)
 	}
 	for range 10 {
-		table.Lose("a", "c", 1)
+		table.RecordLoss("a", "c", 1)
 	}
 	for _, tt := range []struct {
 		answers int
