--- a/coordination/replicate/timing.go
+++ b/coordination/replicate/timing.go
@@ -226,7 +226,7 @@
 			delete(r.pendingPings, m.From)
 			r.pingTrips.Observe(r.id.Name, m.From.Name, r.now-sent, r.now)
 		}
-		r.pingTrips.Learn(m.From.Name, m.Trips, r.now)
+		r.pingTrips.Merge(m.From.Name, m.Trips, r.now)
 	default:
 		return false
 	}
--- a/coordination/roundtrip/roundtrip.go
+++ b/coordination/roundtrip/roundtrip.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Learn takes over the rows that another replica tells of itself.
-func (t *Table) Learn(from string, trips []Trip, now time.Duration) {
+// Merge takes over the rows that another replica tells of itself.
+func (t *Table) Merge(from string, trips []Trip, now time.Duration) {
 	for _, trip := range trips {
 		if trip.From == from {
 			t.rows[pair{from, trip.To}] = &row{smoothed: trip.Smoothed, variation: trip.Variation, loss: trip.Loss, at: now - trip.Age, first: firstFew}
--- a/coordination/roundtrip/roundtrip_test.go
+++ b/coordination/roundtrip/roundtrip_test.go
@@ -58,7 +58,7 @@
 
 func TestLearnTakesOnlyOwnRows(t *testing.T) {
 	table := New()
-	table.Learn("b", []Trip{{From: "b", To: "c", Smoothed: ms}, {From: "a", To: "c", Smoothed: ms}}, 0)
+	table.Merge("b", []Trip{{From: "b", To: "c", Smoothed: ms}, {From: "a", To: "c", Smoothed: ms}}, 0)
 	if got := table.All(0); len(got) != 1 || got[0].From != "b" {
 		t.Errorf("%+v", got)
 	}
