--- a/coordination/replicate/timing.go
+++ b/coordination/replicate/timing.go
@@ -220,7 +220,7 @@
 func (r *Replica) handlePing(m Message) bool {
 	switch m.Kind {
 	case Ping:
-		r.emit(SendCmd{Message: Message{Kind: Pong, From: r.id, To: m.From, Round: m.Round, Trips: r.pingTrips.Of(r.id.Name, r.now)}})
+		r.emit(SendCmd{Message: Message{Kind: Pong, From: r.id, To: m.From, Round: m.Round, Trips: r.pingTrips.ObservedBy(r.id.Name, r.now)}})
 	case Pong:
 		if sent, ok := r.pendingPings[m.From]; ok && uint64(sent) == m.Round {
 			delete(r.pendingPings, m.From)
--- a/coordination/roundtrip/roundtrip.go
+++ b/coordination/roundtrip/roundtrip.go
@@ -113,8 +113,8 @@
 	return Trip{From: from, To: to, Smoothed: r.smoothed, Variation: r.variation, Loss: r.loss, Age: now - r.at}, true
 }
 
-// Of returns what one replica observed, sorted.
-func (t *Table) Of(from string, now time.Duration) []Trip {
+// ObservedBy returns what one replica observed, sorted.
+func (t *Table) ObservedBy(from string, now time.Duration) []Trip {
 	return slices.DeleteFunc(t.All(now), func(trip Trip) bool { return trip.From != from })
 }
 
