--- a/coordination/place/near.go
+++ b/coordination/place/near.go
@@ -34,7 +34,7 @@
 // before a near one is late. Domains of one region count alike here, since a prefill of
 // shared prompts in each domain cost as much as the traffic that it saved.
 func preferRegion(v *View, rows []candidate, m ChooseMsg) []candidate {
-	if !v.topology.Several() {
+	if !v.topology.MultiRegion() {
 		return rows
 	}
 	near, far := v.splitByRegion(rows, m.Domain)
--- a/coordination/place/place.go
+++ b/coordination/place/place.go
@@ -84,7 +84,7 @@
 // numberRegions numbers the regions, so that a choice needs no map look-up for each server.
 func (v *View) numberRegions() {
 	v.regions = 1
-	if !v.topology.Several() {
+	if !v.topology.MultiRegion() {
 		return
 	}
 	numbers := map[string]int{}
@@ -272,7 +272,7 @@
 		}
 	}
 	limit := loadFactor*sum/float64(max(1, n)) + loadSlack/width
-	if v.topology.Several() {
+	if v.topology.MultiRegion() {
 		return min(limit, fullLoad-1/width)
 	}
 	return limit
--- a/coordination/replicate/handover.go
+++ b/coordination/replicate/handover.go
@@ -74,8 +74,8 @@
 	}
 	names := r.otherVoterNames()
 	quorum := r.log.Members().Quorum() - 1
-	tripA, okA := r.pingTrips.Quorum(id.Name, names, quorum, r.now)
-	tripB, okB := r.pingTrips.Quorum(than.Name, names, quorum, r.now)
+	tripA, okA := r.pingTrips.QuorumRoundTrip(id.Name, names, quorum, r.now)
+	tripB, okB := r.pingTrips.QuorumRoundTrip(than.Name, names, quorum, r.now)
 	if okA != okB {
 		return okA
 	}
@@ -124,7 +124,7 @@
 func (r *Replica) cancelHandover() {
 	h := r.handover
 	r.handover = handover{}
-	r.leaderSince, r.placement = r.now, roundtrip.Place{}
+	r.leaderSince, r.placement = r.now, roundtrip.Placer{}
 	r.emit(HandoverCmd{Token: h.token, Err: ErrBusy})
 	for _, m := range h.proposals {
 		r.propose(m)
@@ -182,7 +182,7 @@
 	}
 	r.nextPlacementCheckAt = r.now + pingInterval
 	voters := append(r.otherVoterNames(), r.id.Name)
-	move, ok := r.placement.Decide(r.pingTrips, roundtrip.PlaceMsg{Now: r.now, Since: r.leaderSince, Leader: r.id.Name, Voters: voters, Able: r.canTakeOver})
+	move, ok := r.placement.Decide(r.pingTrips, roundtrip.DecideMsg{Now: r.now, Since: r.leaderSince, Leader: r.id.Name, Voters: voters, Eligible: r.canTakeOver})
 	if !ok || r.busy || !r.canChangeMembers() {
 		return
 	}
--- a/coordination/replicate/timing.go
+++ b/coordination/replicate/timing.go
@@ -72,7 +72,7 @@
 		return
 	}
 	members := r.log.Members()
-	latency := r.roundLatencies.Late(r.id.Name, r.otherVoterNames(), members.Quorum(), r.now)
+	latency := r.roundLatencies.QuorumUpperBound(r.id.Name, r.otherVoterNames(), members.Quorum(), r.now)
 	step := max(r.cfg.Election/promiseStepsPerElection, 1)
 	promise := 2*latency + leaseHeartbeats*r.cfg.Heartbeat
 	promise += promise / leaseMarginDivisor
@@ -203,7 +203,7 @@
 	}
 	r.nextPingAt = r.now + pingInterval
 	for id := range r.pendingPings {
-		r.pingTrips.Lose(r.id.Name, id.Name, 1)
+		r.pingTrips.RecordLoss(r.id.Name, id.Name, 1)
 	}
 	r.pendingPings = map[ID]time.Duration{}
 	for _, id := range members.Voters {
@@ -220,13 +220,13 @@
 func (r *Replica) handlePing(m Message) bool {
 	switch m.Kind {
 	case Ping:
-		r.emit(SendCmd{Message: Message{Kind: Pong, From: r.id, To: m.From, Round: m.Round, Trips: r.pingTrips.Of(r.id.Name, r.now)}})
+		r.emit(SendCmd{Message: Message{Kind: Pong, From: r.id, To: m.From, Round: m.Round, Trips: r.pingTrips.ObservedBy(r.id.Name, r.now)}})
 	case Pong:
 		if sent, ok := r.pendingPings[m.From]; ok && uint64(sent) == m.Round {
 			delete(r.pendingPings, m.From)
 			r.pingTrips.Observe(r.id.Name, m.From.Name, r.now-sent, r.now)
 		}
-		r.pingTrips.Learn(m.From.Name, m.Trips, r.now)
+		r.pingTrips.Merge(m.From.Name, m.Trips, r.now)
 	default:
 		return false
 	}
--- a/coordination/roundtrip/place.go
+++ b/coordination/roundtrip/place.go
@@ -20,13 +20,13 @@
 	minTenure = 30 * time.Second
 )
 
-// PlaceMsg asks where the leader is best placed.
-type PlaceMsg struct {
-	Now    time.Duration
-	Since  time.Duration // Since is when this replica began to lead, or last failed to move.
-	Leader string
-	Voters []string
-	Able   func(name string) bool // Able reports whether a voter has the log, and answers.
+// DecideMsg asks where the leader is best placed.
+type DecideMsg struct {
+	Now      time.Duration
+	Since    time.Duration // Since is when this replica began to lead, or last failed to move.
+	Leader   string
+	Voters   []string
+	Eligible func(name string) bool // Able reports whether a voter has the log, and answers.
 }
 
 // Move is where the leader should move to, and what is gained.
@@ -36,15 +36,15 @@
 	After  time.Duration // After is the one where it would be.
 }
 
-// Place chooses the leader's place. It holds what it has seen of late, and is for one
+// Placer chooses the leader's place. It holds what it has seen of late, and is for one
 // time of leading.
-type Place struct {
+type Placer struct {
 	better string        // better is the place that was best at the last look; empty for the leader's own.
 	since  time.Duration // since is from when on it has been that one.
 }
 
 // Decide returns where to move, and whether that gains enough now and has for some time.
-func (p *Place) Decide(t *Table, m PlaceMsg) (Move, bool) {
+func (p *Placer) Decide(t *Table, m DecideMsg) (Move, bool) {
 	move, ok := t.best(m)
 	if !ok || !enough(move) {
 		p.better = ""
@@ -64,16 +64,16 @@
 
 // best returns the place with the least round trip to a quorum, the leader's own among
 // equals.
-func (t *Table) best(m PlaceMsg) (Move, bool) {
+func (t *Table) best(m DecideMsg) (Move, bool) {
 	answers := len(m.Voters) / 2
-	before, ok := t.Quorum(m.Leader, m.Voters, answers, m.Now)
+	before, ok := t.QuorumRoundTrip(m.Leader, m.Voters, answers, m.Now)
 	if !ok {
 		return Move{}, false // A leader without a quorum steps down by itself.
 	}
 	move := Move{To: m.Leader, Before: before, After: before}
 	for _, name := range m.Voters {
-		trip, known := t.Quorum(name, m.Voters, answers, m.Now)
-		if name != m.Leader && known && trip < move.After && m.Able(name) {
+		trip, known := t.QuorumRoundTrip(name, m.Voters, answers, m.Now)
+		if name != m.Leader && known && trip < move.After && m.Eligible(name) {
 			move.To, move.After = name, trip
 		}
 	}
--- a/coordination/roundtrip/roundtrip.go
+++ b/coordination/roundtrip/roundtrip.go
@@ -3,7 +3,7 @@
 //
 // A [Table] holds a row for each replica and each other one, as that replica observed
 // it: a smoothed round trip, how much it varies, and the part that was lost. Each tells
-// the others its own rows. [Place] decides from them; see there.
+// the others its own rows. [Placer] decides from them; see there.
 package roundtrip
 
 import (
@@ -45,8 +45,8 @@
 	Age       time.Duration `json:"age"`  // Age is how long ago the last answer came.
 }
 
-// Late is a time within which nearly all answers come.
-func (t Trip) Late() time.Duration { return t.Smoothed + lateTimes*t.Variation }
+// UpperBound is a time within which nearly all answers come.
+func (t Trip) UpperBound() time.Duration { return t.Smoothed + lateTimes*t.Variation }
 
 type pair struct{ from, to string }
 
@@ -84,8 +84,8 @@
 	r.at = now
 }
 
-// Lose takes in so many questions that were not answered.
-func (t *Table) Lose(from, to string, count int) {
+// RecordLoss takes in so many questions that were not answered.
+func (t *Table) RecordLoss(from, to string, count int) {
 	r := t.rows[pair{from, to}]
 	if r == nil {
 		return
@@ -95,8 +95,8 @@
 	}
 }
 
-// Learn takes over the rows that another replica tells of itself.
-func (t *Table) Learn(from string, trips []Trip, now time.Duration) {
+// Merge takes over the rows that another replica tells of itself.
+func (t *Table) Merge(from string, trips []Trip, now time.Duration) {
 	for _, trip := range trips {
 		if trip.From == from {
 			t.rows[pair{from, trip.To}] = &row{smoothed: trip.Smoothed, variation: trip.Variation, loss: trip.Loss, at: now - trip.Age, first: firstFew}
@@ -113,8 +113,8 @@
 	return Trip{From: from, To: to, Smoothed: r.smoothed, Variation: r.variation, Loss: r.loss, Age: now - r.at}, true
 }
 
-// Of returns what one replica observed, sorted.
-func (t *Table) Of(from string, now time.Duration) []Trip {
+// ObservedBy returns what one replica observed, sorted.
+func (t *Table) ObservedBy(from string, now time.Duration) []Trip {
 	return slices.DeleteFunc(t.All(now), func(trip Trip) bool { return trip.From != from })
 }
 
@@ -130,10 +130,10 @@
 	return list
 }
 
-// Quorum returns the round trip within which a leader would have the answers of so many
+// QuorumRoundTrip returns the round trip within which a leader would have the answers of so many
 // of the others, itself not counted. ok is false where that many cannot be reached, or
 // were not observed.
-func (t *Table) Quorum(leader string, others []string, answers int, now time.Duration) (trip time.Duration, ok bool) {
+func (t *Table) QuorumRoundTrip(leader string, others []string, answers int, now time.Duration) (trip time.Duration, ok bool) {
 	var trips []time.Duration
 	for _, name := range others {
 		if name == leader {
@@ -153,13 +153,13 @@
 	return trips[answers-1], true
 }
 
-// Late returns a time within which nearly always so many of the others answer, or all
+// QuorumUpperBound returns a time within which nearly always so many of the others answer, or all
 // that were observed often enough where they are fewer; zero for none.
-func (t *Table) Late(from string, others []string, answers int, now time.Duration) time.Duration {
+func (t *Table) QuorumUpperBound(from string, others []string, answers int, now time.Duration) time.Duration {
 	var times []time.Duration
 	for _, name := range others {
 		if trip, ok := t.Trip(from, name, now); ok && t.rows[pair{from, name}].first >= firstFew {
-			times = append(times, trip.Late())
+			times = append(times, trip.UpperBound())
 		}
 	}
 	if len(times) == 0 {
--- a/coordination/roundtrip/roundtrip_test.go
+++ b/coordination/roundtrip/roundtrip_test.go
@@ -19,8 +19,8 @@
 		table.Observe("a", "b", 16*ms, time.Duration(i)*40*ms)
 	}
 	table.Observe("a", "b", 2*time.Second, 2*time.Second)
-	if trip, ok := table.Trip("a", "b", 2*time.Second); !ok || trip.Smoothed > 20*ms || trip.Late() > 70*ms {
-		t.Errorf("%+v, %v; late %v", trip, ok, trip.Late())
+	if trip, ok := table.Trip("a", "b", 2*time.Second); !ok || trip.Smoothed > 20*ms || trip.UpperBound() > 70*ms {
+		t.Errorf("%+v, %v; late %v", trip, ok, trip.UpperBound())
 	}
 }
 
@@ -31,8 +31,8 @@
 	for i, trip := range []time.Duration{time.Second, 900 * ms, 16 * ms, 18 * ms} {
 		table.Observe("a", "b", trip, time.Duration(i)*40*ms)
 	}
-	if trip, ok := table.Trip("a", "b", time.Second); !ok || trip.Smoothed != 16*ms || trip.Late() != 32*ms {
-		t.Errorf("%+v, %v; late %v", trip, ok, trip.Late())
+	if trip, ok := table.Trip("a", "b", time.Second); !ok || trip.Smoothed != 16*ms || trip.UpperBound() != 32*ms {
+		t.Errorf("%+v, %v; late %v", trip, ok, trip.UpperBound())
 	}
 }
 
@@ -42,7 +42,7 @@
 		table.Observe("a", to, trip, 0)
 	}
 	for range 10 {
-		table.Lose("a", "c", 1)
+		table.RecordLoss("a", "c", 1)
 	}
 	for _, tt := range []struct {
 		answers int
@@ -50,7 +50,7 @@
 		want    time.Duration
 		ok      bool
 	}{{0, 0, 0, true}, {1, 0, 2 * ms, true}, {2, 0, 80 * ms, true}, {3, 0, 0, false}, {1, time.Minute, 0, false}} {
-		if got, ok := table.Quorum("a", []string{"a", "b", "c", "d"}, tt.answers, tt.now); got != tt.want || ok != tt.ok {
+		if got, ok := table.QuorumRoundTrip("a", []string{"a", "b", "c", "d"}, tt.answers, tt.now); got != tt.want || ok != tt.ok {
 			t.Errorf("Quorum of %d at %v: %v, %v", tt.answers, tt.now, got, ok)
 		}
 	}
@@ -58,7 +58,7 @@
 
 func TestLearnTakesOnlyOwnRows(t *testing.T) {
 	table := New()
-	table.Learn("b", []Trip{{From: "b", To: "c", Smoothed: ms}, {From: "a", To: "c", Smoothed: ms}}, 0)
+	table.Merge("b", []Trip{{From: "b", To: "c", Smoothed: ms}, {From: "a", To: "c", Smoothed: ms}}, 0)
 	if got := table.All(0); len(got) != 1 || got[0].From != "b" {
 		t.Errorf("%+v", got)
 	}
@@ -66,7 +66,7 @@
 
 // placed drives a Place over some seconds with the same round trips.
 func placed(a, b time.Duration, lead, steady time.Duration) bool {
-	var p Place
+	var p Placer
 	moved := false
 	for now := lead; now <= lead+steady; now += time.Second {
 		table := New()
@@ -74,7 +74,7 @@
 		table.Observe("a", "c", a, now)
 		table.Observe("b", "a", a, now)
 		table.Observe("b", "c", b, now)
-		_, moved = p.Decide(table, PlaceMsg{Now: now, Leader: "a", Voters: []string{"a", "b", "c"}, Able: func(string) bool { return true }})
+		_, moved = p.Decide(table, DecideMsg{Now: now, Leader: "a", Voters: []string{"a", "b", "c"}, Eligible: func(string) bool { return true }})
 	}
 	return moved
 }
@@ -112,20 +112,20 @@
 			}
 		}
 		table, leader, led := New(), "a", time.Duration(0)
-		place, moves := Place{}, 0
+		place, moves := Placer{}, 0
 		for now := time.Duration(0); now < 10*time.Minute; now += time.Second {
 			for p, d := range trip {
 				noise := time.Duration(rapid.IntRange(-10, 10).Draw(t, "noise"))
 				table.Observe(p.from, p.to, d+d*noise/100, now)
 			}
-			m, ok := place.Decide(table, PlaceMsg{Now: now, Since: led, Leader: leader, Voters: voters, Able: func(string) bool { return true }})
+			m, ok := place.Decide(table, DecideMsg{Now: now, Since: led, Leader: leader, Voters: voters, Eligible: func(string) bool { return true }})
 			if !ok {
 				continue
 			}
 			if m.To == leader || now-led < minTenure || m.Before-m.After < leastGain {
 				t.Fatalf("moved from %s to %+v after %v", leader, m, now-led)
 			}
-			leader, led, place = m.To, now, Place{}
+			leader, led, place = m.To, now, Placer{}
 			moves++
 		}
 		if moves > len(voters)-1 {
--- a/coordination/scale/regions.go
+++ b/coordination/scale/regions.go
@@ -48,7 +48,7 @@
 	for _, running := range s.RunningByRegion {
 		sum += running
 	}
-	if !p.topology.Several() || sum <= 0 || len(domains) == 0 {
+	if !p.topology.MultiRegion() || sum <= 0 || len(domains) == 0 {
 		return nil
 	}
 	shares := map[string]float64{}
--- a/transport/forward/regions.go
+++ b/transport/forward/regions.go
@@ -29,7 +29,7 @@
 // paths are the observed round trips to the servers' domains.
 type paths struct {
 	mu            sync.Mutex // mu guards all below.
-	trips         *topology.Trips
+	trips         *topology.RoundTrips
 	contradicting []string // contradicting are domains whose round trips contradict their region.
 }
 
@@ -70,7 +70,7 @@
 	for i := range view.Servers {
 		domains = append(domains, view.Servers[i].Domain)
 	}
-	unplaced := g.cfg.Topology.Unplaced(domains)
+	unplaced := g.cfg.Topology.WithoutRegion(domains)
 	g.mu.Lock()
 	same := slices.Equal(g.unplaced, unplaced)
 	g.unplaced = unplaced
@@ -92,12 +92,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if failed {
-		p.trips.Lost(s.Domain)
+		p.trips.RecordLoss(s.Domain)
 		m.lost[d].Inc(1)
 		return
 	}
 	p.trips.Observe(s.Domain, took)
-	m.trips[d].Store(p.trips.Trip(d).Microseconds())
+	m.trips[d].Store(p.trips.Shortest(d).Microseconds())
 	contradicting := p.trips.Contradicting()
 	if slices.Equal(contradicting, p.contradicting) {
 		return
@@ -105,7 +105,7 @@
 	p.contradicting = contradicting
 	m.contradicting.Store(int64(len(contradicting)))
 	if len(contradicting) > 0 {
-		g.log.Warn().Strs("domains", contradicting).Dur("across", p.trips.Trip(topology.OtherRegion)).Msg("domains whose round trips contradict their region")
+		g.log.Warn().Strs("domains", contradicting).Dur("across", p.trips.Shortest(topology.OtherRegion)).Msg("domains whose round trips contradict their region")
 	}
 }
 
--- a/transport/uplink/choice.go
+++ b/transport/uplink/choice.go
@@ -27,7 +27,7 @@
 	c.answerTime(address).Observe(took)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.links.Answered(address)
+	c.links.RecordAnswer(address)
 }
 
 // due returns the timeout after which an instance's answer is overdue.
@@ -36,10 +36,10 @@
 		return answerDue
 	}
 	first := firstDue
-	if !c.topology.Several() {
+	if !c.topology.MultiRegion() {
 		first = 0
 	}
-	return c.answerTime(address).Due(answerDue, first)
+	return c.answerTime(address).Timeout(answerDue, first)
 }
 
 // answerTime returns how long an instance's answers take.
--- a/transport/uplink/uplink.go
+++ b/transport/uplink/uplink.go
@@ -69,8 +69,8 @@
 const (
 	// every is the usual time between two questions, at the least; it grows with
 	// the number of gateways, so that the leader's load is bounded.
-	every       = link.AskEvery
-	everyMember = link.AnswerEach
+	every       = link.MinAskInterval
+	everyMember = link.IntervalPerGateway
 	// callTime bounds a question to an instance that may be gone, and firstTime one
 	// whose answer holds a whole list, for many gateways at once.
 	callTime  = 700 * time.Millisecond
@@ -251,7 +251,7 @@
 	if got.err != nil {
 		c.silent, c.silentAt = address, clock.Now()
 		c.lost(address, got.err.Error())
-		c.answerTime(address).Miss(firstDue)
+		c.answerTime(address).RecordTimeout(firstDue)
 		c.failed(address, true)
 		c.overdueNear()
 		c.target = got.other
