--- a/coordination/place/holders.go
+++ b/coordination/place/holders.go
@@ -77,14 +77,14 @@
 
 // Record records that a prompt was sent to a server, and returns the keys of the links that
 // the server was not known to hold.
-func (h *Holders) Record(server string, chain []protocol.PromptLink, now time.Time) (fresh []uint32) {
+func (h *Holders) Record(server string, chain []protocol.PromptLink, now time.Time) (newKeys []uint32) {
 	for _, link := range chain {
 		if key := keyOf(link); h.record(server, key, now) {
-			fresh = append(fresh, uint32(key))
+			newKeys = append(newKeys, uint32(key))
 		}
 	}
 	h.enforceLimit(now)
-	return fresh
+	return newKeys
 }
 
 // enforceLimit evicts links if there are more than maxLinks.
@@ -96,16 +96,16 @@
 
 // record records that a link was sent to a server, and reports whether the server was not
 // known to hold it.
-func (h *Holders) record(server string, key linkKey, now time.Time) (fresh bool) {
+func (h *Holders) record(server string, key linkKey, now time.Time) (isNew bool) {
 	rows := h.links[key]
 	oldest := 0
 	for i := range rows {
 		if rows[i].server == server {
-			if fresh = now.Sub(rows[i].lastPrefill) >= prefixTTL; fresh {
+			if isNew = now.Sub(rows[i].lastPrefill) >= prefixTTL; isNew {
 				rows[i].firstPrefill = now
 			}
 			rows[i].lastPrefill = now
-			return fresh
+			return isNew
 		}
 		if rows[i].lastPrefill.Before(rows[oldest].lastPrefill) {
 			oldest = i
@@ -147,8 +147,8 @@
 
 // Forget removes the links that Record returned as new, after the server turned out not to
 // have run the prompt.
-func (h *Holders) Forget(server string, fresh []uint32) {
-	for _, key := range fresh {
+func (h *Holders) Forget(server string, newKeys []uint32) {
+	for _, key := range newKeys {
 		rows := h.links[linkKey(key)]
 		h.links[linkKey(key)] = slices.DeleteFunc(rows, func(r holderEntry) bool { return r.server == server })
 		if len(h.links[linkKey(key)]) == 0 {
@@ -185,12 +185,12 @@
 			if s == nil || !allowed(s) {
 				continue
 			}
-			worth := link.Tokens - distancePenaltyTokens*int(h.topology.Distance(s.Domain, domain)) - int(agePenaltyTokens*now.Sub(r.lastPrefill).Seconds())
+			score := link.Tokens - distancePenaltyTokens*int(h.topology.Distance(s.Domain, domain)) - int(agePenaltyTokens*now.Sub(r.lastPrefill).Seconds())
 			if now.Sub(r.firstPrefill) < assumedPrefill {
-				worth -= link.Tokens / 2
+				score -= link.Tokens / 2
 			}
-			if worth > best {
-				best, holder, tokens = worth, r.server, link.Tokens
+			if score > best {
+				best, holder, tokens = score, r.server, link.Tokens
 			}
 		}
 	}
@@ -201,14 +201,14 @@
 // parts from, or "" for none. The given holder has prefilled all of them and is kept if the
 // prompt carries no links. Otherwise the best holder for the chosen server is looked up,
 // including servers that hold only some of the parts.
-func (l *PromptScheduler) copySource(v *View, at *Server, holder string, m PromptMsg, now time.Time) string {
+func (ps *PromptScheduler) copySource(v *View, at *Server, holder string, m PromptMsg, now time.Time) string {
 	if m.Copies <= 0 || len(m.Chain) == 0 {
 		return holder
 	}
-	found, tokens := l.holders.Find(v, m.Chain, at.Domain, func(s *Server) bool {
-		return s.ID != at.ID && s.Service == at.Service && s.Version == at.Version && !l.loads.Distrusted(s.ID, m.Domain)
+	found, tokens := ps.holders.Find(v, m.Chain, at.Domain, func(s *Server) bool {
+		return s.ID != at.ID && s.Service == at.Service && s.Version == at.Version && !ps.loads.Distrusted(s.ID, m.Domain)
 	}, now)
-	if tokens <= l.holders.HeldTokens(at.ID, m.Chain, now) {
+	if tokens <= ps.holders.HeldTokens(at.ID, m.Chain, now) {
 		return ""
 	}
 	return found
@@ -216,9 +216,9 @@
 
 // RecordPrefill records links that a server prefilled for a gateway that placed the prompt
 // itself.
-func (l *PromptScheduler) RecordPrefill(server string, links []uint32, now time.Time) {
+func (ps *PromptScheduler) RecordPrefill(server string, links []uint32, now time.Time) {
 	for _, key := range links {
-		l.holders.record(server, linkKey(key), now)
+		ps.holders.record(server, linkKey(key), now)
 	}
-	l.holders.enforceLimit(now)
+	ps.holders.enforceLimit(now)
 }
--- a/coordination/place/holders_test.go
+++ b/coordination/place/holders_test.go
@@ -44,12 +44,12 @@
 	whole, first := Chain(parts(1, 2)), Chain(parts(1, 3))
 	all := func(*Server) bool { return true }
 	for name, c := range map[string]struct {
-		read   map[string][]protocol.PromptLink
-		may    func(*Server) bool
-		after  time.Duration
-		reads  string // reads is a server that starts the prefill of the whole prompt just before the search.
-		holder string
-		tokens int
+		recorded   map[string][]protocol.PromptLink
+		allowed    func(*Server) bool
+		after      time.Duration
+		prefilling string // prefilling is a server that starts the prefill of the whole prompt just before the search.
+		holder     string
+		tokens     int
 	}{
 		"nobody":                                            {nil, all, 0, "", "", 0},
 		"the nearest of equal holders":                      {map[string][]protocol.PromptLink{"far": whole, "near": whole, "same": whole}, all, 0, "", "near", 1500},
@@ -63,7 +63,7 @@
 		"no holder past the retention time":                 {map[string][]protocol.PromptLink{"near": whole}, all, prefixTTL, "", "", 0},
 	} {
 		h := NewHolders(regions)
-		for server, chain := range c.read {
+		for server, chain := range c.recorded {
 			at := start
 			if server == "old" {
 				at = start.Add(-10 * time.Second)
@@ -71,10 +71,10 @@
 			h.Record(server, chain, at)
 		}
 		now := start.Add(2*assumedPrefill + c.after)
-		if c.reads != "" {
-			h.Record(c.reads, whole, now)
+		if c.prefilling != "" {
+			h.Record(c.prefilling, whole, now)
 		}
-		if holder, tokens := h.Find(v, whole, "a1", c.may, now); holder != c.holder || tokens != c.tokens {
+		if holder, tokens := h.Find(v, whole, "a1", c.allowed, now); holder != c.holder || tokens != c.tokens {
 			t.Errorf("%s: found %q with %d tokens, want %q with %d", name, holder, tokens, c.holder, c.tokens)
 		}
 	}
@@ -138,7 +138,7 @@
 		}
 		list()
 		position, number := uint64(0), uint64(0)
-		read := map[string][]protocol.PromptLink{}
+		recorded := map[string][]protocol.PromptLink{}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			server := fmt.Sprintf("gone-%d", rapid.IntRange(0, 1).Draw(t, "gone"))
 			if rapid.Bool().Draw(t, "listed") {
@@ -146,7 +146,7 @@
 			}
 			number++
 			link := protocol.PromptLink{Hash: mix(number), Tokens: 10}
-			read[server] = append(read[server], link)
+			recorded[server] = append(recorded[server], link)
 			r.Add(1, server, []uint32{uint32(keyOf(link))})
 			if rapid.Bool().Draw(t, "asks") {
 				var packed []byte
@@ -160,7 +160,7 @@
 		packed, _ := r.Since(position)
 		holders.RecordPacked(v, packed, start)
 		for i := range v.Servers {
-			for _, link := range read[v.Servers[i].ID] {
+			for _, link := range recorded[v.Servers[i].ID] {
 				if holders.HeldTokens(v.Servers[i].ID, []protocol.PromptLink{link}, start) == 0 {
 					t.Fatalf("the gateway does not know that %s holds %x", v.Servers[i].ID, link.Hash)
 				}
@@ -168,7 +168,7 @@
 		}
 		for key, rows := range holders.links {
 			for _, row := range rows {
-				if !slices.ContainsFunc(read[row.server], func(l protocol.PromptLink) bool { return keyOf(l) == key }) {
+				if !slices.ContainsFunc(recorded[row.server], func(l protocol.PromptLink) bool { return keyOf(l) == key }) {
 					t.Fatalf("%s is wrongly assumed to hold %x", row.server, key)
 				}
 			}
@@ -177,8 +177,8 @@
 }
 
 // TestReadingsAreBounded checks that a log without readers stays within its limit, and that
-// a position of another log counts as the end of this one instead of addressing missing
-// rows.
+// a position of another log counts as the end or the beginning of this one instead of
+// addressing missing rows.
 func TestReadingsAreBounded(t *testing.T) {
 	r := NewReadings()
 	r.SetServers([]string{"a"})
--- a/coordination/place/ledger.go
+++ b/coordination/place/ledger.go
@@ -127,15 +127,15 @@
 }
 
 // Place returns a server for a long prompt, or false if there is none.
-func (l *PromptScheduler) Place(v *View, m PromptMsg, now time.Time) (Placed, bool) {
-	l.removeOverdue(now)
+func (ps *PromptScheduler) Place(v *View, m PromptMsg, now time.Time) (Placed, bool) {
+	ps.removeOverdue(now)
 	rows := inLane(v, candidates(v, ChooseMsg{Service: m.Service, Avoid: m.Avoid, Now: now}), ChooseMsg{Lane: LaneLong, Parts: m.Parts})
-	holder := l.holder(v, m, now)
+	holder := ps.holder(v, m, now)
 	best, least := -1, math.Inf(1)
 	for _, r := range rows {
 		s := &v.Servers[r.index]
-		cost := l.cost(s, m, holder != "", now)
-		if l.loads.Distrusted(s.ID, m.Domain) {
+		cost := ps.cost(s, m, holder != "", now)
+		if ps.loads.Distrusted(s.ID, m.Domain) {
 			cost += distrustCost
 		}
 		if cost < least {
@@ -145,26 +145,26 @@
 	if best < 0 {
 		return Placed{}, false
 	}
-	placed := l.record(v.Servers[best].ID, l.copySource(v, &v.Servers[best], holder, m, now), m, now)
-	l.keepUnsent(placed, m)
+	placed := ps.record(v.Servers[best].ID, ps.copySource(v, &v.Servers[best], holder, m, now), m, now)
+	ps.keepUnsent(placed, m)
 	return placed, true
 }
 
 // holder returns the server with the latest prefill of the shared parts, preferring the
 // gateway's region, or "" if nothing can be copied. A leaving server can still be copied
 // from.
-func (l *PromptScheduler) holder(v *View, m PromptMsg, now time.Time) string {
+func (ps *PromptScheduler) holder(v *View, m PromptMsg, now time.Time) string {
 	if m.Copies <= 0 || m.Prefix == 0 {
 		return ""
 	}
 	holder, latest, isFar := "", time.Time{}, false
 	for _, i := range v.Service(m.Service) {
 		id := v.Servers[i].ID
-		b := l.queues[id]
-		if b == nil || !b.holds(m.Prefix, now) || l.loads.Distrusted(id, m.Domain) {
+		q := ps.queues[id]
+		if q == nil || !q.holds(m.Prefix, now) || ps.loads.Distrusted(id, m.Domain) {
 			continue
 		}
-		at, far := b.prefixes[m.Prefix], l.topology.Distance(m.Domain, v.Servers[i].Domain) == topology.OtherRegion
+		at, far := q.prefixes[m.Prefix], ps.topology.Distance(m.Domain, v.Servers[i].Domain) == topology.OtherRegion
 		nearer := isFar && !far
 		if holder == "" || nearer || (far == isFar && at.After(latest)) {
 			holder, latest, isFar = id, at, far
@@ -173,55 +173,55 @@
 	return holder
 }
 
-func (l *PromptScheduler) queue(server string) *serverQueue {
-	b := l.queues[server]
-	if b == nil {
-		b = &serverQueue{requests: map[uint64]*placedRequest{}, prefixes: map[uint64]time.Time{}}
-		l.queues[server] = b
+func (ps *PromptScheduler) queue(server string) *serverQueue {
+	q := ps.queues[server]
+	if q == nil {
+		q = &serverQueue{requests: map[uint64]*placedRequest{}, prefixes: map[uint64]time.Time{}}
+		ps.queues[server] = q
 	}
-	return b
+	return q
 }
 
 // prefillTokens returns how many tokens of a prompt the server has to prefill. Parts that
 // it can copy count by the time that the copy takes.
-func (l *PromptScheduler) prefillTokens(b *serverQueue, m PromptMsg, copies bool, now time.Time) int {
+func (ps *PromptScheduler) prefillTokens(q *serverQueue, m PromptMsg, canCopy bool, now time.Time) int {
 	own := max(1, m.Prompt-m.Shared)
 	switch {
-	case b.holds(m.Prefix, now):
+	case q.holds(m.Prefix, now):
 		return own
-	case copies:
-		return own + int(float64(m.Shared)*l.copyShare(m))
+	case canCopy:
+		return own + int(float64(m.Shared)*ps.copyShare(m))
 	}
 	return m.Prompt
 }
 
 // copyShare returns the time of a copy as a share of the prefill time of the same tokens.
-func (l *PromptScheduler) copyShare(m PromptMsg) float64 { return min(1, l.prefillSpeed/m.Copies) }
+func (ps *PromptScheduler) copyShare(m PromptMsg) float64 { return min(1, ps.prefillSpeed/m.Copies) }
 
 // holds reports whether the server prefilled the prefix within prefixTTL.
-func (b *serverQueue) holds(prefix uint64, now time.Time) bool {
-	at, ok := b.prefixes[prefix]
+func (q *serverQueue) holds(prefix uint64, now time.Time) bool {
+	at, ok := q.prefixes[prefix]
 	return ok && prefix != 0 && now.Sub(at) < prefixTTL
 }
 
-func (l *PromptScheduler) prefillTime(tokens int) time.Duration {
-	return time.Duration(float64(tokens) / l.prefillSpeed * float64(time.Millisecond))
+func (ps *PromptScheduler) prefillTime(tokens int) time.Duration {
+	return time.Duration(float64(tokens) / ps.prefillSpeed * float64(time.Millisecond))
 }
 
 // cost returns the cost of placing a prompt at a server, in stalled streams.
-func (l *PromptScheduler) cost(s *Server, m PromptMsg, copies bool, now time.Time) float64 {
-	b := l.queue(s.ID)
-	wait := max(0, b.prefillUntil.Sub(now))
-	read := l.prefillTime(l.prefillTokens(b, m, copies, now))
+func (ps *PromptScheduler) cost(s *Server, m PromptMsg, canCopy bool, now time.Time) float64 {
+	q := ps.queue(s.ID)
+	wait := max(0, q.prefillUntil.Sub(now))
+	prefill := ps.prefillTime(ps.prefillTokens(q, m, canCopy, now))
 	limit := time.Duration(gapShare * float64(m.Gap))
 	if m.Gap <= 0 {
 		limit = m.Target
 	}
-	stalls, stalled := read > limit, 0
-	for _, st := range b.requests {
+	stalls, stalled := prefill > limit, 0
+	for _, st := range q.requests {
 		// A running request stalls for the whole block of prefills; one that is still
 		// waiting before this prompt stalls only for this prompt's prefill.
-		if block := wait + read; !st.prefillEnd.After(now) {
+		if block := wait + prefill; !st.prefillEnd.After(now) {
 			if block > limit && wait <= limit {
 				stalled++
 			}
@@ -229,85 +229,85 @@
 			stalled++
 		}
 	}
-	others := max(0, l.loads.Running(s.ID)-len(b.requests))
+	others := max(0, ps.loads.Running(s.ID)-len(q.requests))
 	if stalls {
 		stalled += others
 	}
 	cost := float64(stalled)
 	if m.Target > 0 {
-		cost += waitCost * float64(wait+read) / float64(m.Target)
-		if wait+read > m.Target {
+		cost += waitCost * float64(wait+prefill) / float64(m.Target)
+		if wait+prefill > m.Target {
 			cost += lateCost
 		}
 	}
-	cost += requestCost * float64(len(b.requests)+others)
-	if m.Prompt > 0 && !b.holds(m.Prefix, now) {
+	cost += requestCost * float64(len(q.requests)+others)
+	if m.Prompt > 0 && !q.holds(m.Prefix, now) {
 		weight := recomputeCost
-		if copies {
-			weight *= max(minCopyShare, l.copyShare(m))
+		if canCopy {
+			weight *= max(minCopyShare, ps.copyShare(m))
 		}
 		cost += weight * float64(m.Shared) / float64(m.Prompt)
 	}
-	return cost + distancePenalty[l.topology.Distance(m.Domain, s.Domain)]
+	return cost + distancePenalty[ps.topology.Distance(m.Domain, s.Domain)]
 }
 
 // record adds a request to the queue of a server.
-func (l *PromptScheduler) record(server, holder string, m PromptMsg, now time.Time) Placed {
-	b := l.queue(server)
-	if b.holds(m.Prefix, now) {
+func (ps *PromptScheduler) record(server, holder string, m PromptMsg, now time.Time) Placed {
+	q := ps.queue(server)
+	if q.holds(m.Prefix, now) {
 		holder = ""
 	}
-	tokens := l.prefillTokens(b, m, holder != "", now)
-	alone := !b.prefillUntil.After(now)
+	tokens := ps.prefillTokens(q, m, holder != "", now)
+	uncontended := !q.prefillUntil.After(now)
 	from := now
-	if !alone {
-		from = b.prefillUntil
+	if !uncontended {
+		from = q.prefillUntil
 	}
-	b.prefillUntil = from.Add(l.prefillTime(tokens))
-	l.lastNumber++
-	st := &placedRequest{server: server, prefillEnd: b.prefillUntil, prefillTokens: tokens, answerTokens: m.Answer, uncontended: alone}
-	st.expectedEnd = st.prefillEnd.Add(time.Duration(l.tokenPace * float64(m.Answer) * float64(time.Millisecond)))
-	b.requests[l.lastNumber], l.requests[l.lastNumber] = st, st
-	b.recordPrefix(m.Prefix, now)
-	fresh := l.holders.Record(server, m.Chain, now)
-	return Placed{Server: server, Holder: holder, Number: l.lastNumber, NewLinks: fresh}
+	q.prefillUntil = from.Add(ps.prefillTime(tokens))
+	ps.lastNumber++
+	st := &placedRequest{server: server, prefillEnd: q.prefillUntil, prefillTokens: tokens, answerTokens: m.Answer, uncontended: uncontended}
+	st.expectedEnd = st.prefillEnd.Add(time.Duration(ps.tokenPace * float64(m.Answer) * float64(time.Millisecond)))
+	q.requests[ps.lastNumber], ps.requests[ps.lastNumber] = st, st
+	q.recordPrefix(m.Prefix, now)
+	newLinks := ps.holders.Record(server, m.Chain, now)
+	return Placed{Server: server, Holder: holder, Number: ps.lastNumber, NewLinks: newLinks}
 }
 
 // recordPrefix records the prefill of a prefix and evicts the oldest prefix beyond the
 // limit.
-func (b *serverQueue) recordPrefix(prefix uint64, now time.Time) {
+func (q *serverQueue) recordPrefix(prefix uint64, now time.Time) {
 	if prefix == 0 {
 		return
 	}
-	b.prefixes[prefix] = now
-	if len(b.prefixes) <= maxPrefixesPerServer {
+	q.prefixes[prefix] = now
+	if len(q.prefixes) <= maxPrefixesPerServer {
 		return
 	}
 	oldest, at := uint64(0), now
-	for p, t := range b.prefixes {
+	for p, t := range q.prefixes {
 		if t.Before(at) {
 			oldest, at = p, t
 		}
 	}
-	delete(b.prefixes, oldest)
+	delete(q.prefixes, oldest)
 }
 
 // Done removes a placed request that ended and learns from its timing.
-func (l *PromptScheduler) Done(m DoneMsg) {
-	st := l.requests[m.Number]
+func (ps *PromptScheduler) Done(m DoneMsg) {
+	st := ps.requests[m.Number]
 	if st == nil {
 		return
 	}
-	l.remove(m.Number, st)
+	ps.remove(m.Number, st)
 	if m.First <= 0 || !st.uncontended {
 		return
 	}
 	if first := float64(m.First) / float64(time.Millisecond); first > 1 {
-		l.prefillSpeed += speedStep(float64(st.prefillTokens)/first - l.prefillSpeed)
+		ps.prefillSpeed += speedStep(float64(st.prefillTokens)/first - ps.prefillSpeed)
 	}
 	if st.answerTokens > 0 {
 		rest := float64(m.Took-m.First) / float64(time.Millisecond)
-		l.tokenPace += observationWeight * (rest/float64(st.answerTokens) - l.tokenPace)
+		ps.tokenPace += observationWeight * (rest/float64(st.answerTokens) - ps.tokenPace)
 	}
 }
 
@@ -319,35 +319,35 @@
 	return observationWeight * diff
 }
 
-func (l *PromptScheduler) remove(number uint64, st *placedRequest) {
-	delete(l.requests, number)
-	delete(l.queues[st.server].requests, number)
+func (ps *PromptScheduler) remove(number uint64, st *placedRequest) {
+	delete(ps.requests, number)
+	delete(ps.queues[st.server].requests, number)
 }
 
 // overdueAfter is how long after its expected end a request is removed whose end was never
 // reported.
 const overdueAfter = 2 * time.Second
 
-func (l *PromptScheduler) removeOverdue(now time.Time) {
-	for number, st := range l.requests {
+func (ps *PromptScheduler) removeOverdue(now time.Time) {
+	for number, st := range ps.requests {
 		if now.Sub(st.expectedEnd) > overdueAfter {
-			l.remove(number, st)
+			ps.remove(number, st)
 		}
 	}
 }
 
 // InProgress returns the number of placed requests that have not ended.
-func (l *PromptScheduler) InProgress() int { return len(l.requests) }
+func (ps *PromptScheduler) InProgress() int { return len(ps.requests) }
 
 // Prune drops the servers that are no longer listed.
-func (l *PromptScheduler) Prune(v *View) {
-	for id, b := range l.queues {
+func (ps *PromptScheduler) Prune(v *View) {
+	for id, q := range ps.queues {
 		if v.Find(id) != nil {
 			continue
 		}
-		for _, number := range slices.Collect(maps.Keys(b.requests)) {
-			delete(l.requests, number)
+		for _, number := range slices.Collect(maps.Keys(q.requests)) {
+			delete(ps.requests, number)
 		}
-		delete(l.queues, id)
+		delete(ps.queues, id)
 	}
 }
--- a/coordination/place/ledger_test.go
+++ b/coordination/place/ledger_test.go
@@ -16,9 +16,9 @@
 }
 
 // placeAt places a prompt and fails the test if there is no server.
-func placeAt(t *testing.T, l *PromptScheduler, v *View, m PromptMsg, now time.Time) Placed {
+func placeAt(t *testing.T, ps *PromptScheduler, v *View, m PromptMsg, now time.Time) Placed {
 	t.Helper()
-	p, ok := l.Place(v, m, now)
+	p, ok := ps.Place(v, m, now)
 	if !ok {
 		t.Fatal("no server")
 	}
--- a/coordination/place/movetarget_test.go
+++ b/coordination/place/movetarget_test.go
@@ -12,7 +12,7 @@
 func TestMoveTargetHasRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := fleet(rapid.IntRange(1, 8).Draw(t, "servers"))
-		fit := map[string]bool{}
+		suitable := map[string]bool{}
 		for i := range v.Servers {
 			s := &v.Servers[i]
 			s.Leaving = i == 0 || rapid.Bool().Draw(t, "leaving")
@@ -25,15 +25,15 @@
 			if failed {
 				s.Stats.RequestFailed(true, start)
 			}
-			fit[s.ID] = !s.Leaving && s.Version == v.Servers[0].Version && running < 16 && !failed
+			suitable[s.ID] = !s.Leaving && s.Version == v.Servers[0].Version && running < 16 && !failed
 		}
 		found := false
-		for _, ok := range fit {
+		for _, ok := range suitable {
 			found = found || ok
 		}
 		target := MoveTarget(v, &v.Servers[0], ChooseMsg{Now: start, Rand: rapid.Uint64().Draw(t, "rand")})
-		if (target != nil) != found || (target != nil && !fit[target.ID]) {
-			t.Fatalf("target %+v, suitable servers are %v", target, fit)
+		if (target != nil) != found || (target != nil && !suitable[target.ID]) {
+			t.Fatalf("target %+v, suitable servers are %v", target, suitable)
 		}
 	})
 }
--- a/coordination/place/near.go
+++ b/coordination/place/near.go
@@ -22,9 +22,9 @@
 	regionFailureLimit = 2
 )
 
-// distancePenalty is the fill that the distance to a server is weighed against. Penalties
-// computed from the bytes of request and answer and from measured round trips gave the same
-// traffic within a twentieth, so the simpler constants are kept.
+// distancePenalty is added to the fill of a server for its distance. Penalties computed from
+// the bytes of request and answer and from measured round trips gave the same traffic within
+// a twentieth, so the simpler constants are kept.
 var distancePenalty = [...]float64{topology.SameDomain: 0, topology.SameRegion: sameRegionPenalty, topology.OtherRegion: otherRegionPenalty}
 
 // preferRegion returns the candidates in the gateway's region. It returns those of the
--- a/coordination/place/near_test.go
+++ b/coordination/place/near_test.go
@@ -36,11 +36,11 @@
 // it has room, another before a near server is late, and no preference without a topology.
 func TestNearServersFirst(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		regions *topology.Topology
-		own     int // own is the number of requests on each server of the gateway's region.
-		far     int
-		near    bool
+		name     string
+		regions  *topology.Topology
+		own      int // own is the number of requests on each server of the gateway's region.
+		far      int
+		wantNear bool
 	}{
 		{"idle", threeRegions(), 0, 0, true},
 		{"half full, other regions idle", threeRegions(), 8, 0, true},
@@ -65,7 +65,7 @@
 			if !ok {
 				t.Fatalf("%s: no server", c.name)
 			}
-			if got := v.Servers[i].Domain; (own.Region(got) == "b") != c.near {
+			if got := v.Servers[i].Domain; (own.Region(got) == "b") != c.wantNear {
 				t.Errorf("%s, prefix %d: chosen in %s", c.name, prefix, got)
 			}
 		}
@@ -213,10 +213,10 @@
 	}
 }
 
-// TestNearestKeepsOneSide checks for any loads that the result is either the gateway's
+// TestPreferRegionKeepsOneSide checks for any loads that the result is either the gateway's
 // region or all other candidates, is never empty, and never is a side on which every server
 // has a fill more than otherRegionPenalty above all of the other side.
-func TestNearestKeepsOneSide(t *testing.T) {
+func TestPreferRegionKeepsOneSide(t *testing.T) {
 	regions := threeRegions()
 	rapid.Check(t, func(t *rapid.T) {
 		domains := rapid.SliceOfNDistinct(rapid.SampledFrom(sixDomains), 1, 6, rapid.ID[string]).Draw(t, "domains")
@@ -285,11 +285,11 @@
 // holds a slot for 0.5 s; 36 servers of 16 slots run at 40 percent of their capacity.
 func TestRegionalLoad(t *testing.T) {
 	for _, c := range []struct {
-		name            string
-		inA             float64 // inA is the share of callers in region a.
-		mostAcross      float64
-		leastAcross     float64
-		mostFullestPart float64
+		name      string
+		inA       float64 // inA is the share of callers in region a.
+		maxAcross float64
+		minAcross float64
+		maxFill   float64
 	}{
 		{"even", 0.34, 0.02, 0, 1},
 		{"most in one region", 0.8, 0.4, 0.1, 1},
@@ -329,10 +329,10 @@
 		}
 		part := float64(across) / float64(sent)
 		t.Logf("%s: %d sent, %.3f of them to other regions, at most %d requests at a server", c.name, sent, part, fullest)
-		if part > c.mostAcross || part < c.leastAcross {
-			t.Errorf("%s: %.3f of %d were sent to other regions, want %.2f to %.2f", c.name, part, sent, c.leastAcross, c.mostAcross)
+		if part > c.maxAcross || part < c.minAcross {
+			t.Errorf("%s: %.3f of %d were sent to other regions, want %.2f to %.2f", c.name, part, sent, c.minAcross, c.maxAcross)
 		}
-		if float64(fullest) > c.mostFullestPart*16 {
+		if float64(fullest) > c.maxFill*16 {
 			t.Errorf("%s: a server of 16 slots had %d requests", c.name, fullest)
 		}
 	}
@@ -390,8 +390,8 @@
 	}
 }
 
-// TestNth compares the value at an index with that of the sorted list.
-func TestNth(t *testing.T) {
+// TestSelectNth compares the value at an index with that of the sorted list.
+func TestSelectNth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := rapid.SliceOfN(rapid.Float64Range(0, 3), 1, 60).Draw(t, "list")
 		if rapid.Bool().Draw(t, "whole") {
--- a/coordination/place/placements.go
+++ b/coordination/place/placements.go
@@ -17,35 +17,35 @@
 const maxUnsent = 256
 
 // keepUnsent keeps a placement until it is sent to the other instances.
-func (l *PromptScheduler) keepUnsent(p Placed, m PromptMsg) {
-	st := l.requests[p.Number]
-	l.unsent = append(l.unsent, protocol.Placement{Server: p.Server, Prefix: m.Prefix, Tokens: st.prefillTokens})
-	if len(l.unsent) > maxUnsent {
-		l.unsent = l.unsent[len(l.unsent)-maxUnsent:]
+func (ps *PromptScheduler) keepUnsent(p Placed, m PromptMsg) {
+	st := ps.requests[p.Number]
+	ps.unsent = append(ps.unsent, protocol.Placement{Server: p.Server, Prefix: m.Prefix, Tokens: st.prefillTokens})
+	if len(ps.unsent) > maxUnsent {
+		ps.unsent = ps.unsent[len(ps.unsent)-maxUnsent:]
 	}
 }
 
 // TakeUnsent returns the placements made since the last call.
-func (l *PromptScheduler) TakeUnsent() []protocol.Placement {
-	fresh := l.unsent
-	l.unsent = nil
-	return fresh
+func (ps *PromptScheduler) TakeUnsent() []protocol.Placement {
+	unsent := ps.unsent
+	ps.unsent = nil
+	return unsent
 }
 
 // AddRemote adds placements that another instance made. This scheduler does not learn when
 // their requests end: after the prefill, such a request counts only in the server's load.
-func (l *PromptScheduler) AddRemote(rows []protocol.Placement, now time.Time) {
+func (ps *PromptScheduler) AddRemote(rows []protocol.Placement, now time.Time) {
 	for _, r := range rows {
-		b := l.queue(r.Server)
+		q := ps.queue(r.Server)
 		from := now
-		if b.prefillUntil.After(now) {
-			from = b.prefillUntil
+		if q.prefillUntil.After(now) {
+			from = q.prefillUntil
 		}
-		b.prefillUntil = from.Add(l.prefillTime(r.Tokens))
-		l.lastNumber++
-		st := &placedRequest{server: r.Server, prefillEnd: b.prefillUntil, expectedEnd: b.prefillUntil.Add(-overdueAfter), prefillTokens: r.Tokens}
-		b.requests[l.lastNumber], l.requests[l.lastNumber] = st, st
-		b.recordPrefix(r.Prefix, now)
+		q.prefillUntil = from.Add(ps.prefillTime(r.Tokens))
+		ps.lastNumber++
+		st := &placedRequest{server: r.Server, prefillEnd: q.prefillUntil, expectedEnd: q.prefillUntil.Add(-overdueAfter), prefillTokens: r.Tokens}
+		q.requests[ps.lastNumber], ps.requests[ps.lastNumber] = st, st
+		q.recordPrefix(r.Prefix, now)
 	}
 }
 
--- a/coordination/place/relayed.go
+++ b/coordination/place/relayed.go
@@ -202,12 +202,12 @@
 	}
 	l.leaderDistrusts = make(map[string]map[string]bool, len(distrusted))
 	for domain, bits := range distrusted {
-		passed := map[string]bool{}
+		skipped := map[string]bool{}
 		for i, id := range servers {
 			if bitSet(bits, i) {
-				passed[id] = true
+				skipped[id] = true
 			}
 		}
-		l.leaderDistrusts[domain] = passed
+		l.leaderDistrusts[domain] = skipped
 	}
 }
