--- a/coordination/roundtrip/roundtrip.go
+++ b/coordination/roundtrip/roundtrip.go
@@ -1,9 +1,9 @@
-// Package roundtrip keeps the round trips that were observed between replicas, and
-// chooses by them where the leader is best placed.
+// Package roundtrip records the round-trip times between replicas, and decides from them
+// which replica should be the leader.
 //
-// A [Table] holds a row for each replica and each other one, as that replica observed
-// it: a smoothed round trip, how much it varies, and the part that was lost. Each tells
-// the others its own rows. [Placer] decides from them; see there.
+// A [Table] holds a row for each ordered pair of replicas, as observed by the first: the
+// smoothed round-trip time, its variation, and the loss rate. Replicas exchange their own
+// rows. [Placer] decides on the leader from the table.
 package roundtrip
 
 import (
@@ -14,111 +14,114 @@
 )
 
 const (
-	// gain and spread are the parts by which an observation moves a smoothed round
-	// trip and its variation: those of TCP (RFC 6298).
-	gain   = 8
-	spread = 4
-	// mostTimes and leastStep bound what one observation can say: a replica that was
-	// frozen for a second is no second away.
-	mostTimes = 2
-	leastStep = 10 * time.Millisecond
-	// firstFew are the observations of which the least counts: the first ones often
-	// hold the opening of a connection, or what waited while a path was cut.
-	firstFew = 4
-	// lossGain is the part by which one observation moves the loss.
-	lossGain = 16
-	// lateTimes is how many variations late answers take longer, as in RFC 6298.
-	lateTimes = 4
-	// freshFor is how long a row is of use: some pings.
-	freshFor = 5 * time.Second
-	// mostLoss is the part lost from which a path counts as broken.
-	mostLoss = 0.3
+	// smoothingDivisor and variationDivisor are the inverse weights of an observation in the
+	// smoothed round trip and its variation, as in TCP (RFC 6298).
+	smoothingDivisor = 8
+	variationDivisor = 4
+	// maxFactor and maxStep bound an observation relative to the smoothed round trip: a
+	// pause of a second at the other replica must not count as a round trip of a second.
+	maxFactor = 2
+	maxStep   = 10 * time.Millisecond
+	// warmupObservations is the number of first observations of which the minimum is used:
+	// they often include the time to open a connection, or the wait during an outage.
+	warmupObservations = 4
+	// lossDivisor is the inverse weight of an observation in the loss rate.
+	lossDivisor = 16
+	// upperBoundVariations is the number of variations from the smoothed round trip to the
+	// upper bound, as in RFC 6298.
+	upperBoundVariations = 4
+	// maxAge is the age up to which a row is used: several pings.
+	maxAge = 5 * time.Second
+	// maxLoss is the loss rate from which a path counts as down.
+	maxLoss = 0.3
 )
 
-// Trip is what one replica observed on the way to another and back.
+// Trip is the round trip from one replica to another, as observed by the first.
 type Trip struct {
 	From      string        `json:"from"`
 	To        string        `json:"to"`
 	Smoothed  time.Duration `json:"smoothed"`
 	Variation time.Duration `json:"variation"`
-	Loss      float64       `json:"loss"` // Loss is the part that was not answered, of late.
-	Age       time.Duration `json:"age"`  // Age is how long ago the last answer came.
+	Loss      float64       `json:"loss"` // Loss is the recent rate of unanswered requests.
+	Age       time.Duration `json:"age"`  // Age is the time since the last answer.
 }
 
-// UpperBound is a time within which nearly all answers come.
-func (t Trip) UpperBound() time.Duration { return t.Smoothed + lateTimes*t.Variation }
+// UpperBound returns the time within which nearly all answers arrive.
+func (t Trip) UpperBound() time.Duration { return t.Smoothed + upperBoundVariations*t.Variation }
 
 type pair struct{ from, to string }
 
 type row struct {
 	smoothed, variation time.Duration
 	loss                float64
-	at                  time.Duration
-	first               int // first counts the observations up to firstFew.
+	observedAt          time.Duration
+	observations        int // observations counts up to warmupObservations.
 }
 
-// Table holds the round trips. It is changed in place.
+// Table holds the round trips between replicas. Its methods change it in place.
 type Table struct{ rows map[pair]*row }
 
-// New returns a table without any round trips.
+// New returns an empty table.
 func New() *Table { return &Table{rows: map[pair]*row{}} }
 
-// Observe takes in an answer.
+// Observe records the round trip of an answer.
 func (t *Table) Observe(from, to string, trip, now time.Duration) {
 	r := t.rows[pair{from, to}]
-	if r == nil || now-r.at > freshFor {
-		t.rows[pair{from, to}] = &row{smoothed: trip, variation: trip / spread, at: now, first: 1}
+	if r == nil || now-r.observedAt > maxAge {
+		t.rows[pair{from, to}] = &row{smoothed: trip, variation: trip / variationDivisor, observedAt: now, observations: 1}
 		return
 	}
-	if r.first < firstFew {
-		r.first++
+	if r.observations < warmupObservations {
+		r.observations++
 		r.smoothed = min(r.smoothed, trip)
-		r.variation = r.smoothed / spread
-		r.at = now
+		r.variation = r.smoothed / variationDivisor
+		r.observedAt = now
 		return
 	}
-	trip = min(trip, mostTimes*r.smoothed+leastStep)
-	r.variation += ((r.smoothed - trip).Abs() - r.variation) / spread
-	r.smoothed += (trip - r.smoothed) / gain
-	r.loss -= r.loss / lossGain
-	r.at = now
+	trip = min(trip, maxFactor*r.smoothed+maxStep)
+	r.variation += ((r.smoothed - trip).Abs() - r.variation) / variationDivisor
+	r.smoothed += (trip - r.smoothed) / smoothingDivisor
+	r.loss -= r.loss / lossDivisor
+	r.observedAt = now
 }
 
-// RecordLoss takes in so many questions that were not answered.
+// RecordLoss records count requests that were not answered.
 func (t *Table) RecordLoss(from, to string, count int) {
 	r := t.rows[pair{from, to}]
 	if r == nil {
 		return
 	}
 	for range count {
-		r.loss += (1 - r.loss) / lossGain
+		r.loss += (1 - r.loss) / lossDivisor
 	}
 }
 
-// Merge takes over the rows that another replica tells of itself.
+// Merge replaces the rows of another replica by those it sent. Rows observed by any other
+// replica are ignored.
 func (t *Table) Merge(from string, trips []Trip, now time.Duration) {
 	for _, trip := range trips {
 		if trip.From == from {
-			t.rows[pair{from, trip.To}] = &row{smoothed: trip.Smoothed, variation: trip.Variation, loss: trip.Loss, at: now - trip.Age, first: firstFew}
+			t.rows[pair{from, trip.To}] = &row{smoothed: trip.Smoothed, variation: trip.Variation, loss: trip.Loss, observedAt: now - trip.Age, observations: warmupObservations}
 		}
 	}
 }
 
-// Trip returns what one replica observed of another, if that is fresh.
+// Trip returns the round trip from one replica to another, and false if it is unknown or
+// older than maxAge.
 func (t *Table) Trip(from, to string, now time.Duration) (Trip, bool) {
 	r := t.rows[pair{from, to}]
-	if r == nil || now-r.at > freshFor {
+	if r == nil || now-r.observedAt > maxAge {
 		return Trip{}, false
 	}
-	return Trip{From: from, To: to, Smoothed: r.smoothed, Variation: r.variation, Loss: r.loss, Age: now - r.at}, true
+	return Trip{From: from, To: to, Smoothed: r.smoothed, Variation: r.variation, Loss: r.loss, Age: now - r.observedAt}, true
 }
 
-// ObservedBy returns what one replica observed, sorted.
+// ObservedBy returns the rows that one replica observed, sorted.
 func (t *Table) ObservedBy(from string, now time.Duration) []Trip {
 	return slices.DeleteFunc(t.All(now), func(trip Trip) bool { return trip.From != from })
 }
 
-// All returns all fresh rows, sorted.
+// All returns all rows not older than maxAge, sorted.
 func (t *Table) All(now time.Duration) []Trip {
 	var list []Trip
 	for p := range maps.Keys(t.rows) {
@@ -130,16 +133,15 @@
 	return list
 }
 
-// QuorumRoundTrip returns the round trip within which a leader would have the answers of so many
-// of the others, itself not counted. ok is false where that many cannot be reached, or
-// were not observed.
+// QuorumRoundTrip returns the round trip within which a leader gets the answers of a number
+// of others, not counting itself. ok is false if fewer are known to be reachable.
 func (t *Table) QuorumRoundTrip(leader string, others []string, answers int, now time.Duration) (trip time.Duration, ok bool) {
 	var trips []time.Duration
 	for _, name := range others {
 		if name == leader {
 			continue
 		}
-		if row, fresh := t.Trip(leader, name, now); fresh && row.Loss < mostLoss {
+		if row, fresh := t.Trip(leader, name, now); fresh && row.Loss < maxLoss {
 			trips = append(trips, row.Smoothed)
 		}
 	}
@@ -153,12 +155,12 @@
 	return trips[answers-1], true
 }
 
-// QuorumUpperBound returns a time within which nearly always so many of the others answer, or all
-// that were observed often enough where they are fewer; zero for none.
+// QuorumUpperBound returns the time within which nearly always a number of the others have
+// answered, or all with enough observations if they are fewer; zero if there are none.
 func (t *Table) QuorumUpperBound(from string, others []string, answers int, now time.Duration) time.Duration {
 	var times []time.Duration
 	for _, name := range others {
-		if trip, ok := t.Trip(from, name, now); ok && t.rows[pair{from, name}].first >= firstFew {
+		if trip, ok := t.Trip(from, name, now); ok && t.rows[pair{from, name}].observations >= warmupObservations {
 			times = append(times, trip.UpperBound())
 		}
 	}
--- a/coordination/roundtrip/roundtrip_test.go
+++ b/coordination/roundtrip/roundtrip_test.go
@@ -11,32 +11,32 @@
 
 const ms = time.Millisecond
 
-// TestOneLateAnswerMovesLittle checks that the answer of a replica that was frozen
-// does not make it a second away.
-func TestOneLateAnswerMovesLittle(t *testing.T) {
+// TestOutlierIsBounded checks that the late answer of a replica that was suspended hardly
+// changes its round trip.
+func TestOutlierIsBounded(t *testing.T) {
 	table := New()
 	for i := range 50 {
 		table.Observe("a", "b", 16*ms, time.Duration(i)*40*ms)
 	}
 	table.Observe("a", "b", 2*time.Second, 2*time.Second)
 	if trip, ok := table.Trip("a", "b", 2*time.Second); !ok || trip.Smoothed > 20*ms || trip.UpperBound() > 70*ms {
-		t.Errorf("%+v, %v; late %v", trip, ok, trip.UpperBound())
+		t.Errorf("round trip %+v, %v after a late answer; upper bound %v", trip, ok, trip.UpperBound())
 	}
 }
 
-// TestOpeningOfAConnection checks that what the first answers waited for does not
-// count for the path.
-func TestOpeningOfAConnection(t *testing.T) {
+// TestWarmupTakesMinimum checks that the time in which the first answers waited, for
+// example for a connection to open, does not count as round trip.
+func TestWarmupTakesMinimum(t *testing.T) {
 	table := New()
 	for i, trip := range []time.Duration{time.Second, 900 * ms, 16 * ms, 18 * ms} {
 		table.Observe("a", "b", trip, time.Duration(i)*40*ms)
 	}
 	if trip, ok := table.Trip("a", "b", time.Second); !ok || trip.Smoothed != 16*ms || trip.UpperBound() != 32*ms {
-		t.Errorf("%+v, %v; late %v", trip, ok, trip.UpperBound())
+		t.Errorf("round trip %+v, %v after the first answers; upper bound %v", trip, ok, trip.UpperBound())
 	}
 }
 
-func TestQuorum(t *testing.T) {
+func TestQuorumRoundTrip(t *testing.T) {
 	table := New()
 	for to, trip := range map[string]time.Duration{"b": 2 * ms, "c": 16 * ms, "d": 80 * ms} {
 		table.Observe("a", to, trip, 0)
@@ -51,21 +51,22 @@
 		ok      bool
 	}{{0, 0, 0, true}, {1, 0, 2 * ms, true}, {2, 0, 80 * ms, true}, {3, 0, 0, false}, {1, time.Minute, 0, false}} {
 		if got, ok := table.QuorumRoundTrip("a", []string{"a", "b", "c", "d"}, tt.answers, tt.now); got != tt.want || ok != tt.ok {
-			t.Errorf("Quorum of %d at %v: %v, %v", tt.answers, tt.now, got, ok)
+			t.Errorf("round trip of %d answers at %v: %v, %v", tt.answers, tt.now, got, ok)
 		}
 	}
 }
 
-func TestLearnTakesOnlyOwnRows(t *testing.T) {
+func TestMergeTakesOnlyOwnRows(t *testing.T) {
 	table := New()
 	table.Merge("b", []Trip{{From: "b", To: "c", Smoothed: ms}, {From: "a", To: "c", Smoothed: ms}}, 0)
 	if got := table.All(0); len(got) != 1 || got[0].From != "b" {
-		t.Errorf("%+v", got)
+		t.Errorf("rows after the merge: %+v; want only the one from b", got)
 	}
 }
 
-// placed drives a Place over some seconds with the same round trips.
-func placed(a, b time.Duration, lead, steady time.Duration) bool {
+// decideAfter makes a decision each second with the same round trips, and returns the last
+// one.
+func decideAfter(a, b time.Duration, lead, steady time.Duration) bool {
 	var p Placer
 	moved := false
 	for now := lead; now <= lead+steady; now += time.Second {
@@ -79,29 +80,29 @@
 	return moved
 }
 
-func TestPlace(t *testing.T) {
+func TestDecide(t *testing.T) {
 	for name, tt := range map[string]struct {
 		a, b         time.Duration
 		lead, steady time.Duration
 		want         bool
 	}{
-		"far better":             {80 * ms, 2 * ms, minTenure, betterFor, true},
-		"not for long yet":       {80 * ms, 2 * ms, minTenure, betterFor - time.Second, false},
-		"just begun to lead":     {80 * ms, 2 * ms, 0, betterFor, false},
-		"little in milliseconds": {6 * ms, 2 * ms, minTenure, betterFor, false},
-		"little in part":         {160 * ms, 130 * ms, minTenure, betterFor, false},
-		"no better":              {16 * ms, 16 * ms, minTenure, betterFor, false},
+		"far better":          {80 * ms, 2 * ms, minTenure, minBetterDuration, true},
+		"not for long enough": {80 * ms, 2 * ms, minTenure, minBetterDuration - time.Second, false},
+		"new leader":          {80 * ms, 2 * ms, 0, minBetterDuration, false},
+		"small absolute gain": {6 * ms, 2 * ms, minTenure, minBetterDuration, false},
+		"small relative gain": {160 * ms, 130 * ms, minTenure, minBetterDuration, false},
+		"no better":           {16 * ms, 16 * ms, minTenure, minBetterDuration, false},
 	} {
-		if got := placed(tt.a, tt.b, tt.lead, tt.steady); got != tt.want {
-			t.Errorf("%s: move %v", name, got)
+		if got := decideAfter(tt.a, tt.b, tt.lead, tt.steady); got != tt.want {
+			t.Errorf("%s: decided to move: %v, want the opposite", name, got)
 		}
 	}
 }
 
-// TestPlaceStays checks that moves never follow one another by turns: with round trips
-// that vary by a fifth about true ones, there are no more moves than places get better,
-// and no two within minTenure.
-func TestPlaceStays(t *testing.T) {
+// TestNoRepeatedMoves checks that leadership does not move back and forth: with round trips
+// that vary by up to a tenth from their mean in either direction, there are at most as many
+// moves as other voters, and no two within minTenure.
+func TestNoRepeatedMoves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		voters := []string{"a", "b", "c", "d", "e"}[:rapid.SampledFrom([]int{3, 5}).Draw(t, "voters")]
 		trip := map[pair]time.Duration{}
@@ -122,14 +123,14 @@
 			if !ok {
 				continue
 			}
-			if m.To == leader || now-led < minTenure || m.Before-m.After < leastGain {
+			if m.To == leader || now-led < minTenure || m.Before-m.After < minGain {
 				t.Fatalf("moved from %s to %+v after %v", leader, m, now-led)
 			}
 			leader, led, place = m.To, now, Placer{}
 			moves++
 		}
 		if moves > len(voters)-1 {
-			t.Fatalf("%d moves", moves)
+			t.Fatalf("%d moves, more than there are other voters", moves)
 		}
 	})
 }
