--- a/coordination/place/near_test.go
+++ b/coordination/place/near_test.go
@@ -130,18 +130,18 @@
 func TestMostOfARegionIsSuspect(t *testing.T) {
 	regions := threeRegions()
 	v := spreadOver(regions, 3, sixDomains...)
-	gone := 0
+	suspects := 0
 	for i := range v.Servers {
 		s := &v.Servers[i]
 		if regions.Region(s.Domain) != "b" {
 			continue
 		}
 		s.Stats.RequestFailed(true, start)
-		gone++
+		suspects++
 		for _, prefix := range []uint64{0, 42} {
 			j, _ := Choose(v, ChooseMsg{Service: "model", Domain: "b-2", Prefix: prefix, Rand: 3, Now: start})
-			if across := regions.Region(v.Servers[j].Domain) != "b"; across != (gone > 3) {
-				t.Errorf("%d of 6 suspect, prefix %d: chosen in %s", gone, prefix, v.Servers[j].Domain)
+			if across := regions.Region(v.Servers[j].Domain) != "b"; across != (suspects > 3) {
+				t.Errorf("%d of 6 suspect, prefix %d: chosen in %s", suspects, prefix, v.Servers[j].Domain)
 			}
 		}
 	}
