--- a/coordination/route/experiment_test.go
+++ b/coordination/route/experiment_test.go
@@ -104,14 +104,14 @@
 }
 
 // run simulates one chooser on one workload.
-func run(load workload, c Chooser, reads int, seed uint64) result {
+func run(load workload, c Chooser, polled int, seed uint64) result {
 	rnd := rand.New(rand.NewPCG(seed, 7))
-	w := newSimulation(load, c, rnd)
-	w.polled = reads
+	sim := newSimulation(load, c, rnd)
+	sim.polled = polled
 	for step := range simSteps {
-		w.step(step)
+		sim.step(step)
 	}
-	return w.result
+	return sim.result
 }
 
 type simulation struct {
@@ -129,9 +129,9 @@
 }
 
 func newSimulation(load workload, c Chooser, rnd *rand.Rand) *simulation {
-	w := &simulation{workload: load, rnd: rnd, chooser: c}
+	sim := &simulation{workload: load, rnd: rnd, chooser: c}
 	for range load.engines {
-		w.engines = append(w.engines, &engine{cache: map[uint64]int{}})
+		sim.engines = append(sim.engines, &engine{cache: map[uint64]int{}})
 	}
 	for g := range gateways {
 		var servers []state.Server
@@ -141,9 +141,9 @@
 			s.Report.Models = []string{"m"}
 			servers = append(servers, s)
 		}
-		w.servers[g], w.views[g], w.counts[g] = servers, state.NewView(servers), make([]int32, load.engines)
+		sim.servers[g], sim.views[g], sim.counts[g] = servers, state.NewView(servers), make([]int32, load.engines)
 	}
-	return w
+	return sim
 }
 
 func (sim *simulation) step(step int) {
@@ -271,21 +271,21 @@
 
 // place assigns a task to an engine, which prefills what its cache lacks.
 func (sim *simulation) place(k *task, i, generated int) {
-	b := sim.engines[i]
-	k.prefill = max(0, k.conversation.prompt+generated-b.cache[k.conversation.id])
+	e := sim.engines[i]
+	k.prefill = max(0, k.conversation.prompt+generated-e.cache[k.conversation.id])
 	sim.result.prefillTokens += k.prefill
-	b.touch(k.conversation.id, k.conversation.prompt, sim.workload.cache)
-	b.tasks = append(b.tasks, k)
+	e.touch(k.conversation.id, k.conversation.prompt, sim.workload.cache)
+	e.tasks = append(e.tasks, k)
 	sim.counts[k.gateway][i]++
 	sim.servers[k.gateway][i].Counters.Sent.Add(1)
 }
 
 // compute runs an engine for one step: prefill in order of arrival, then one token every
 // few steps for each task, at full speed for up to batchFull tasks.
-func (sim *simulation) compute(i int, b *engine, step int) {
+func (sim *simulation) compute(i int, e *engine, step int) {
 	budget := prefillRate
-	every := stepsPerToken * max(1, (len(b.tasks)+batchFull-1)/batchFull)
-	for _, k := range b.tasks {
+	every := stepsPerToken * max(1, (len(e.tasks)+batchFull-1)/batchFull)
+	for _, k := range e.tasks {
 		if k.prefill > 0 {
 			n := min(budget, k.prefill)
 			k.prefill -= n
@@ -299,17 +299,17 @@
 			k.first = step
 		}
 	}
-	b.tasks = slices.DeleteFunc(b.tasks, func(k *task) bool {
+	e.tasks = slices.DeleteFunc(e.tasks, func(k *task) bool {
 		if k.generated < sim.workload.answer {
 			return false
 		}
 		sim.counts[k.gateway][i]--
-		sim.finish(k, b, step)
+		sim.finish(k, e, step)
 		return true
 	})
 }
 
-func (sim *simulation) finish(k *task, b *engine, step int) {
+func (sim *simulation) finish(k *task, e *engine, step int) {
 	t := k.conversation
 	first := (k.first - k.sent) * int(stepTime.Milliseconds())
 	gap := float64(step-k.first) * float64(stepTime.Milliseconds()) / float64(sim.workload.answer-1)
@@ -322,7 +322,7 @@
 	}
 	t.turn++
 	t.prompt += sim.workload.answer + sim.workload.grow
-	b.touch(t.id, t.prompt-sim.workload.grow, sim.workload.cache)
+	e.touch(t.id, t.prompt-sim.workload.grow, sim.workload.cache)
 	t.due = -1
 	if t.turn < sim.workload.turns {
 		t.due = step + 100 + sim.rnd.IntN(400)
@@ -330,10 +330,10 @@
 }
 
 // row returns the table row of one chooser over the seeds.
-func row(load workload, name string, c Chooser, reads, seeds int) string {
+func row(load workload, name string, c Chooser, polled, seeds int) string {
 	var within, cost, computed, recomputed, slowest, p95 []float64
 	for seed := range uint64(seeds) {
-		s := run(load, c, reads, seed)
+		s := run(load, c, polled, seed)
 		within = append(within, 100*float64(s.good)/float64(s.done+s.refused))
 		hours := float64(load.engines) * simSteps * stepTime.Hours()
 		cost = append(cost, 1e6*hours*engineHourPrice/float64(max(1, s.good)))
