--- a/cmd/weldstreamd/gateway.go
+++ b/cmd/weldstreamd/gateway.go
@@ -100,8 +100,8 @@
 		MoveAhead:   n.Prompts.MoveAhead,
 		Socket:      n.Memory.SocketKB << 10,
 		Connections: n.ServerConnections(),
-	}, platform.Dialect{}, forward.WithLogger(r.log), forward.WithRegistry(r.registry), forward.WithSyncNow(func() { g.client.SyncNow() }), forward.WithLimitsNow(func() { g.client.LimitsNow() }),
-		forward.WithQuotaNow(func() { g.client.QuotaNow() }),
+	}, platform.Dialect{}, forward.WithLogger(r.log), forward.WithRegistry(r.registry), forward.WithSyncNow(func() { g.client.SyncNow() }), forward.WithLimitsNow(func() { g.client.SyncLimitsNow() }),
+		forward.WithQuotaNow(func() { g.client.SyncQuotaNow() }),
 		forward.WithMover(mover(n)),
 		forward.WithReporter(platform.Reporter{}),
 		forward.WithPlace(func(m protocol.PlaceMsg) (protocol.PlaceReply, bool) { return g.client.Place(m) }))
--- a/transport/control/revoke_test.go
+++ b/transport/control/revoke_test.go
@@ -56,12 +56,12 @@
 func (g *confirming) Report(uint64) protocol.SyncMsg {
 	return protocol.SyncMsg{Gateway: "g", Domain: "a1", Number: g.number, Lister: 1}
 }
-func (g *confirming) Reported(*protocol.SyncMsg, *protocol.SyncReply, time.Time) {}
-func (g *confirming) SetRollouts(*protocol.SyncReply, time.Time)                 {}
-func (g *confirming) SetQuarantine(*protocol.SyncReply)                          {}
-func (g *confirming) Agree([]protocol.ServiceLanes)                              {}
-func (g *confirming) ListLate()                                                  {}
-func (g *confirming) Overdue()                                                   {}
+func (g *confirming) HandleSyncReply(*protocol.SyncMsg, *protocol.SyncReply, time.Time) {}
+func (g *confirming) SetRollouts(*protocol.SyncReply, time.Time)                        {}
+func (g *confirming) SetQuarantine(*protocol.SyncReply)                                 {}
+func (g *confirming) SetLanes([]protocol.ServiceLanes)                                  {}
+func (g *confirming) ListLate()                                                         {}
+func (g *confirming) Overdue()                                                          {}
 func (g *confirming) Document(number uint64, _ []byte) error {
 	g.number = number
 	return nil
--- a/transport/forward/copy_test.go
+++ b/transport/forward/copy_test.go
@@ -89,7 +89,7 @@
 	if len(m.Readings) != 1 || m.Readings[0].Server != "a" || len(m.Readings[0].Links) != 1 {
 		t.Errorf("told %+v", m.Readings)
 	}
-	w.g.Reported(&m, &protocol.SyncReply{Term: 1, ReadingsAt: 40}, clock.Now())
+	w.g.HandleSyncReply(&m, &protocol.SyncReply{Term: 1, ReadingsAt: 40}, clock.Now())
 	if m := w.g.Report(1); len(m.Readings) != 0 || m.ReadingsAt != 40 {
 		t.Errorf("told %+v again, asked from %d", m.Readings, m.ReadingsAt)
 	}
--- a/transport/forward/forward_test.go
+++ b/transport/forward/forward_test.go
@@ -532,7 +532,7 @@
 	w.g.syncNow = func() {
 		w.g.cfg.Revoke = time.Nanosecond // The confirmation is too old from here on.
 		m := w.g.Report(1)
-		w.g.Reported(&m, &protocol.SyncReply{Term: 1, Grants: []protocol.QuotaGrant{{Workspace: "w", Units: 1, Lasts: time.Minute}}}, clock.Now())
+		w.g.HandleSyncReply(&m, &protocol.SyncReply{Term: 1, Grants: []protocol.QuotaGrant{{Workspace: "w", Units: 1, Lasts: time.Minute}}}, clock.Now())
 	}
 	if got := w.ask("Key: k"); got.status != 503 || got.verdict != "not-run" || a.runs.Load() > 0 {
 		t.Errorf("got %+v after %d runs", got, a.runs.Load())
@@ -577,7 +577,7 @@
 	w.g.syncNow = func() {
 		go func() {
 			m := w.g.Report(1)
-			w.g.Reported(&m, &protocol.SyncReply{Term: 1, Grants: []protocol.QuotaGrant{{Workspace: "w", Units: units, Lasts: time.Minute, Wait: time.Second}}}, clock.Now())
+			w.g.HandleSyncReply(&m, &protocol.SyncReply{Term: 1, Grants: []protocol.QuotaGrant{{Workspace: "w", Units: units, Lasts: time.Minute, Wait: time.Second}}}, clock.Now())
 		}()
 	}
 	if got := w.ask("Key: k"); got.status != 200 {
@@ -595,23 +595,23 @@
 	w := newWorld(t)
 	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}, Rate: 10, Burst: 10})
 	w.backend("a", good)
-	w.g.WantsApart(true)
+	w.g.SetSeparateQuotaCalls(true)
 	w.g.quotaNow = func() {
 		go func() {
 			if m := w.g.Report(1); len(m.Wants) > 0 {
 				t.Errorf("%+v are asked for with the other questions", m.Wants)
 			}
-			m, any := w.g.ReportWants()
+			m, any := w.g.ReportQuotaDemand()
 			if !any || len(m.Wants) != 1 || m.Wants[0].Units != 1 {
 				t.Errorf("asked for %+v", m.Wants)
 			}
-			w.g.GrantedWants(&m, &protocol.QuotaReply{Leads: true, Grants: []protocol.QuotaGrant{{Workspace: "w", Units: 1, Lasts: time.Minute}}}, clock.Now())
+			w.g.HandleQuotaReply(&m, &protocol.QuotaReply{Leads: true, Grants: []protocol.QuotaGrant{{Workspace: "w", Units: 1, Lasts: time.Minute}}}, clock.Now())
 		}()
 	}
 	if got := w.ask("Key: k"); got.status != 200 {
 		t.Errorf("got %+v", got)
 	}
-	if m, _ := w.g.ReportWants(); len(m.Wants) > 0 && m.Wants[0].Waiting > 0 {
+	if m, _ := w.g.ReportQuotaDemand(); len(m.Wants) > 0 && m.Wants[0].Waiting > 0 {
 		t.Errorf("asked for again as if a request waited: %+v", m.Wants)
 	}
 }
@@ -737,7 +737,7 @@
 	w := newWorld(t)
 	m := w.g.Report(1)
 	ahead := 5 * w.g.cfg.UsageWindow
-	w.g.Reported(&m, &protocol.SyncReply{Term: 1, Clock: m.Clock.Add(ahead)}, clock.Now())
+	w.g.HandleSyncReply(&m, &protocol.SyncReply{Term: 1, Clock: m.Clock.Add(ahead)}, clock.Now())
 	before := w.g.clock.Now(time.Since(w.g.began))
 	w.g.count("w")
 	report := w.g.Report(1)
@@ -786,11 +786,11 @@
 		w := newWorld(t)
 		told := 0
 		w.g.quotaNow = func() { told++ }
-		w.g.WantsApart(apart)
+		w.g.SetSeparateQuotaCalls(apart)
 		x := &exchange{g: w.g, placed: protocol.PlaceReply{Server: "a", Term: 1, Number: 7}, start: clock.Now()}
 		x.ended()
 		own, others := 0, len(w.g.Report(1).Done)
-		if m, any := w.g.ReportWants(); any {
+		if m, any := w.g.ReportQuotaDemand(); any {
 			own = len(m.Done)
 		}
 		if want := map[bool][3]int{true: {1, 1, 0}, false: {0, 0, 1}}[apart]; [3]int{told, own, others} != want {
--- a/transport/forward/limiting.go
+++ b/transport/forward/limiting.go
@@ -112,8 +112,8 @@
 	return w.limits.Limited()
 }
 
-// LimitsBehind reports whether the leader of a term has limits that are not known here.
-func (g *Gateway) LimitsBehind(term, change uint64) bool {
+// LimitsOutdated reports whether the leader of a term has limits that are not known here.
+func (g *Gateway) LimitsOutdated(term, change uint64) bool {
 	w := &g.words
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -132,25 +132,25 @@
 	return m, any
 }
 
-// Words returns what servers said to this gateway of their limits.
-func (g *Gateway) Words() []protocol.ReportedLimit {
+// ObservedLimits returns what servers said to this gateway of their limits.
+func (g *Gateway) ObservedLimits() []protocol.ReportedLimit {
 	w := &g.words
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.limits.DirectLimits(clock.Now())
 }
 
-// TakePassed takes what servers said to other gateways.
-func (g *Gateway) TakePassed(rows []protocol.ReportedLimit) {
+// AddSharedLimits takes what servers said to other gateways.
+func (g *Gateway) AddSharedLimits(rows []protocol.ReportedLimit) {
 	w := &g.words
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.limits.MergeForwarded(rows, clock.Now())
 }
 
-// AnsweredLimits takes the leader's answer to a report that was made at a time; it is nil
+// HandleLimitsReply takes the leader's answer to a report that was made at a time; it is nil
 // where none came. Requests that wait look again.
-func (g *Gateway) AnsweredLimits(m *protocol.LimitsMsg, reply *protocol.LimitsReply, asked time.Time) {
+func (g *Gateway) HandleLimitsReply(m *protocol.LimitsMsg, reply *protocol.LimitsReply, asked time.Time) {
 	w := &g.words
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/transport/forward/limiting_test.go
+++ b/transport/forward/limiting_test.go
@@ -29,7 +29,7 @@
 			m, _ := w.g.ReportLimits()
 			asked := clock.Now()
 			reply := book.HandleReport(&m, 1, asked)
-			w.g.AnsweredLimits(&m, &reply, asked)
+			w.g.HandleLimitsReply(&m, &reply, asked)
 		}
 	}()
 }
--- a/transport/forward/limits.go
+++ b/transport/forward/limits.go
@@ -193,8 +193,8 @@
 	return m
 }
 
-// Reported notes that the leader has a report, and what it answered of quotas.
-func (g *Gateway) Reported(m *protocol.SyncMsg, reply *protocol.SyncReply, asked time.Time) {
+// HandleSyncReply notes that the leader has a report, and what it answered of quotas.
+func (g *Gateway) HandleSyncReply(m *protocol.SyncMsg, reply *protocol.SyncReply, asked time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.counter.Acknowledged(reply.Term, m.Usage)
@@ -229,16 +229,16 @@
 	}
 }
 
-// Share takes how many requests the listed servers have from all gateways, and
+// SetLoads takes how many requests the listed servers have from all gateways, and
 // which of them others distrust.
-func (g *Gateway) Share(loads, distrusted []byte) {
+func (g *Gateway) SetLoads(loads, distrusted []byte) {
 	if ids := g.view.Load().ApplyLoads(loads, distrusted, clock.Now()); len(ids) > 0 {
 		g.log.Info().Strs("servers", ids).Msg("servers distrusted by other gateways")
 	}
 }
 
-// Agree takes the terms by which all gateways part long prompts from short ones.
-func (g *Gateway) Agree(lanes []protocol.ServiceLanes) {
+// SetLanes takes the terms by which all gateways part long prompts from short ones.
+func (g *Gateway) SetLanes(lanes []protocol.ServiceLanes) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, l := range lanes {
--- a/transport/forward/quarantine_test.go
+++ b/transport/forward/quarantine_test.go
@@ -208,7 +208,7 @@
 		t.Errorf("the server's end: %+v", o)
 	}
 	m := protocol.SyncMsg{Observations: told}
-	w.g.Reported(&m, &protocol.SyncReply{Term: 1}, clock.Now())
+	w.g.HandleSyncReply(&m, &protocol.SyncReply{Term: 1}, clock.Now())
 	if again := w.g.Report(1).Observations; len(again) != 0 {
 		t.Errorf("told again: %+v", again)
 	}
--- a/transport/forward/quota.go
+++ b/transport/forward/quota.go
@@ -16,15 +16,15 @@
 	g.syncNow()
 }
 
-// WantsApart implements uplink.Quotas.
-func (g *Gateway) WantsApart(apart bool) {
+// SetSeparateQuotaCalls implements uplink.QuotaRequester.
+func (g *Gateway) SetSeparateQuotaCalls(apart bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.apart = apart
 }
 
-// ReportWants implements uplink.Quotas.
-func (g *Gateway) ReportWants() (m protocol.QuotaMsg, any bool) {
+// ReportQuotaDemand implements uplink.QuotaRequester.
+func (g *Gateway) ReportQuotaDemand() (m protocol.QuotaMsg, any bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	m = protocol.QuotaMsg{Gateway: g.cfg.Name, Wants: g.allowance.Wants(clock.Now()), Done: g.done}
@@ -32,8 +32,8 @@
 	return m, len(m.Wants)+len(m.Done) > 0
 }
 
-// GrantedWants implements uplink.Quotas.
-func (g *Gateway) GrantedWants(m *protocol.QuotaMsg, reply *protocol.QuotaReply, asked time.Time) {
+// HandleQuotaReply implements uplink.QuotaRequester.
+func (g *Gateway) HandleQuotaReply(m *protocol.QuotaMsg, reply *protocol.QuotaReply, asked time.Time) {
 	if reply == nil {
 		return // What was to be given back is lost, as the question may have come through.
 	}
--- a/transport/forward/suspend_test.go
+++ b/transport/forward/suspend_test.go
@@ -72,7 +72,7 @@
 	m := w.g.Report(1)
 	m.Wants = []protocol.QuotaRequest{{Workspace: "w", Units: 5}}
 	reply := &protocol.SyncReply{Term: 1, Grants: []protocol.QuotaGrant{{Workspace: "w", Units: 5, Lasts: 10 * time.Second}}}
-	w.g.Reported(&m, reply, clock.Now())
+	w.g.HandleSyncReply(&m, reply, clock.Now())
 	if got := w.ask("Key: k"); got.status != 200 {
 		t.Fatalf("got %+v", got)
 	}
--- a/transport/forward/trial_test.go
+++ b/transport/forward/trial_test.go
@@ -181,11 +181,11 @@
 	}
 	m := told(1, 2)
 	told(1, 2) // The answer was lost.
-	w.g.Reported(&m, &protocol.SyncReply{Term: 1}, clock.Now())
+	w.g.HandleSyncReply(&m, &protocol.SyncReply{Term: 1}, clock.Now())
 	told(1)
 	w.askMany(1)
 	m = told(1, 3)
-	w.g.Reported(&m, &protocol.SyncReply{Term: 1}, clock.Now())
+	w.g.HandleSyncReply(&m, &protocol.SyncReply{Term: 1}, clock.Now())
 	told(2, 3)
 }
 
--- a/transport/uplink/limits.go
+++ b/transport/uplink/limits.go
@@ -14,25 +14,25 @@
 
 // Limiter is a gateway that keeps to the limits which servers name.
 type Limiter interface {
-	// LimitsBehind reports whether the leader of a term has limits that the gateway lacks.
-	LimitsBehind(term, change uint64) bool
+	// LimitsOutdated reports whether the leader of a term has limits that the gateway lacks.
+	LimitsOutdated(term, change uint64) bool
 	// ReportLimits returns what the leader is to be told and asked. It is false where no
 	// server is known to limit its requests.
 	ReportLimits() (m protocol.LimitsMsg, any bool)
-	// AnsweredLimits takes the leader's answer to a report that was made at a time; it is
+	// HandleLimitsReply takes the leader's answer to a report that was made at a time; it is
 	// nil where none came.
-	AnsweredLimits(m *protocol.LimitsMsg, reply *protocol.LimitsReply, asked time.Time)
-	// Words returns what servers said to the gateway itself of their limits.
-	Words() []protocol.ReportedLimit
-	// TakePassed takes what servers said to other gateways, while no leader answers.
-	TakePassed(rows []protocol.ReportedLimit)
+	HandleLimitsReply(m *protocol.LimitsMsg, reply *protocol.LimitsReply, asked time.Time)
+	// ObservedLimits returns what servers said to the gateway itself of their limits.
+	ObservedLimits() []protocol.ReportedLimit
+	// AddSharedLimits takes what servers said to other gateways, while no leader answers.
+	AddSharedLimits(rows []protocol.ReportedLimit)
 }
 
 // WithLimiter sets the gateway that keeps to the servers' limits; without it none is kept.
 func WithLimiter(l Limiter) Option { return func(c *Client) { c.limiter = l } }
 
-// LimitsNow has the leader asked at once for what the limits of servers need.
-func (c *Client) LimitsNow() {
+// SyncLimitsNow has the leader asked at once for what the limits of servers need.
+func (c *Client) SyncLimitsNow() {
 	select {
 	case c.limitsNow <- struct{}{}:
 	default: // It is about to be asked.
@@ -71,7 +71,7 @@
 	if err != nil {
 		c.log.Debug().Err(err).Msg("no leader answers on the servers' limits")
 	}
-	c.limiter.AnsweredLimits(&m, reply, asked)
+	c.limiter.HandleLimitsReply(&m, reply, asked)
 	return err == nil
 }
 
@@ -101,7 +101,7 @@
 	}
 	c.passedTurn++
 	address := all[c.passedTurn%len(all)]
-	m := protocol.SharedLimitsMsg{Held: c.passed[address], Heard: c.limiter.Words()}
+	m := protocol.SharedLimitsMsg{Held: c.passed[address], Heard: c.limiter.ObservedLimits()}
 	var reply protocol.SharedLimitsReply
 	if err := c.caller.Call(address, "Uplink.Passed", m, &reply, limitsTime); err != nil {
 		c.log.Debug().Err(err).Str("instance", address).Msg("a control instance does not pass on the servers' limits")
@@ -110,7 +110,7 @@
 	c.passed[address] = reply.Holds
 	if len(reply.Heard) > 0 {
 		c.log.Info().Str("instance", address).Int("limits", len(reply.Heard)).Msg("limits of servers that other gateways heard of")
-		c.limiter.TakePassed(reply.Heard)
+		c.limiter.AddSharedLimits(reply.Heard)
 	}
 }
 
@@ -132,8 +132,8 @@
 
 // noteLimits has the leader asked where it has limits that the gateway lacks.
 func (c *Client) noteLimits(reply *protocol.SyncReply) {
-	if c.limiter != nil && c.limiter.LimitsBehind(reply.Term, reply.Limits) {
+	if c.limiter != nil && c.limiter.LimitsOutdated(reply.Term, reply.Limits) {
 		c.limitsBehind.Store(true)
-		c.LimitsNow()
+		c.SyncLimitsNow()
 	}
 }
--- a/transport/uplink/limits_test.go
+++ b/transport/uplink/limits_test.go
@@ -19,11 +19,11 @@
 	failed   atomic.Int64 // failed counts questions that got none.
 }
 
-func (*limiter) LimitsBehind(uint64, uint64) bool         { return false }
+func (*limiter) LimitsOutdated(uint64, uint64) bool       { return false }
 func (*limiter) ReportLimits() (protocol.LimitsMsg, bool) { return protocol.LimitsMsg{}, true }
-func (*limiter) Words() []protocol.ReportedLimit          { return nil }
-func (*limiter) TakePassed([]protocol.ReportedLimit)      {}
-func (l *limiter) AnsweredLimits(_ *protocol.LimitsMsg, reply *protocol.LimitsReply, _ time.Time) {
+func (*limiter) ObservedLimits() []protocol.ReportedLimit { return nil }
+func (*limiter) AddSharedLimits([]protocol.ReportedLimit) {}
+func (l *limiter) HandleLimitsReply(_ *protocol.LimitsMsg, reply *protocol.LimitsReply, _ time.Time) {
 	if reply == nil {
 		l.failed.Add(1)
 		return
@@ -66,7 +66,7 @@
 			_ = client.RunLimits(ctx) // It ends with ctx alone.
 		}()
 		for gateway.answered.Load()+gateway.failed.Load() < 5 {
-			client.LimitsNow()
+			client.SyncLimitsNow()
 			time.Sleep(time.Millisecond)
 		}
 		took := time.Since(began)
@@ -107,8 +107,10 @@
 	took map[string]int
 }
 
-func (h *hearing) Words() []protocol.ReportedLimit { return []protocol.ReportedLimit{{Server: "own"}} }
-func (h *hearing) TakePassed(rows []protocol.ReportedLimit) {
+func (h *hearing) ObservedLimits() []protocol.ReportedLimit {
+	return []protocol.ReportedLimit{{Server: "own"}}
+}
+func (h *hearing) AddSharedLimits(rows []protocol.ReportedLimit) {
 	for _, row := range rows {
 		h.took[row.Server]++
 	}
--- a/transport/uplink/quota.go
+++ b/transport/uplink/quota.go
@@ -15,25 +15,25 @@
 // that is gone still hear of the next one.
 const quotaTime = answerDue
 
-// Quotas is a gateway that takes parts of quotas.
-type Quotas interface {
-	// WantsApart has the gateway keep its wants for ReportWants, or tell them with its
+// QuotaRequester is a gateway that takes parts of quotas.
+type QuotaRequester interface {
+	// SetSeparateQuotaCalls has the gateway keep its wants for ReportQuotaDemand, or tell them with its
 	// other questions, as leaders of earlier builds need.
-	WantsApart(bool)
-	// ReportWants returns the parts of quotas that are to be asked for. It is false where
+	SetSeparateQuotaCalls(bool)
+	// ReportQuotaDemand returns the parts of quotas that are to be asked for. It is false where
 	// there are none.
-	ReportWants() (m protocol.QuotaMsg, any bool)
-	// GrantedWants takes the leader's answer to wants that were reported at a time; it is nil
+	ReportQuotaDemand() (m protocol.QuotaMsg, any bool)
+	// HandleQuotaReply takes the leader's answer to wants that were reported at a time; it is nil
 	// where none came.
-	GrantedWants(m *protocol.QuotaMsg, reply *protocol.QuotaReply, asked time.Time)
+	HandleQuotaReply(m *protocol.QuotaMsg, reply *protocol.QuotaReply, asked time.Time)
 }
 
 // WithQuotas sets the gateway that asks for parts of quotas apart from its other questions;
 // without it they go with those.
-func WithQuotas(q Quotas) Option { return func(c *Client) { c.quotas = q } }
+func WithQuotas(q QuotaRequester) Option { return func(c *Client) { c.quotas = q } }
 
-// QuotaNow has the leader asked at once for parts of quotas.
-func (c *Client) QuotaNow() {
+// SyncQuotaNow has the leader asked at once for parts of quotas.
+func (c *Client) SyncQuotaNow() {
 	if !c.quotaApart.Load() {
 		c.SyncNow()
 		return
@@ -58,7 +58,7 @@
 
 // askQuota asks the leader, if there is anything to ask.
 func (c *Client) askQuota() {
-	m, any := c.quotas.ReportWants()
+	m, any := c.quotas.ReportQuotaDemand()
 	if !any {
 		return
 	}
@@ -70,14 +70,14 @@
 		err = c.caller.Call(leader, "Uplink.Quota", m, &reply, quotaTime)
 	}
 	if err == nil && reply.Leads {
-		c.quotas.GrantedWants(&m, &reply, asked)
+		c.quotas.HandleQuotaReply(&m, &reply, asked)
 		return
 	}
 	c.log.Debug().Err(err).Str("leader", leader).Msg("no leader grants parts of quotas")
 	if server := rpc.ServerError(""); errors.As(err, &server) {
 		c.noQuotaCall.Store(leader)
 	}
-	c.quotas.GrantedWants(&m, nil, asked)
+	c.quotas.HandleQuotaReply(&m, nil, asked)
 	c.askApart(false)
 	c.SyncNow() // It finds the leader that grants them.
 }
@@ -92,7 +92,7 @@
 // askApart has parts of quotas asked for apart, or with the other questions.
 func (c *Client) askApart(apart bool) {
 	if c.quotas != nil && c.quotaApart.Swap(apart) != apart {
-		c.quotas.WantsApart(apart)
+		c.quotas.SetSeparateQuotaCalls(apart)
 	}
 }
 
--- a/transport/uplink/quota_test.go
+++ b/transport/uplink/quota_test.go
@@ -19,11 +19,11 @@
 	failed  int
 }
 
-func (w *wanting) WantsApart(apart bool) { w.apart = apart }
-func (w *wanting) ReportWants() (protocol.QuotaMsg, bool) {
+func (w *wanting) SetSeparateQuotaCalls(apart bool) { w.apart = apart }
+func (w *wanting) ReportQuotaDemand() (protocol.QuotaMsg, bool) {
 	return protocol.QuotaMsg{Gateway: "g"}, true
 }
-func (w *wanting) GrantedWants(_ *protocol.QuotaMsg, reply *protocol.QuotaReply, _ time.Time) {
+func (w *wanting) HandleQuotaReply(_ *protocol.QuotaMsg, reply *protocol.QuotaReply, _ time.Time) {
 	if reply == nil {
 		w.failed++
 		return
--- a/transport/uplink/uplink.go
+++ b/transport/uplink/uplink.go
@@ -38,8 +38,8 @@
 type Gateway interface {
 	// Report returns what the gateway tells the leader of a term.
 	Report(term uint64) protocol.SyncMsg
-	// Reported notes that the leader has a report, and what it answered of quotas.
-	Reported(m *protocol.SyncMsg, reply *protocol.SyncReply, asked time.Time)
+	// HandleSyncReply notes that the leader has a report, and what it answered of quotas.
+	HandleSyncReply(m *protocol.SyncMsg, reply *protocol.SyncReply, asked time.Time)
 	// Document takes a document that is newer than the one in force.
 	Document(number uint64, data []byte) error
 	// SetRollouts takes the leader's answer on roll-outs to a question that was sent at a
@@ -54,11 +54,11 @@
 	// ListLate notes that the leader could not read the list for a while. It is called with
 	// each answer until it could.
 	ListLate()
-	// Agree takes the terms by which all gateways part long prompts from short ones.
-	Agree(lanes []protocol.ServiceLanes)
-	// Share takes how many requests the listed servers have from all gateways, in
+	// SetLanes takes the terms by which all gateways part long prompts from short ones.
+	SetLanes(lanes []protocol.ServiceLanes)
+	// SetLoads takes how many requests the listed servers have from all gateways, in
 	// the order of their names, and which of them to pass over, a bit each.
-	Share(loads, distrusted []byte)
+	SetLoads(loads, distrusted []byte)
 	// Overdue notes that the leader's answer is overdue, or that no leader is known. It
 	// is called again and again until one answers.
 	Overdue()
@@ -107,8 +107,8 @@
 type Client struct {
 	caller   Caller
 	gateway  Gateway
-	limiter  Limiter // limiter is nil where no limits of servers are kept.
-	quotas   Quotas  // quotas is nil where parts of quotas are asked for with the other questions.
+	limiter  Limiter        // limiter is nil where no limits of servers are kept.
+	quotas   QuotaRequester // quotas is nil where parts of quotas are asked for with the other questions.
 	unpack   func([]byte) (protocol.ServerList, error)
 	topology *topology.Topology
 	log      zerolog.Logger
@@ -292,9 +292,9 @@
 // errNoLeader is returned where no control instance is known to lead.
 var errNoLeader = eris.New("no leader is known")
 
-// ErrOverdue is the reason why a leader is given up whose answer is overdue while
+// ErrReplyOverdue is the reason why a leader is given up whose answer is overdue while
 // another one leads.
-var ErrOverdue = eris.New("its answer is overdue, and another instance leads")
+var ErrReplyOverdue = eris.New("its answer is overdue, and another instance leads")
 
 // sync sends a question to the leader, whose answer is received from the channel.
 func (c *Client) sync(address string, m protocol.SyncMsg) <-chan answer {
@@ -331,7 +331,7 @@
 			due.Reset(searchPause)
 		case n := <-found:
 			if n.leader != address {
-				return answer{err: ErrOverdue, other: n.leader}
+				return answer{err: ErrReplyOverdue, other: n.leader}
 			}
 		case <-ctx.Done():
 			return answer{err: ctx.Err()}
@@ -372,8 +372,8 @@
 		c.gateway.ListLate()
 	}
 	c.gateway.Confirm(asked, reply.Gateways)
-	c.gateway.Reported(m, reply, asked)
-	c.gateway.Agree(reply.Lanes)
+	c.gateway.HandleSyncReply(m, reply, asked)
+	c.gateway.SetLanes(reply.Lanes)
 	if err := c.share(reply); err != nil {
 		c.log.Error().Err(err).Str("from", address).Msg("the servers' loads cannot be read")
 	}
@@ -412,7 +412,7 @@
 	}
 	c.loads, c.mark = loads, reply.Loaded
 	if len(loads) > 0 {
-		c.gateway.Share(loads, reply.Distrusted)
+		c.gateway.SetLoads(loads, reply.Distrusted)
 	}
 	return nil
 }
--- a/transport/uplink/uplink_test.go
+++ b/transport/uplink/uplink_test.go
@@ -76,8 +76,8 @@
 func (g *fakeGateway) Report(uint64) protocol.SyncMsg    { return protocol.SyncMsg{Number: g.number} }
 func (g *fakeGateway) SetQuarantine(*protocol.SyncReply) { g.held = append(g.held, g.confirmed) }
 
-func (g *fakeGateway) SetRollouts(*protocol.SyncReply, time.Time)                 {}
-func (g *fakeGateway) Reported(*protocol.SyncMsg, *protocol.SyncReply, time.Time) {}
+func (g *fakeGateway) SetRollouts(*protocol.SyncReply, time.Time)                        {}
+func (g *fakeGateway) HandleSyncReply(*protocol.SyncMsg, *protocol.SyncReply, time.Time) {}
 func (g *fakeGateway) Document(number uint64, _ []byte) error {
 	if g.bad {
 		return errors.New("cannot be read")
@@ -87,8 +87,8 @@
 }
 func (g *fakeGateway) Overdue()                            { g.overdue.Add(1) }
 func (g *fakeGateway) ListLate()                           { g.late++ }
-func (g *fakeGateway) Share(loads, _ []byte)               { g.loads = loads }
-func (g *fakeGateway) Agree([]protocol.ServiceLanes)       {}
+func (g *fakeGateway) SetLoads(loads, _ []byte)            { g.loads = loads }
+func (g *fakeGateway) SetLanes([]protocol.ServiceLanes)    {}
 func (g *fakeGateway) SetServers(list []protocol.Instance) { g.servers = len(list) }
 func (g *fakeGateway) Confirm(at time.Time, _ int)         { g.confirmed, g.at = g.confirmed+1, at }
 
