--- a/transport/uplink/choice.go
+++ b/transport/uplink/choice.go
@@ -7,42 +7,43 @@
 	"github.com/weldstream/weldstream/internal/clock"
 )
 
-// near returns the address of the instance of the own region to ask; empty for none.
-func (c *Client) near() string {
+// chooseInstance returns the address of the instance that the link selector picks for this
+// gateway, or "" if it picks none.
+func (c *Client) chooseInstance() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.links.Choose(c.named, clock.Now())
+	return c.links.Choose(c.reportedLeader, clock.Now())
 }
 
-// failed has an instance of the own region passed over for a backoff; silent says that it
-// did not answer in time.
-func (c *Client) failed(address string, silent bool) {
+// recordFailure makes the link selector skip an instance for a backoff period. timedOut is
+// true if the instance did not answer in time.
+func (c *Client) recordFailure(address string, timedOut bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.links.RecordFailure(address, silent, clock.Now())
+	c.links.RecordFailure(address, timedOut, clock.Now())
 }
 
-// observe notes how long an answer took.
-func (c *Client) observe(address string, took time.Duration) {
+// recordAnswer records the latency of an answer and clears the instance's failures.
+func (c *Client) recordAnswer(address string, took time.Duration) {
 	c.answerTime(address).Observe(took)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.links.Answered(address)
 }
 
-// due returns the timeout after which an instance's answer is overdue.
-func (c *Client) due(address string) time.Duration {
-	if !c.nears() {
-		return answerDue
+// answerTimeout returns the time after which an instance's answer is overdue.
+func (c *Client) answerTimeout(address string) time.Duration {
+	if !c.mayUseRelay() {
+		return overdueTimeout
 	}
-	first := firstDue
+	first := firstAnswerAllowance
 	if !c.topology.Several() {
 		first = 0
 	}
-	return c.answerTime(address).Due(answerDue, first)
+	return c.answerTime(address).Due(overdueTimeout, first)
 }
 
-// answerTime returns how long an instance's answers take.
+// answerTime returns the latency estimate of an instance, creating it on first use.
 func (c *Client) answerTime(address string) *link.AnswerTime {
 	p := c.answerTimes[address]
 	if p == nil {
--- a/transport/uplink/limits.go
+++ b/transport/uplink/limits.go
@@ -9,81 +9,88 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// limitsTime bounds a question for permits: two round trips between regions 80 ms apart.
-const limitsTime = 320 * time.Millisecond
+// limitsTimeout bounds a request for permits: two round trips between regions with a one-way
+// latency of 80 ms.
+const limitsTimeout = 320 * time.Millisecond
 
-// Limiter is a gateway that keeps to the limits which servers name.
+// Limiter is a gateway that enforces the request limits reported by backend servers.
 type Limiter interface {
-	// LimitsOutdated reports whether the leader of a term has limits that the gateway lacks.
+	// LimitsOutdated reports whether the leader of the given term has limits that the gateway
+	// does not have yet.
 	LimitsOutdated(term, change uint64) bool
-	// ReportLimits returns what the leader is to be told and asked. It is false where no
+	// ReportLimits returns the report and requests to send to the leader, and false if no
 	// server is known to limit its requests.
 	ReportLimits() (m protocol.LimitsMsg, any bool)
-	// HandleLimitsReply takes the leader's answer to a report that was made at a time; it is
-	// nil where none came.
+	// HandleLimitsReply processes the leader's reply to the report m, which was sent at the
+	// time asked. The reply is nil if none arrived.
 	HandleLimitsReply(m *protocol.LimitsMsg, reply *protocol.LimitsReply, asked time.Time)
-	// ObservedLimits returns what servers said to the gateway itself of their limits.
+	// ObservedLimits returns the limits that servers reported to this gateway.
 	ObservedLimits() []protocol.ReportedLimit
-	// AddSharedLimits takes what servers said to other gateways, while no leader answers.
+	// AddSharedLimits adds limits that servers reported to other gateways. It is called while
+	// no leader answers.
 	AddSharedLimits(rows []protocol.ReportedLimit)
 }
 
-// WithLimiter sets the gateway that keeps to the servers' limits; without it none is kept.
+// WithLimiter sets the gateway that enforces the servers' limits. Without it, no
+// limits are exchanged.
 func WithLimiter(l Limiter) Option { return func(c *Client) { c.limiter = l } }
 
-// SyncLimitsNow has the leader asked at once for what the limits of servers need.
+// SyncLimitsNow makes RunLimits contact the leader immediately.
 func (c *Client) SyncLimitsNow() {
 	select {
 	case c.limitsNow <- struct{}{}:
-	default: // It is about to be asked.
+	default: // A request is already pending.
 	}
 }
 
-// RunLimits keeps the gateway's part in the servers' limits up to date, until ctx ends. It
-// has a loop of its own: requests wait for its answers, and a question to the leader may
-// wait for a list. While no leader answers, the control instances are asked in turn what
-// servers said to other gateways, each of them as often as a leader would be.
+// RunLimits exchanges the servers' limits with the leader until ctx ends. It is separate from
+// the main loop because client requests wait for its replies, while a reply to the main loop
+// may be delayed by a server list. While no leader answers, it polls the control instances in
+// turn for limits that servers reported to other gateways. Each of them is polled at the rate
+// at which a leader would be.
 func (c *Client) RunLimits(ctx context.Context) error {
-	most := every
+	interval := minSyncInterval
 	for ctx.Err() == nil {
-		pause.Until(ctx, most, c.limitsNow)
-		most = askEvery(int(c.members.Load()))
-		if !c.askLimits() {
-			c.askPassed()
-			most /= time.Duration(max(1, len(c.known())))
-			pause.For(ctx, searchPause) // Requests that wait ask again at once.
+		pause.Until(ctx, interval, c.limitsNow)
+		interval = syncIntervalFor(int(c.gatewayCount.Load()))
+		if !c.syncLimits() {
+			c.syncSharedLimits()
+			interval /= time.Duration(max(1, len(c.knownControls())))
+			pause.For(ctx, searchPause) // Waiting requests call SyncLimitsNow again immediately.
 		}
 	}
 	return nil
 }
 
-// askLimits asks the leader, or a relay, if there is anything to ask or to tell. It is
-// false where no leader answers.
-func (c *Client) askLimits() bool {
+// syncLimits exchanges limits with the leader or a relay if there is anything to send or
+// fetch. It returns false if no leader answers.
+func (c *Client) syncLimits() bool {
 	m, any := c.limiter.ReportLimits()
-	behind := c.limitsBehind.Swap(false)
-	if !any && !behind {
-		return c.linkAddress() != ""
+	outdated := c.limitsOutdated.Swap(false)
+	if !any && !outdated {
+		return c.linkedInstance() != ""
 	}
-	m.Life = c.life
+	m.Life = c.incarnation
 	asked := clock.Now()
-	reply, err := c.callLimits(m)
+	reply, err := c.callLeaderLimits(m)
 	if err != nil {
-		c.log.Debug().Err(err).Msg("no leader answers on the servers' limits")
+		c.log.Debug().Err(err).Msg("no leader answered the request for server limits")
 	}
 	c.limiter.HandleLimitsReply(&m, reply, asked)
 	return err == nil
 }
 
-// linkAddress returns the instance that answers for the leader; empty while there is none.
-func (c *Client) linkAddress() string {
+// linkedInstance returns the address of the leader or of the relay in use, or "" if there is
+// none.
+func (c *Client) linkedInstance() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.leader
+	return c.linkAddr
 }
 
-// known returns the control instances that are known: the seeds before one told of others.
-func (c *Client) known() []string {
+// knownControls returns the known control instances, or the seeds until the first list of
+// control instances arrives.
+func (c *Client) knownControls() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.controls) > 0 {
@@ -92,36 +99,37 @@
 	return c.seeds
 }
 
-// askPassed asks the next control instance what servers said to other gateways. A gateway
-// that was never linked serves nothing, and asks none: all of them start at the same time.
-func (c *Client) askPassed() {
-	all := c.known()
-	if len(all) == 0 || c.members.Load() == 0 {
+// syncSharedLimits polls the next control instance for limits that servers reported to other
+// gateways. A gateway that was never linked serves no requests and polls nobody,
+// since all gateways may start at the same time.
+func (c *Client) syncSharedLimits() {
+	controls := c.knownControls()
+	if len(controls) == 0 || c.gatewayCount.Load() == 0 {
 		return
 	}
-	c.passedTurn++
-	address := all[c.passedTurn%len(all)]
-	m := protocol.SharedLimitsMsg{Held: c.passed[address], Heard: c.limiter.ObservedLimits()}
+	c.controlTurn++
+	address := controls[c.controlTurn%len(controls)]
+	m := protocol.SharedLimitsMsg{Held: c.sharedVersions[address], Heard: c.limiter.ObservedLimits()}
 	var reply protocol.SharedLimitsReply
-	if err := c.caller.Call(address, "Uplink.Passed", m, &reply, limitsTime); err != nil {
-		c.log.Debug().Err(err).Str("instance", address).Msg("a control instance does not pass on the servers' limits")
+	if err := c.caller.Call(address, "Uplink.Passed", m, &reply, limitsTimeout); err != nil {
+		c.log.Debug().Err(err).Str("instance", address).Msg("control instance did not return shared server limits")
 		return
 	}
-	c.passed[address] = reply.Holds
+	c.sharedVersions[address] = reply.Holds
 	if len(reply.Heard) > 0 {
-		c.log.Info().Str("instance", address).Int("limits", len(reply.Heard)).Msg("limits of servers that other gateways heard of")
+		c.log.Info().Str("instance", address).Int("limits", len(reply.Heard)).Msg("received server limits reported to other gateways")
 		c.limiter.AddSharedLimits(reply.Heard)
 	}
 }
 
-// callLimits returns the answer of a leader, or why there is none.
-func (c *Client) callLimits(m protocol.LimitsMsg) (*protocol.LimitsReply, error) {
-	leader := c.linkAddress()
+// callLeaderLimits sends the report to the leader or relay in use and returns its reply.
+func (c *Client) callLeaderLimits(m protocol.LimitsMsg) (*protocol.LimitsReply, error) {
+	leader := c.linkedInstance()
 	if leader == "" {
 		return nil, errNoLeader
 	}
 	var reply protocol.LimitsReply
-	if err := c.caller.Call(leader, "Uplink.Limits", m, &reply, limitsTime); err != nil {
+	if err := c.caller.Call(leader, "Uplink.Limits", m, &reply, limitsTimeout); err != nil {
 		return nil, err
 	}
 	if !reply.Leads {
@@ -130,10 +138,11 @@
 	return &reply, nil
 }
 
-// noteLimits has the leader asked where it has limits that the gateway lacks.
-func (c *Client) noteLimits(reply *protocol.SyncReply) {
+// checkLimits triggers a limits exchange if the reply shows that the leader has limits that
+// the gateway does not have yet.
+func (c *Client) checkLimits(reply *protocol.SyncReply) {
 	if c.limiter != nil && c.limiter.LimitsOutdated(reply.Term, reply.Limits) {
-		c.limitsBehind.Store(true)
+		c.limitsOutdated.Store(true)
 		c.SyncLimitsNow()
 	}
 }
--- a/transport/uplink/limits_test.go
+++ b/transport/uplink/limits_test.go
@@ -13,17 +13,17 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// limiter is a gateway whose servers name limits.
-type limiter struct {
-	answered atomic.Int64 // answered counts the answers of a leader.
-	failed   atomic.Int64 // failed counts questions that got none.
+// fakeLimiter is a Limiter that always has a report and counts the replies.
+type fakeLimiter struct {
+	answered atomic.Int64 // answered counts replies of a leader.
+	failed   atomic.Int64 // failed counts reports without a reply.
 }
 
-func (*limiter) LimitsOutdated(uint64, uint64) bool       { return false }
-func (*limiter) ReportLimits() (protocol.LimitsMsg, bool) { return protocol.LimitsMsg{}, true }
-func (*limiter) ObservedLimits() []protocol.ReportedLimit { return nil }
-func (*limiter) AddSharedLimits([]protocol.ReportedLimit) {}
-func (l *limiter) HandleLimitsReply(_ *protocol.LimitsMsg, reply *protocol.LimitsReply, _ time.Time) {
+func (*fakeLimiter) LimitsOutdated(uint64, uint64) bool       { return false }
+func (*fakeLimiter) ReportLimits() (protocol.LimitsMsg, bool) { return protocol.LimitsMsg{}, true }
+func (*fakeLimiter) ObservedLimits() []protocol.ReportedLimit { return nil }
+func (*fakeLimiter) AddSharedLimits([]protocol.ReportedLimit) {}
+func (l *fakeLimiter) HandleLimitsReply(_ *protocol.LimitsMsg, reply *protocol.LimitsReply, _ time.Time) {
 	if reply == nil {
 		l.failed.Add(1)
 		return
@@ -31,7 +31,7 @@
 	l.answered.Add(1)
 }
 
-// limitsCaller answers questions for permits as it is set to.
+// limitsCaller answers Uplink.Limits calls with a func.
 type limitsCaller struct {
 	calls  atomic.Int64
 	answer func(reply *protocol.LimitsReply) error
@@ -42,28 +42,30 @@
 	return c.answer(reply.(*protocol.LimitsReply))
 }
 
-// TestLimitsWithoutLeader checks that requests which wait are told at once where no leader
-// answers, one of a build that has no such call among them, and that it is not asked again and again without a pause.
+// TestLimitsWithoutLeader checks that the gateway is told about each report
+// without an answer from a leader, also if the leader's build lacks the method, and that failed
+// reports are not repeated without a pause.
+// Guards against client requests that wait in vain and against a busy loop of calls.
 func TestLimitsWithoutLeader(t *testing.T) {
 	for name, c := range map[string]struct {
-		leader string
-		answer func(*protocol.LimitsReply) error
-		good   bool
+		leader   string
+		answer   func(*protocol.LimitsReply) error
+		answered bool
 	}{
-		"none is known":       {"", func(*protocol.LimitsReply) error { return nil }, false},
-		"it has no such call": {"leader", func(*protocol.LimitsReply) error { return errors.New("no such method") }, false},
-		"it leads no more":    {"leader", func(*protocol.LimitsReply) error { return nil }, false},
-		"it answers":          {"leader", func(r *protocol.LimitsReply) error { r.Leads = true; return nil }, true},
+		"no leader is known":   {"", func(*protocol.LimitsReply) error { return nil }, false},
+		"method is missing":    {"leader", func(*protocol.LimitsReply) error { return errors.New("no such method") }, false},
+		"no longer the leader": {"leader", func(*protocol.LimitsReply) error { return nil }, false},
+		"leader answers":       {"leader", func(r *protocol.LimitsReply) error { r.Leads = true; return nil }, true},
 	} {
-		calls, gateway := &limitsCaller{answer: c.answer}, &limiter{}
+		calls, gateway := &limitsCaller{answer: c.answer}, &fakeLimiter{}
 		client := New(calls, nil, nil, nil, zerolog.Nop(), WithLimiter(gateway))
-		client.lead(c.leader, c.leader)
+		client.setLeader(c.leader, c.leader)
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		began := time.Now()
 		go func() {
 			defer close(ended)
-			_ = client.RunLimits(ctx) // It ends with ctx alone.
+			_ = client.RunLimits(ctx) // It returns only when ctx ends.
 		}()
 		for gateway.answered.Load()+gateway.failed.Load() < 5 {
 			client.SyncLimitsNow()
@@ -72,24 +74,24 @@
 		took := time.Since(began)
 		cancel()
 		<-ended
-		if good := gateway.failed.Load() == 0; good != c.good {
-			t.Errorf("%s: %d answers, %d without one", name, gateway.answered.Load(), gateway.failed.Load())
+		if answered := gateway.failed.Load() == 0; answered != c.answered {
+			t.Errorf("%s: %d reports answered, %d failed", name, gateway.answered.Load(), gateway.failed.Load())
 		}
-		if !c.good && took < 4*searchPause {
-			t.Errorf("%s: five questions in %v", name, took)
+		if !c.answered && took < 4*searchPause {
+			t.Errorf("%s: five reports in %v", name, took)
 		}
 	}
 }
 
-// passedCaller answers for control instances none of which leads.
-type passedCaller struct {
+// sharedLimitsCaller answers for control instances of which none leads.
+type sharedLimitsCaller struct {
 	mu    sync.Mutex // mu guards asked.
 	asked map[string][]protocol.SharedLimitsMsg
 }
 
-func (c *passedCaller) Call(address, method string, args, reply any, _ time.Duration) error {
+func (c *sharedLimitsCaller) Call(address, method string, args, reply any, _ time.Duration) error {
 	if method != "Uplink.Passed" {
-		return errors.New("none leads")
+		return errors.New("no leader")
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,43 +103,43 @@
 	return nil
 }
 
-// hearing is a limiter that notes what is passed on to it.
-type hearing struct {
-	limiter
-	took map[string]int
+// recordingLimiter is a fakeLimiter that counts the shared limits by server.
+type recordingLimiter struct {
+	fakeLimiter
+	added map[string]int
 }
 
-func (h *hearing) ObservedLimits() []protocol.ReportedLimit {
+func (h *recordingLimiter) ObservedLimits() []protocol.ReportedLimit {
 	return []protocol.ReportedLimit{{Server: "own"}}
 }
-func (h *hearing) AddSharedLimits(rows []protocol.ReportedLimit) {
+func (h *recordingLimiter) AddSharedLimits(rows []protocol.ReportedLimit) {
 	for _, row := range rows {
-		h.took[row.Server]++
+		h.added[row.Server]++
 	}
 }
 
-// TestPassedWithoutLeader checks that a gateway without a leader asks all control instances
-// in turn, with the mark of each, and tells them what it heard itself; and that one that was
-// never linked asks none.
-func TestPassedWithoutLeader(t *testing.T) {
-	calls, gateway := &passedCaller{asked: map[string][]protocol.SharedLimitsMsg{}}, &hearing{took: map[string]int{}}
+// TestSharedLimitsWithoutLeader checks that a gateway without a leader polls all control
+// instances in turn, sends each its own version and the limits observed by the gateway, and
+// that a gateway that was never linked polls none.
+func TestSharedLimitsWithoutLeader(t *testing.T) {
+	calls, gateway := &sharedLimitsCaller{asked: map[string][]protocol.SharedLimitsMsg{}}, &recordingLimiter{added: map[string]int{}}
 	client := New(calls, nil, []string{"a", "b"}, nil, zerolog.Nop(), WithLimiter(gateway))
-	client.askPassed()
+	client.syncSharedLimits()
 	if len(calls.asked) > 0 {
-		t.Errorf("a gateway that was never linked asked %v", calls.asked)
+		t.Errorf("a gateway that was never linked polled %v", calls.asked)
 	}
-	client.members.Store(3)
-	client.learn([]string{"a", "b", "c"}, nil)
+	client.gatewayCount.Store(3)
+	client.setControls([]string{"a", "b", "c"}, nil)
 	for range 6 {
-		client.askPassed()
+		client.syncSharedLimits()
 	}
 	for _, address := range []string{"a", "b", "c"} {
 		asked := calls.asked[address]
-		if len(asked) != 2 || gateway.took[address] != 2 {
-			t.Fatalf("%s was asked %d times, and %d limits were taken from it", address, len(asked), gateway.took[address])
+		if len(asked) != 2 || gateway.added[address] != 2 {
+			t.Fatalf("%s was polled %d times, and %d limits were added from it, want 2 and 2", address, len(asked), gateway.added[address])
 		}
 		if asked[1].Held.Change != 1 || len(asked[1].Heard) != 1 {
-			t.Errorf("%s was asked %+v", address, asked[1])
+			t.Errorf("%s got the second request %+v, want version 1 and one limit", address, asked[1])
 		}
 	}
 }
--- a/transport/uplink/place.go
+++ b/transport/uplink/place.go
@@ -6,28 +6,29 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// placeTime bounds the question for a place: a gateway that gets no answer in
-// that time chooses by itself.
-const placeTime = 60 * time.Millisecond
+// placeTimeout bounds a placement request. Without a reply in that time, the gateway picks a
+// server by itself.
+const placeTimeout = 60 * time.Millisecond
 
-// Place asks the leader for a server for a long prompt, or a relay of the own region where
-// there are several. It returns false where there is no leader or no answer in time.
+// Place requests a server for a long prompt from the leader, or from a relay in the gateway's
+// region if there are several regions. It returns false if there is no leader, no server, or
+// no reply in time.
 func (c *Client) Place(m protocol.PlaceMsg) (protocol.PlaceReply, bool) {
-	placer := c.placer()
-	if placer == "" {
+	address := c.placementInstance()
+	if address == "" {
 		return protocol.PlaceReply{}, false
 	}
 	var reply protocol.PlaceReply
-	err := c.caller.Call(placer, "Uplink.Place", m, &reply, placeTime)
+	err := c.caller.Call(address, "Uplink.Place", m, &reply, placeTimeout)
 	return reply, err == nil && reply.Server != ""
 }
 
-// placer returns the instance that places long prompts; empty while none is known. In one
-// region it is the leader itself: ledgers of several relays hear of one another's places
-// only with their batches, and each gives the same server to others meanwhile.
-func (c *Client) placer() string {
+// placementInstance returns the instance that places long prompts, or "" if none is known.
+// Within one region it is the leader itself: relays learn of one another's placements only
+// with their batches, so several of them would assign the same server in the meantime.
+func (c *Client) placementInstance() string {
 	if c.topology.Several() {
-		return c.linkAddress()
+		return c.linkedInstance()
 	}
 	return c.leaderAddress()
 }
--- a/transport/uplink/quota.go
+++ b/transport/uplink/quota.go
@@ -11,53 +11,52 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// quotaTime bounds a question for parts of quotas, so that requests which wait for a leader
-// that is gone still hear of the next one.
-const quotaTime = answerDue
+// quotaTimeout bounds a quota request, so that client requests waiting for a failed leader can
+// still be served by its successor.
+const quotaTimeout = overdueTimeout
 
-// QuotaRequester is a gateway that takes parts of quotas.
+// QuotaRequester is a gateway that leases quota units from the leader.
 type QuotaRequester interface {
-	// SetSeparateQuotaCalls has the gateway keep its wants for ReportQuotaDemand, or tell them with its
-	// other questions, as leaders of earlier builds need.
+	// SetSeparateQuotaCalls selects whether the gateway reports its quota demand through
+	// ReportQuotaDemand or in its sync reports, as leaders of earlier builds require.
 	SetSeparateQuotaCalls(bool)
-	// ReportQuotaDemand returns the parts of quotas that are to be asked for. It is false where
-	// there are none.
+	// ReportQuotaDemand returns the quota units to request, and false if there are none.
 	ReportQuotaDemand() (m protocol.QuotaMsg, any bool)
-	// HandleQuotaReply takes the leader's answer to wants that were reported at a time; it is nil
-	// where none came.
+	// HandleQuotaReply processes the leader's reply to the request m, which was sent at the time
+	// asked. The reply is nil if none arrived.
 	HandleQuotaReply(m *protocol.QuotaMsg, reply *protocol.QuotaReply, asked time.Time)
 }
 
-// WithQuotas sets the gateway that asks for parts of quotas apart from its other questions;
-// without it they go with those.
+// WithQuotas sets the gateway that requests quota in separate calls. Without it, quota demand
+// is part of the sync reports.
 func WithQuotas(q QuotaRequester) Option { return func(c *Client) { c.quotas = q } }
 
-// SyncQuotaNow has the leader asked at once for parts of quotas.
+// SyncQuotaNow requests quota from the leader immediately.
 func (c *Client) SyncQuotaNow() {
-	if !c.quotaApart.Load() {
+	if !c.separateQuota.Load() {
 		c.SyncNow()
 		return
 	}
 	select {
 	case c.quotaNow <- struct{}{}:
-	default: // It is about to be asked.
+	default: // A request is already pending.
 	}
 }
 
-// RunQuotas asks for parts of quotas, until ctx ends. It has a loop of its own: requests wait
-// for the answers, and those to other questions hold the loads of all servers.
+// RunQuotas requests quota until ctx ends. It is separate from the main loop because client
+// requests wait for its replies, while sync replies carry the loads of all servers.
 func (c *Client) RunQuotas(ctx context.Context) error {
 	for ctx.Err() == nil {
-		pause.Until(ctx, askEvery(int(c.members.Load())), c.quotaNow)
-		if c.quotaApart.Load() {
-			c.askQuota()
+		pause.Until(ctx, syncIntervalFor(int(c.gatewayCount.Load())), c.quotaNow)
+		if c.separateQuota.Load() {
+			c.requestQuota()
 		}
 	}
 	return nil
 }
 
-// askQuota asks the leader, if there is anything to ask.
-func (c *Client) askQuota() {
+// requestQuota sends a quota request to the leader if there is demand.
+func (c *Client) requestQuota() {
 	m, any := c.quotas.ReportQuotaDemand()
 	if !any {
 		return
@@ -67,41 +66,42 @@
 	leader := c.leaderAddress()
 	err := errNoLeader
 	if leader != "" {
-		err = c.caller.Call(leader, "Uplink.Quota", m, &reply, quotaTime)
+		err = c.caller.Call(leader, "Uplink.Quota", m, &reply, quotaTimeout)
 	}
 	if err == nil && reply.Leads {
 		c.quotas.HandleQuotaReply(&m, &reply, asked)
 		return
 	}
-	c.log.Debug().Err(err).Str("leader", leader).Msg("no leader grants parts of quotas")
+	c.log.Debug().Err(err).Str("leader", leader).Msg("no leader granted the quota request")
 	if server := rpc.ServerError(""); errors.As(err, &server) {
-		c.noQuotaCall.Store(leader)
+		c.noQuotaLeader.Store(leader)
 	}
 	c.quotas.HandleQuotaReply(&m, nil, asked)
-	c.askApart(false)
-	c.SyncNow() // It finds the leader that grants them.
+	c.setSeparateQuota(false)
+	c.SyncNow() // It finds the leader that grants quota.
 }
 
-// mayApart reports whether the leader grants parts of quotas apart, as far as is known. Where
-// there are several regions a relay gathers the questions instead: those of single requests do
-// not cross regions.
-func (c *Client) mayApart(leader string) bool {
-	return !c.topology.Several() && c.noQuotaCall.Load() != leader
+// supportsSeparateQuota reports whether the leader is assumed to serve separate quota calls.
+// With several regions a relay batches quota demand instead, so that calls for single requests
+// do not cross regions.
+func (c *Client) supportsSeparateQuota(leader string) bool {
+	return !c.topology.Several() && c.noQuotaLeader.Load() != leader
 }
 
-// askApart has parts of quotas asked for apart, or with the other questions.
-func (c *Client) askApart(apart bool) {
-	if c.quotas != nil && c.quotaApart.Swap(apart) != apart {
-		c.quotas.SetSeparateQuotaCalls(apart)
+// setSeparateQuota selects whether quota is requested in separate calls or with the sync
+// reports.
+func (c *Client) setSeparateQuota(separate bool) {
+	if c.quotas != nil && c.separateQuota.Swap(separate) != separate {
+		c.quotas.SetSeparateQuotaCalls(separate)
 	}
 }
 
-// leaderAddress returns the address of the instance that leads, as it was named last; empty while
-// none answers.
+// leaderAddress returns the last reported address of the leader itself, or "" if there is no
+// link.
 func (c *Client) leaderAddress() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leader == "" {
+	if c.linkAddr == "" {
 		return ""
 	}
 	return c.leaderAddr
--- a/transport/uplink/quota_test.go
+++ b/transport/uplink/quota_test.go
@@ -12,18 +12,18 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// wanting is a gateway whose requests wait for parts of quotas.
-type wanting struct {
-	apart   bool
-	granted int
-	failed  int
+// fakeQuotaRequester is a gateway that always has quota demand.
+type fakeQuotaRequester struct {
+	separate bool
+	granted  int
+	failed   int
 }
 
-func (w *wanting) SetSeparateQuotaCalls(apart bool) { w.apart = apart }
-func (w *wanting) ReportQuotaDemand() (protocol.QuotaMsg, bool) {
+func (w *fakeQuotaRequester) SetSeparateQuotaCalls(separate bool) { w.separate = separate }
+func (w *fakeQuotaRequester) ReportQuotaDemand() (protocol.QuotaMsg, bool) {
 	return protocol.QuotaMsg{Gateway: "g"}, true
 }
-func (w *wanting) HandleQuotaReply(_ *protocol.QuotaMsg, reply *protocol.QuotaReply, _ time.Time) {
+func (w *fakeQuotaRequester) HandleQuotaReply(_ *protocol.QuotaMsg, reply *protocol.QuotaReply, _ time.Time) {
 	if reply == nil {
 		w.failed++
 		return
@@ -31,7 +31,7 @@
 	w.granted++
 }
 
-// quotaCaller answers questions for parts of quotas as it is set to.
+// quotaCaller answers Uplink.Quota calls with a fixed reply.
 type quotaCaller struct {
 	asked []string
 	reply protocol.QuotaReply
@@ -44,62 +44,62 @@
 	return c.err
 }
 
-// TestQuotaAskedApart checks that parts of quotas are asked of the leader itself, also where
-// the gateway is linked to a relay, and with the other questions where no leader grants them
-// apart: one that is gone, one that leads no more, and one of a build that cannot.
-func TestQuotaAskedApart(t *testing.T) {
+// TestQuotaIsRequestedFromLeader checks that quota is requested from the leader itself, even if
+// the gateway uses a relay, and falls back to the sync reports if the leader is down, leads no
+// longer or lacks the method.
+func TestQuotaIsRequestedFromLeader(t *testing.T) {
 	for name, c := range map[string]struct {
-		reply protocol.QuotaReply
-		err   error
-		good  bool
-		again bool // again says that the same leader is asked apart later.
+		reply   protocol.QuotaReply
+		err     error
+		granted bool
+		again   bool // again says that separate calls to the same leader are tried again.
 	}{
-		"it grants":           {protocol.QuotaReply{Leads: true}, nil, true, true},
-		"it leads no more":    {protocol.QuotaReply{}, nil, false, true},
-		"it is gone":          {protocol.QuotaReply{}, errors.New("no answer"), false, true},
-		"it has no such call": {protocol.QuotaReply{}, rpc.ServerError("rpc: can't find method Uplink.Quota"), false, false},
+		"grants quota":         {protocol.QuotaReply{Leads: true}, nil, true, true},
+		"no longer the leader": {protocol.QuotaReply{}, nil, false, true},
+		"leader is down":       {protocol.QuotaReply{}, errors.New("no answer"), false, true},
+		"method is missing":    {protocol.QuotaReply{}, rpc.ServerError("rpc: can't find method Uplink.Quota"), false, false},
 	} {
-		calls, gateway := &quotaCaller{reply: c.reply, err: c.err}, &wanting{}
+		calls, gateway := &quotaCaller{reply: c.reply, err: c.err}, &fakeQuotaRequester{}
 		client := New(calls, nil, nil, nil, zerolog.Nop(), WithQuotas(gateway))
-		client.lead("relay", "leader")
-		client.askApart(client.mayApart("leader"))
-		if !gateway.apart {
-			t.Fatalf("%s: not asked apart at first", name)
+		client.setLeader("relay", "leader")
+		client.setSeparateQuota(client.supportsSeparateQuota("leader"))
+		if !gateway.separate {
+			t.Fatalf("%s: no separate calls at first", name)
 		}
-		client.askQuota()
+		client.requestQuota()
 		if len(calls.asked) != 1 || calls.asked[0] != "leader" {
 			t.Errorf("%s: asked %v", name, calls.asked)
 		}
-		if good := gateway.granted == 1 && gateway.failed == 0; good != c.good || gateway.apart != c.good {
-			t.Errorf("%s: granted %d, failed %d, asked apart from now on: %v", name, gateway.granted, gateway.failed, gateway.apart)
+		if granted := gateway.granted == 1 && gateway.failed == 0; granted != c.granted || gateway.separate != c.granted {
+			t.Errorf("%s: granted %d, failed %d, separate calls from now on: %v", name, gateway.granted, gateway.failed, gateway.separate)
 		}
-		if again := client.mayApart("leader"); again != c.again || !client.mayApart("next") {
-			t.Errorf("%s: asked apart again: %v", name, again)
+		if again := client.supportsSeparateQuota("leader"); again != c.again || !client.supportsSeparateQuota("next") {
+			t.Errorf("%s: separate calls to the same leader again: %v", name, again)
 		}
-		if waits := len(client.syncNow) == 1; waits == c.good {
-			t.Errorf("%s: the other questions are asked at once: %v", name, waits)
+		if pending := len(client.syncNow) == 1; pending == c.granted {
+			t.Errorf("%s: sync request triggered: %v", name, pending)
 		}
 	}
 }
 
-// TestQuestionsOfRequests checks whom a question of a single request goes to: within one
-// region the leader, which alone knows all places that were given, and over several regions
-// a relay of the own one.
-func TestQuestionsOfRequests(t *testing.T) {
+// TestPerRequestCallsByTopology checks where calls for single requests go: within one region to
+// the leader, which alone knows all placements, and with several regions to a relay in the
+// gateway's region.
+func TestPerRequestCallsByTopology(t *testing.T) {
 	regions := topology.New(map[string]string{"a1": "a", "b1": "b"})
 	for _, c := range []struct {
-		topology *topology.Topology
-		apart    bool
-		placer   string
+		topology  *topology.Topology
+		separate  bool
+		placement string
 	}{{nil, true, "leader"}, {regions, false, "relay"}} {
-		client := New(&quotaCaller{}, nil, nil, nil, zerolog.Nop(), WithQuotas(&wanting{}), WithRegions(c.topology, "a1", "g"))
-		client.lead("relay", "leader")
-		if client.mayApart("leader") != c.apart || client.placer() != c.placer {
-			t.Errorf("several regions %v: quotas apart %v, places by %q", c.topology.Several(), client.mayApart("leader"), client.placer())
+		client := New(&quotaCaller{}, nil, nil, nil, zerolog.Nop(), WithQuotas(&fakeQuotaRequester{}), WithRegions(c.topology, "a1", "g"))
+		client.setLeader("relay", "leader")
+		if client.supportsSeparateQuota("leader") != c.separate || client.placementInstance() != c.placement {
+			t.Errorf("several regions %v: separate quota calls %v, placement by %q", c.topology.Several(), client.supportsSeparateQuota("leader"), client.placementInstance())
 		}
-		client.lead("", "")
-		if got := client.placer(); got != "" {
-			t.Errorf("without a leader places are asked of %q", got)
+		client.setLeader("", "")
+		if got := client.placementInstance(); got != "" {
+			t.Errorf("without a leader placement is requested from %q", got)
 		}
 	}
 }
--- a/transport/uplink/relay_test.go
+++ b/transport/uplink/relay_test.go
@@ -13,30 +13,31 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// The control instances of two regions: near and near2 in the gateway's, far leads.
+// The control instances of two regions: near and near2 are in the gateway's region, far leads.
 var (
 	controls = []string{"near", "near2", "far"}
 	domains  = []string{"a1", "a2", "b1"}
 	regions  = topology.New(map[string]string{"a1": "a", "a2": "a", "b1": "b"})
 )
 
-// faults is how instances fail; one without a fault answers.
-type faults struct {
-	mu      sync.Mutex
-	of      map[string]string
-	asked   []string
-	release chan struct{} // release lets silent ones end.
+// faultyCaller simulates control instances with faults by address. An instance without a fault
+// answers.
+type faultyCaller struct {
+	mu        sync.Mutex
+	byAddress map[string]string
+	asked     []string
+	release   chan struct{} // release ends the calls to frozen instances.
 }
 
-func (f *faults) set(of map[string]string) {
+func (f *faultyCaller) set(faults map[string]string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.of = of
+	f.byAddress = faults
 }
 
-func (f *faults) Call(address, method string, args, reply any, _ time.Duration) error {
+func (f *faultyCaller) Call(address, method string, args, reply any, _ time.Duration) error {
 	f.mu.Lock()
-	fault := f.of[address]
+	fault := f.byAddress[address]
 	if method == "Uplink.Sync" {
 		f.asked = append(f.asked, address)
 	}
@@ -67,18 +68,19 @@
 	return nil
 }
 
-// newRegional returns the client of a gateway in a domain with its own instance.
-func newRegional(t *testing.T, f *faults, g Gateway) *Client {
+// newRegionalClient returns the client of a gateway in a failure domain that has a control
+// instance.
+func newRegionalClient(t *testing.T, f *faultyCaller, g Gateway) *Client {
 	t.Helper()
 	f.release = make(chan struct{})
 	t.Cleanup(func() { close(f.release) })
 	return New(f, g, controls, unpackIDs, zerolog.Nop(), WithRegions(regions, "a1", "g"))
 }
 
-// until steps until the gateway is linked to an instance.
-func until(t *testing.T, c *Client, want string) {
+// stepUntilLinked calls step until the client is linked to the wanted instance.
+func stepUntilLinked(t *testing.T, c *Client, want string) {
 	t.Helper()
-	for end := time.Now().Add(patience); c.linked != want; {
+	for end := time.Now().Add(testTimeout); c.linked != want; {
 		if time.Now().After(end) {
 			t.Fatalf("linked to %q, want %q", c.linked, want)
 		}
@@ -86,64 +88,64 @@
 	}
 }
 
-// TestGatewayLeavesItsRelay checks that a gateway whose relay is killed, freezes (or is
-// cut off from it), or is cut off from the leader, asks the other instance of its
-// region, and the leader where that fails too, and comes back.
-func TestGatewayLeavesItsRelay(t *testing.T) {
+// TestFailedRelayIsReplaced checks that a gateway whose relay is killed, is frozen or
+// unreachable, or has lost the leader uses the other instance of its region, then the leader
+// if that one fails too, and returns to its relay after recovery.
+func TestFailedRelayIsReplaced(t *testing.T) {
 	for _, fault := range []string{"killed", "frozen", "cut off from the leader", "knows no leader"} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			f, g := &faults{}, &fakeGateway{}
-			c := newRegional(t, f, g)
-			until(t, c, "near")
+			f, g := &faultyCaller{}, &fakeGateway{}
+			c := newRegionalClient(t, f, g)
+			stepUntilLinked(t, c, "near")
 			f.set(map[string]string{"near": fault})
-			until(t, c, "near2")
+			stepUntilLinked(t, c, "near2")
 			f.set(map[string]string{"near": fault, "near2": fault})
-			until(t, c, "far")
+			stepUntilLinked(t, c, "far")
 			f.set(nil)
-			until(t, c, "near")
+			stepUntilLinked(t, c, "near")
 		})
 	}
 }
 
-// TestSilentRelayIsLeftInTime checks that a gateway waits for a silent relay about as
-// long as for a silent leader, and tells meanwhile that the answer is overdue.
-func TestSilentRelayIsLeftInTime(t *testing.T) {
-	f, g := &faults{}, &fakeGateway{}
-	c := newRegional(t, f, g)
-	until(t, c, "near")
+// TestSilentRelayTimesOut checks that a silent relay times out about as fast as a silent leader
+// and that the gateway is told that the answer is overdue.
+func TestSilentRelayTimesOut(t *testing.T) {
+	f, g := &faultyCaller{}, &fakeGateway{}
+	c := newRegionalClient(t, f, g)
+	stepUntilLinked(t, c, "near")
 	for range 20 {
-		c.step(t.Context()) // Answers that take next to nothing.
+		c.step(t.Context()) // These answers take almost no time.
 	}
-	if due := c.due("near"); due > 2*answerDue {
-		t.Errorf("overdue after %v", due)
+	if due := c.answerTimeout("near"); due > 2*overdueTimeout {
+		t.Errorf("relay is overdue only after %v", due)
 	}
 	before := g.overdue.Load()
 	f.set(map[string]string{"near": "frozen"})
-	until(t, c, "near2")
+	stepUntilLinked(t, c, "near2")
 	if g.overdue.Load() == before {
 		t.Error("the gateway was not told that the answer is overdue")
 	}
 }
 
-// TestOneRegionAsksTheLeader checks that without several regions nobody but the leader
-// is asked, and no relaying is asked for.
+// TestOneRegionAsksTheLeader checks that with one region only the leader is asked and no relay
+// is used.
 func TestOneRegionAsksTheLeader(t *testing.T) {
-	f, g := &faults{release: make(chan struct{})}, &fakeGateway{}
+	f, g := &faultyCaller{release: make(chan struct{})}, &fakeGateway{}
 	one := topology.New(map[string]string{"a1": "a", "a2": "a"})
 	c := New(f, g, controls, unpackIDs, zerolog.Nop(), WithRegions(one, "a1", "g"))
-	until(t, c, "far")
+	stepUntilLinked(t, c, "far")
 	for range 3 {
 		c.step(t.Context())
 	}
-	if f.asked = slices.Compact(f.asked); !slices.Equal(f.asked, []string{"far"}) || c.due("far") != answerDue {
-		t.Errorf("asked %v", f.asked)
+	if f.asked = slices.Compact(f.asked); !slices.Equal(f.asked, []string{"far"}) || c.answerTimeout("far") != overdueTimeout {
+		t.Errorf("asked %v, want only the leader", f.asked)
 	}
 }
 
-// TestLoadsAsChanges checks that the gateway gets all loads where only changes are
-// told, and asks for all of them after changes that it cannot read.
-func TestLoadsAsChanges(t *testing.T) {
+// TestLoadChangesAreApplied checks that the gateway gets all loads after an answer with only the
+// changes, and that the client requests all loads after changes that it cannot decode.
+func TestLoadChangesAreApplied(t *testing.T) {
 	g := &fakeGateway{}
 	c := New(nil, g, nil, unpackIDs, zerolog.Nop())
 	mark := func(version uint64) protocol.LoadVersion {
@@ -160,9 +162,9 @@
 		{protocol.SyncReply{LoadChanges: []byte{7, 9}, Loaded: mark(3)}, "\x01\x09\x03", protocol.LoadVersion{}},
 		{protocol.SyncReply{Loads: []byte{4}}, "\x04", protocol.LoadVersion{}},
 	} {
-		_ = c.share(&step.reply)
-		if string(g.loads) != step.want || c.mark != step.mark {
-			t.Errorf("%+v: loads %v, mark %v", step.reply, g.loads, c.mark)
+		_ = c.updateLoads(&step.reply)
+		if string(g.loads) != step.want || c.loadVersion != step.mark {
+			t.Errorf("%+v: loads %v, mark %v", step.reply, g.loads, c.loadVersion)
 		}
 	}
 }
--- a/transport/uplink/search.go
+++ b/transport/uplink/search.go
@@ -9,23 +9,23 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// search asks all control instances that are known who leads, those that are not
-// being asked already, and waits a while for the first to name one.
+// search queries the known control instances for the leader, except those with a query in
+// flight, and waits up to searchPause for the first one that names a leader.
 func (c *Client) search(ctx context.Context) string {
 	m := protocol.LeaderMsg{}
-	if clock.Since(c.silentAt) < silentFor {
-		m.Besides = c.silent
+	if clock.Since(c.silentSince) < silentLeaderTTL {
+		m.Besides = c.silentLeader
 	}
-	c.askWho(m, "")
-	end := time.NewTimer(searchPause)
-	defer end.Stop()
+	c.queryControls(m, "")
+	timer := time.NewTimer(searchPause)
+	defer timer.Stop()
 	for {
 		select {
-		case n := <-c.found:
-			if n.byItself || n.leader != m.Besides {
+		case n := <-c.leaderHints:
+			if n.selfReported || n.leader != m.Besides {
 				return n.leader
 			}
-		case <-end.C:
+		case <-timer.C:
 			return ""
 		case <-ctx.Done():
 			return ""
@@ -33,44 +33,44 @@
 	}
 }
 
-// askWho asks all control instances that are known who leads, but for one that did
-// not answer and those that are being asked already.
-func (c *Client) askWho(m protocol.LeaderMsg, except string) {
-	for _, address := range c.candidates(except) {
-		go c.askLeader(address, m)
+// queryControls queries the known control instances for the leader, except the given one,
+// which did not answer, and those with a query in flight.
+func (c *Client) queryControls(m protocol.LeaderMsg, except string) {
+	for _, address := range c.claimCandidates(except) {
+		go c.queryLeader(address, m)
 	}
 }
 
-// candidates returns the instances to ask who leads, and notes that they are asked.
-func (c *Client) candidates(except string) []string {
+// claimCandidates returns the instances to query for the leader and marks them as queried.
+func (c *Client) claimCandidates(except string) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var list []string
 	for _, address := range slices.Concat(c.seeds, c.controls) {
-		if address != except && !c.asking[address] {
-			c.asking[address] = true
+		if address != except && !c.queried[address] {
+			c.queried[address] = true
 			list = append(list, address)
 		}
 	}
 	return list
 }
 
-// askLeader asks one instance who leads.
-func (c *Client) askLeader(address string, m protocol.LeaderMsg) {
+// queryLeader asks one instance for the leader's address.
+func (c *Client) queryLeader(address string, m protocol.LeaderMsg) {
 	var reply protocol.LeaderReply
-	err := c.caller.Call(address, "Uplink.Leader", m, &reply, leaderTime)
+	err := c.caller.Call(address, "Uplink.Leader", m, &reply, leaderTimeout)
 	c.mu.Lock()
-	delete(c.asking, address)
+	delete(c.queried, address)
 	c.mu.Unlock()
 	if err != nil {
-		return // It is asked again in the next round.
+		return // The next round queries it again.
 	}
-	c.learn(reply.Controls, reply.Domains)
+	c.setControls(reply.Controls, reply.Domains)
 	if reply.Leader == "" {
 		return
 	}
 	select {
-	case c.found <- named{leader: reply.Leader, byItself: reply.Leader == address}:
-	default: // Another was faster.
+	case c.leaderHints <- leaderHint{leader: reply.Leader, selfReported: reply.Leader == address}:
+	default: // Another instance answered first.
 	}
 }
--- a/transport/uplink/share.go
+++ b/transport/uplink/share.go
@@ -2,39 +2,40 @@
 
 import "time"
 
-// askEvery is the usual time between two questions.
-func (c *Client) askEvery() time.Duration {
+// syncInterval returns the normal time between two sync requests.
+func (c *Client) syncInterval() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return askEvery(c.links.GatewaysPerInstance(c.gateways))
+	return syncIntervalFor(c.links.GatewaysPerInstance(c.gateways))
 }
 
-// failedPause is the time between two questions behind some that failed in a row. Relays
-// that have lost the leader refuse at once, and many gateways share few of them.
-func (c *Client) failedPause(failed int) time.Duration {
-	if !c.nears() {
-		return leastPause
+// retryPause returns the time between two sync requests after consecutive failures. With
+// relays it backs off exponentially: a relay without a leader refuses immediately, and many
+// gateways share few relays.
+func (c *Client) retryPause(failures int) time.Duration {
+	if !c.mayUseRelay() {
+		return minPause
 	}
-	return min(every, leastPause<<min(failed, mostDoublings))
+	return min(minSyncInterval, minPause<<min(failures, maxDoublings))
 }
 
-// overdueNear tells the gateway that nobody answers where another instance of the own region
-// is asked next: with none known it is told as soon as the search begins.
-func (c *Client) overdueNear() {
-	if c.nears() {
+// reportRelayOverdue calls Gateway.Overdue if another relay may be tried next. Without
+// relays, step makes the call when the search for a leader starts.
+func (c *Client) reportRelayOverdue() {
+	if c.mayUseRelay() {
 		c.gateway.Overdue()
 	}
 }
 
-// shareOut has the gateway ask one of the relays, as a leader with many gateways wants it.
-func (c *Client) shareOut(address string, gateways int) bool {
-	c.log.Info().Str("leader", address).Int("gateways", gateways).Msg("the leader has a relay asked")
+// redirectToRelay makes the gateway use a relay, as requested by a leader with many gateways.
+func (c *Client) redirectToRelay(address string, gateways int) bool {
+	c.log.Info().Str("leader", address).Int("gateways", gateways).Msg("leader redirected the gateway to a relay")
 	c.setGateways(gateways)
 	c.target = ""
 	return false
 }
 
-// setGateways notes how many gateways there are.
+// setGateways records the number of gateways.
 func (c *Client) setGateways(n int) {
 	c.gateways = n
 	c.mu.Lock()
@@ -42,14 +43,16 @@
 	c.links.SetGateways(n)
 }
 
-// nears reports whether an instance of the own region is asked, which may be a relay.
-func (c *Client) nears() bool {
+// mayUseRelay reports whether the link selector picks the instance to ask, which may be a
+// relay.
+func (c *Client) mayUseRelay() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.links.Enabled()
 }
 
-// askEvery is the time between two questions of each of some gateways.
-func askEvery(gateways int) time.Duration {
-	return max(every, time.Duration(gateways)*everyMember)
+// syncIntervalFor returns the time between two sync requests of each gateway if an instance
+// serves the given number of them.
+func syncIntervalFor(gateways int) time.Duration {
+	return max(minSyncInterval, time.Duration(gateways)*intervalPerGateway)
 }
--- a/transport/uplink/uplink.go
+++ b/transport/uplink/uplink.go
@@ -1,13 +1,13 @@
-// Package uplink keeps a gateway in touch with the control role.
+// Package uplink is a gateway's client of the control role.
 //
-// A [Client] has one link at a time, to the control instance that leads. A few
-// times a second it tells what the gateway counted and asks for what is newer
-// than it holds. Only the leader's answers count: it vouches for the newest
-// document at a moment after the question was sent, so the time of the question
-// is the time up to which the gateway is sure.
+// A [Client] has one link at a time, to the leading control instance or to a relay that
+// answers for it. A few times a second it reports the gateway's counters and fetches newer
+// state. Only answers given for the leader are accepted: the leader confirms the newest
+// document at a moment after the request was sent, so the gateway's state is known to be
+// current up to the time of the request.
 //
-// It finds the leader by asking the seeds, and any control instance that it
-// heard of since, side by side; each tells who leads as soon as it knows.
+// To find the leader, the client queries the seeds and all control instances learned since
+// in parallel. Each replies as soon as it knows the leader.
 package uplink
 
 import (
@@ -34,128 +34,130 @@
 	Call(address, method string, args, reply any, timeout time.Duration) error
 }
 
-// Gateway is what the client keeps in touch.
+// Gateway is the gateway that the client synchronizes with the control role.
 type Gateway interface {
-	// Report returns what the gateway tells the leader of a term.
+	// Report returns the report for the leader of the given term.
 	Report(term uint64) protocol.SyncMsg
-	// HandleSyncReply notes that the leader has a report, and what it answered of quotas.
+	// HandleSyncReply records that the leader received the report m, which was sent at the time
+	// asked, and applies the quota grants of its reply.
 	HandleSyncReply(m *protocol.SyncMsg, reply *protocol.SyncReply, asked time.Time)
-	// Document takes a document that is newer than the one in force.
+	// Document installs a document that is newer than the current one.
 	Document(number uint64, data []byte) error
-	// SetRollouts takes the leader's answer on roll-outs to a question that was sent at a
-	// time. It is called ahead of SetServers, so that no server of a version on trial is
-	// taken for one of the others.
+	// SetRollouts sets the state of roll-outs from a reply to a request sent at the time asked.
+	// It is called before SetServers, so that no server of a version on trial is treated as a
+	// regular one.
 	SetRollouts(reply *protocol.SyncReply, asked time.Time)
-	// SetQuarantine takes the leader's word on requests that are kept from servers. It is
-	// called ahead of Confirm, so that no gateway is ready without it.
+	// SetQuarantine sets which requests are withheld from servers. It is called before Confirm,
+	// so that no gateway becomes ready without this state.
 	SetQuarantine(reply *protocol.SyncReply)
-	// SetServers takes the list of backend servers.
+	// SetServers sets the list of backend servers.
 	SetServers(list []protocol.Instance)
-	// ListLate notes that the leader could not read the list for a while. It is called with
-	// each answer until it could.
+	// ListLate reports that the leader has been unable to read the server list for a while. It
+	// is called for each such answer until the list is read again.
 	ListLate()
-	// SetLanes takes the terms by which all gateways part long prompts from short ones.
+	// SetLanes sets the parameters by which all gateways separate long prompts from short ones.
 	SetLanes(lanes []protocol.ServiceLanes)
-	// SetLoads takes how many requests the listed servers have from all gateways, in
-	// the order of their names, and which of them to pass over, a bit each.
+	// SetLoads sets the number of requests that each listed server has from all gateways, in the
+	// order of the servers' names, and a bit set of the servers to skip.
 	SetLoads(loads, distrusted []byte)
-	// Overdue notes that the leader's answer is overdue, or that no leader is known. It
-	// is called again and again until one answers.
+	// Overdue reports that the leader's answer is overdue or that no leader is known. It is
+	// called repeatedly until a leader answers.
 	Overdue()
-	// Confirm notes that the document in force was the newest at a time.
+	// Confirm reports that the current document was the newest one at the given time.
 	Confirm(at time.Time, gateways int)
 }
 
 const (
-	// every is the usual time between two questions, at the least; it grows with
-	// the number of gateways, so that the leader's load is bounded.
-	every       = link.AskEvery
-	everyMember = link.AnswerEach
-	// callTime bounds a question to an instance that may be gone, and firstTime one
-	// whose answer holds a whole list, for many gateways at once.
-	callTime  = 700 * time.Millisecond
-	firstTime = 1500 * time.Millisecond
-	// answerDue is how long the leader's answer may take before the others are asked
-	// who leads: many round trips of a region, and less than an election takes. A
-	// leader that lost its power sends no reset, and waiting for callTime instead left
-	// 295 gateways without quotas for 0.6 to 0.9 s after its successor stood.
+	// minSyncInterval is the minimum normal time between two sync requests. The interval
+	// grows by intervalPerGateway with the number of gateways, to bound the leader's load.
+	minSyncInterval    = link.AskEvery
+	intervalPerGateway = link.AnswerEach
+	// syncTimeout bounds a sync request to an instance that may be down. firstSyncTimeout
+	// bounds one whose answer carries the whole list, possibly to many gateways at once.
+	syncTimeout      = 700 * time.Millisecond
+	firstSyncTimeout = 1500 * time.Millisecond
+	// overdueTimeout is how long the leader's answer may take before the other instances are
+	// asked for the leader: many round trips within a region, but less than an election. A
+	// leader that lost power sends no reset, and waiting for syncTimeout instead left 295
+	// gateways without quota for 0.6 to 0.9 s after its successor was elected.
 	//
-	// Where domains lie in several regions, it is how much longer an answer may take than
-	// the instance's answers took of late; see [link.AnswerTime].
-	answerDue = 100 * time.Millisecond
-	// firstDue is what the first answer of an instance may take besides, where there are
-	// several regions: with answerDue it is the two round trips, at 80 ms one way, that an
+	// If failure domains span several regions, it is the slack on top of the instance's
+	// recent answer times; see [link.AnswerTime].
+	overdueTimeout = 100 * time.Millisecond
+	// firstAnswerAllowance is added to overdueTimeout for the first answer of an instance if
+	// there are several regions. The sum is the two round trips, at 80 ms one way, that an
 	// answer through a relay may take.
-	firstDue = 220 * time.Millisecond
-	// searchPause is between two rounds of questions while no leader is known, for
-	// those that could not be reached.
+	firstAnswerAllowance = 220 * time.Millisecond
+	// searchPause is the time between two rounds of leader queries, after which unreachable
+	// instances are queried again.
 	searchPause = 30 * time.Millisecond
-	// leaderTime bounds a question for the leader: an instance that knows none keeps
-	// it for a while.
-	leaderTime = time.Second
-	// silentFor is how long a leader that did not answer is not taken for one
-	// because another instance names it: by then a group that can has elected another. Its
-	// own word counts at once.
-	silentFor = time.Second
-	// leastPause is the least time between two questions.
-	leastPause = 15 * time.Millisecond
-	// mostDoublings keeps a doubled leastPause from running over; every is reached before.
-	mostDoublings = 10
+	// leaderTimeout bounds a leader query. An instance that knows no leader holds the query
+	// for a while.
+	leaderTimeout = time.Second
+	// silentLeaderTTL is how long a leader that did not answer is ignored when other instances
+	// name it: by then a group with a quorum has elected another one. If the instance itself
+	// reports that it leads, it is accepted immediately.
+	silentLeaderTTL = time.Second
+	// minPause is the minimum time between two sync requests.
+	minPause = 15 * time.Millisecond
+	// maxDoublings keeps the backoff from minPause from overflowing; it reaches
+	// minSyncInterval earlier.
+	maxDoublings = 10
 )
 
 // Client is a gateway's link to the control role.
 type Client struct {
-	caller   Caller
-	gateway  Gateway
-	limiter  Limiter        // limiter is nil where no limits of servers are kept.
-	quotas   QuotaRequester // quotas is nil where parts of quotas are asked for with the other questions.
-	unpack   func([]byte) (protocol.ServerList, error)
-	topology *topology.Topology
-	log      zerolog.Logger
-	life     uint64
-	syncNow  chan struct{}
-
-	quotaNow     chan struct{}
-	quotaApart   atomic.Bool  // quotaApart says that parts of quotas are asked for apart.
-	noQuotaCall  atomic.Value // noQuotaCall is the address of the latest leader whose build grants none apart.
-	limitsNow    chan struct{}
-	limitsBehind atomic.Bool  // limitsBehind says that the leader has limits that the gateway lacks.
-	members      atomic.Int64 // members are how many gateways there are.
-
-	mu         sync.Mutex // mu guards all up to the loop's own.
-	seeds      []string
-	leader     string          // leader is the target while it leads, for calls beside the loop.
-	leaderAddr string          // leaderAddr is the leader itself, also where the target is a relay.
-	asking     map[string]bool // asking are the instances that a question for the leader is under way to.
-	controls   []string
-	links      *link.Selector // links choose an instance of the own region; nil where only the leader is asked.
-	found      chan named     // found receives whom they name.
-
-	// The own of the loop on limits.
-	passed     map[string]protocol.SharedLimitsVersion // passed are the marks of what control instances passed on, by address.
-	passedTurn int
-
-	// The main loop's own.
-	target      string
-	silent      string    // silent is a leader that did not answer.
-	silentAt    time.Time // silentAt is when.
-	term        uint64
-	lister      uint64
-	version     uint64
-	servers     []protocol.Instance  // servers are the list as it was received last.
-	loads       []byte               // loads are those of the listed servers, as they were received last.
-	mark        protocol.LoadVersion // mark names them.
-	gateways    int
-	linked      string                      // linked is the instance that answered last; empty once it is lost.
-	named       string                      // named is the leader's address as an answer named it last; it may be a relay's word.
-	answerTimes map[string]*link.AnswerTime // answerTimes are by instance.
+	caller      Caller
+	gateway     Gateway
+	limiter     Limiter        // limiter is nil if no server limits are enforced.
+	quotas      QuotaRequester // quotas is nil if quota demand is part of the sync reports.
+	unpack      func([]byte) (protocol.ServerList, error)
+	topology    *topology.Topology
+	log         zerolog.Logger
+	incarnation uint64
+	syncNow     chan struct{}
+
+	quotaNow       chan struct{}
+	separateQuota  atomic.Bool  // separateQuota says that quota is requested in separate calls.
+	noQuotaLeader  atomic.Value // noQuotaLeader is the address of the last leader without support for separate quota calls.
+	limitsNow      chan struct{}
+	limitsOutdated atomic.Bool  // limitsOutdated says that the leader has limits that the gateway does not have yet.
+	gatewayCount   atomic.Int64 // gatewayCount is the number of gateways, for use outside the main loop.
+
+	mu          sync.Mutex // mu guards the fields of this block.
+	seeds       []string
+	linkAddr    string          // linkAddr is the instance in use, the leader or a relay, for calls outside the main loop.
+	leaderAddr  string          // leaderAddr is the leader itself, even if linkAddr is a relay.
+	queried     map[string]bool // queried holds the instances with a leader query in flight.
+	controls    []string
+	links       *link.Selector  // links picks a relay or the leader; nil if only the leader is asked.
+	leaderHints chan leaderHint // leaderHints receives the leaders that instances name.
+
+	// The fields of this block belong to the goroutine of RunLimits.
+	sharedVersions map[string]protocol.SharedLimitsVersion // sharedVersions are the versions of the shared limits received, by control instance.
+	controlTurn    int
+
+	// The fields below belong to the goroutine of Run.
+	target         string
+	silentLeader   string    // silentLeader is the last instance that did not answer.
+	silentSince    time.Time // silentSince is when its answer failed.
+	term           uint64
+	lister         uint64
+	listVersion    uint64
+	servers        []protocol.Instance  // servers is the current server list.
+	loads          []byte               // loads are the current loads of the listed servers.
+	loadVersion    protocol.LoadVersion // loadVersion is the version of loads.
+	gateways       int
+	linked         string                      // linked is the instance that answered last; empty after the link is lost.
+	reportedLeader string                      // reportedLeader is the leader's address in the last answer, possibly from a relay.
+	answerTimes    map[string]*link.AnswerTime // answerTimes holds latency estimates by instance.
 }
 
-// Option changes a new client.
+// Option configures a new client.
 type Option func(*Client)
 
-// WithRegions has the client of a gateway in a failure domain ask a control instance of
-// its own region, where there are several regions or many gateways.
+// WithRegions lets the client of a gateway in the given failure domain use a relay: one in the
+// gateway's region if there are several regions, any if there are many gateways.
 func WithRegions(t *topology.Topology, domain, gateway string) Option {
 	return func(c *Client) {
 		c.topology = t
@@ -163,23 +165,23 @@
 	}
 }
 
-// New returns a client that is not running. The seeds are peer addresses; unpack
-// reads a whole list.
+// New returns a client that is not running yet. The seeds are peer addresses; unpack decodes
+// a server list.
 func New(calls Caller, g Gateway, seeds []string, unpack func([]byte) (protocol.ServerList, error), log zerolog.Logger, opts ...Option) *Client {
 	c := &Client{
-		caller:      calls,
-		gateway:     g,
-		unpack:      unpack,
-		log:         log,
-		life:        rand.Uint64(),
-		syncNow:     make(chan struct{}, 1),
-		quotaNow:    make(chan struct{}, 1),
-		limitsNow:   make(chan struct{}, 1),
-		seeds:       seeds,
-		asking:      map[string]bool{},
-		found:       make(chan named, 1),
-		answerTimes: map[string]*link.AnswerTime{},
-		passed:      map[string]protocol.SharedLimitsVersion{},
+		caller:         calls,
+		gateway:        g,
+		unpack:         unpack,
+		log:            log,
+		incarnation:    rand.Uint64(),
+		syncNow:        make(chan struct{}, 1),
+		quotaNow:       make(chan struct{}, 1),
+		limitsNow:      make(chan struct{}, 1),
+		seeds:          seeds,
+		queried:        map[string]bool{},
+		leaderHints:    make(chan leaderHint, 1),
+		answerTimes:    map[string]*link.AnswerTime{},
+		sharedVersions: map[string]protocol.SharedLimitsVersion{},
 	}
 	for _, opt := range opts {
 		opt(c)
@@ -187,14 +189,14 @@
 	return c
 }
 
-// SetSeeds takes other seeds, for the next search.
+// SetSeeds replaces the seeds used by the next search.
 func (c *Client) SetSeeds(seeds []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.seeds = seeds
 }
 
-// SyncNow has the leader asked at once.
+// SyncNow triggers a sync request immediately.
 func (c *Client) SyncNow() {
 	select {
 	case c.syncNow <- struct{}{}:
@@ -202,136 +204,138 @@
 	}
 }
 
-// Run asks until ctx ends.
+// Run synchronizes the gateway until ctx ends.
 func (c *Client) Run(ctx context.Context) error {
-	for failed := 0; ctx.Err() == nil; {
+	for failures := 0; ctx.Err() == nil; {
 		began := clock.Now()
 		if c.step(ctx) {
-			failed = 0
-			c.wait(ctx, began, c.askEvery())
+			failures = 0
+			c.wait(ctx, began, c.syncInterval())
 			continue
 		}
-		c.wait(ctx, began, c.failedPause(failed))
-		failed++
+		c.wait(ctx, began, c.retryPause(failures))
+		failures++
 	}
 	return nil
 }
 
-// step asks the leader, or looks for one, and reports whether the leader answered.
+// step sends one sync request, after a search if no leader is known, and reports whether the
+// answer was accepted.
 func (c *Client) step(ctx context.Context) bool {
-	if near := c.near(); near != "" {
-		c.target = near
+	if address := c.chooseInstance(); address != "" {
+		c.target = address
 	}
 	if c.target == "" {
 		c.gateway.Overdue()
 		c.target = c.search(ctx)
-		if near := c.near(); near != "" {
-			c.target = near
+		if address := c.chooseInstance(); address != "" {
+			c.target = address
 		}
 	}
-	return c.target != "" && c.ask(ctx, c.target)
+	return c.target != "" && c.syncWith(ctx, c.target)
 }
 
-// wait lets a time pass since the last question, or less if SyncNow was called.
-func (c *Client) wait(ctx context.Context, began time.Time, most time.Duration) {
-	if left := leastPause - clock.Since(began); left > 0 {
+// wait waits until interval has passed since the last sync request began. SyncNow shortens the
+// wait, but never below minPause.
+func (c *Client) wait(ctx context.Context, began time.Time, interval time.Duration) {
+	if left := minPause - clock.Since(began); left > 0 {
 		pause.For(ctx, left)
 	}
-	pause.Until(ctx, most-clock.Since(began), c.syncNow)
+	pause.Until(ctx, interval-clock.Since(began), c.syncNow)
 }
 
-// ask asks the instance that is taken for the leader, and reports whether it is.
-func (c *Client) ask(ctx context.Context, address string) bool {
+// syncWith sends a sync request to an instance and reports whether it answered for the leader.
+func (c *Client) syncWith(ctx context.Context, address string) bool {
 	m := c.gateway.Report(c.term)
-	m.Life, m.Lister, m.Servers, m.Gateways = c.life, c.lister, c.version, c.gateways
-	m.Loads, m.Relayed = c.mark, c.nears()
+	m.Life, m.Lister, m.Servers, m.Gateways = c.incarnation, c.lister, c.listVersion, c.gateways
+	m.Loads, m.Relayed = c.loadVersion, c.mayUseRelay()
 	m.Features = protocol.OwnFeatures
 	asked := clock.Now()
-	got := c.await(ctx, address, c.sync(address, m))
+	got := c.await(ctx, address, c.startSync(address, m))
 	if got.err != nil {
-		c.silent, c.silentAt = address, clock.Now()
-		c.lost(address, got.err.Error())
-		c.answerTime(address).Miss(firstDue)
-		c.failed(address, true)
-		c.overdueNear()
-		c.target = got.other
+		c.silentLeader, c.silentSince = address, clock.Now()
+		c.unlink(address, got.err.Error())
+		c.answerTime(address).Miss(firstAnswerAllowance)
+		c.recordFailure(address, true)
+		c.reportRelayOverdue()
+		c.target = got.newLeader
 		return false
 	}
-	c.learn(got.reply.Controls, got.reply.Domains)
-	c.named = got.reply.Leader
+	c.setControls(got.reply.Controls, got.reply.Domains)
+	c.reportedLeader = got.reply.Leader
 	if !got.reply.Leads && got.reply.Gateways > 0 {
-		return c.shareOut(address, got.reply.Gateways)
+		return c.redirectToRelay(address, got.reply.Gateways)
 	}
 	if !got.reply.Leads {
-		c.lost(address, "does not lead")
-		c.failed(address, false)
-		c.overdueNear()
+		c.unlink(address, "does not lead")
+		c.recordFailure(address, false)
+		c.reportRelayOverdue()
 		if got.reply.Leader != address {
 			c.target = got.reply.Leader
 		}
 		return false
 	}
-	c.observe(address, clock.Since(asked))
-	return c.take(address, &m, &got.reply, asked)
+	c.recordAnswer(address, clock.Since(asked))
+	return c.apply(address, &m, &got.reply, asked)
 }
 
-// answer is what came of a question to the leader.
+// answer is the outcome of a sync request.
 type answer struct {
-	reply protocol.SyncReply
-	err   error
-	other string // other is another leader that was found meanwhile; err is set then.
+	reply     protocol.SyncReply
+	err       error
+	newLeader string // newLeader is a leader found while waiting; err is set as well.
 }
 
-// named is a leader that an instance named. One that names itself leads now, also where it
-// fell silent a moment ago: it has come back.
-type named struct {
-	leader   string
-	byItself bool
+// leaderHint is a leader named by an instance. An instance that names itself is the current
+// leader even if it did not answer a moment ago, since it may have restarted.
+type leaderHint struct {
+	leader       string
+	selfReported bool
 }
 
-// errNoLeader is returned where no control instance is known to lead.
+// errNoLeader is returned if no leader is known.
 var errNoLeader = eris.New("no leader is known")
 
-// ErrReplyOverdue is the reason why a leader is given up whose answer is overdue while
-// another one leads.
-var ErrReplyOverdue = eris.New("its answer is overdue, and another instance leads")
+// ErrReplyOverdue is the reason for leaving an instance whose answer is overdue while another
+// instance leads.
+var ErrReplyOverdue = eris.New("answer overdue and another instance leads")
 
-// sync sends a question to the leader, whose answer is received from the channel.
-func (c *Client) sync(address string, m protocol.SyncMsg) <-chan answer {
-	limit := callTime
+// startSync sends a sync request and returns a channel that receives its outcome.
+func (c *Client) startSync(address string, m protocol.SyncMsg) <-chan answer {
+	timeout := syncTimeout
 	if c.lister == 0 {
-		limit = firstTime
+		timeout = firstSyncTimeout
 	}
 	answers := make(chan answer, 1)
 	go func() {
 		var a answer
-		a.err = c.caller.Call(address, "Uplink.Sync", m, &a.reply, limit)
+		a.err = c.caller.Call(address, "Uplink.Sync", m, &a.reply, timeout)
 		answers <- a
 	}()
 	return answers
 }
 
-// await waits for the leader's answer. While it is overdue the other control
-// instances are asked who leads, and the first other leader ends the wait.
+// await waits for the answer to a sync request. While it is overdue, the other control
+// instances are queried for the leader, and the first different leader ends the wait.
 func (c *Client) await(ctx context.Context, address string, answers <-chan answer) answer {
-	var found <-chan named // found is nil until the answer is overdue.
-	due := time.NewTimer(c.due(address))
-	defer due.Stop()
+	var hints <-chan leaderHint // hints is nil until the answer is overdue.
+	timer := time.NewTimer(c.answerTimeout(address))
+	defer timer.Stop()
 	for {
 		select {
 		case a := <-answers:
 			return a
-		case <-due.C:
-			if found == nil {
-				c.overdue()
-				found = c.found
+		case <-timer.C:
+			if hints == nil {
+				c.handleOverdue()
+				hints = c.leaderHints
 			}
 			c.gateway.Overdue()
-			c.askWho(protocol.LeaderMsg{Besides: address}, address)
-			due.Reset(searchPause)
-		case n := <-found:
+			c.queryControls(protocol.LeaderMsg{Besides: address}, address)
+			timer.Reset(searchPause)
+		case n := <-hints:
 			if n.leader != address {
-				return answer{err: ErrReplyOverdue, other: n.leader}
+				return answer{err: ErrReplyOverdue, newLeader: n.leader}
 			}
 		case <-ctx.Done():
 			return answer{err: ctx.Err()}
@@ -339,18 +343,18 @@
 	}
 }
 
-// overdue has no question for a place wait for a leader that may be gone, and forgets
-// whom others named before.
-func (c *Client) overdue() {
-	c.lead("", "")
+// handleOverdue clears the link, so that no placement request waits for a leader that may be
+// down, and discards an earlier leader hint.
+func (c *Client) handleOverdue() {
+	c.setLeader("", "")
 	select {
-	case <-c.found:
+	case <-c.leaderHints:
 	default:
 	}
 }
 
-// take puts a leader's answer in force.
-func (c *Client) take(address string, m *protocol.SyncMsg, reply *protocol.SyncReply, asked time.Time) bool {
+// apply applies an answer given for the leader and reports whether it could be applied.
+func (c *Client) apply(address string, m *protocol.SyncMsg, reply *protocol.SyncReply, asked time.Time) bool {
 	if len(reply.Document) > 0 {
 		if err := c.gateway.Document(reply.Number, reply.Document); err != nil {
 			c.log.Error().Err(err).Uint64("number", reply.Number).Msg("an accepted document cannot be read")
@@ -360,13 +364,13 @@
 	c.gateway.SetRollouts(reply, asked)
 	c.gateway.SetQuarantine(reply)
 	if reply.Listed {
-		list, err := c.list(reply)
+		list, err := c.updateServers(reply)
 		if err != nil {
 			c.log.Error().Err(err).Msg("the list cannot be read")
 			return false
 		}
 		c.gateway.SetServers(list)
-		c.lister, c.version = reply.Lister, reply.Version
+		c.lister, c.listVersion = reply.Lister, reply.Version
 	}
 	if reply.ListLate {
 		c.gateway.ListLate()
@@ -374,20 +378,20 @@
 	c.gateway.Confirm(asked, reply.Gateways)
 	c.gateway.HandleSyncReply(m, reply, asked)
 	c.gateway.SetLanes(reply.Lanes)
-	if err := c.share(reply); err != nil {
+	if err := c.updateLoads(reply); err != nil {
 		c.log.Error().Err(err).Str("from", address).Msg("the servers' loads cannot be read")
 	}
 	c.logLink(address, reply)
 	c.linked, c.target, c.term = address, address, reply.Term
 	c.setGateways(reply.Gateways)
-	c.lead(address, cmp.Or(reply.Leader, address))
-	c.askApart(c.mayApart(cmp.Or(reply.Leader, address)))
-	c.members.Store(int64(reply.Gateways))
-	c.noteLimits(reply)
+	c.setLeader(address, cmp.Or(reply.Leader, address))
+	c.setSeparateQuota(c.supportsSeparateQuota(cmp.Or(reply.Leader, address)))
+	c.gatewayCount.Store(int64(reply.Gateways))
+	c.checkLimits(reply)
 	return true
 }
 
-// logLink logs whom the gateway is linked to, where that changes.
+// logLink logs the instance in use if it or the term changed.
 func (c *Client) logLink(address string, reply *protocol.SyncReply) {
 	if c.linked == address && c.term == reply.Term {
 		return
@@ -399,52 +403,52 @@
 	c.log.Info().Str("leader", address).Uint64("term", reply.Term).Uint64("number", reply.Number).Int("gateways", reply.Gateways).Msg("linked to the leader")
 }
 
-// share hands the loads of all servers on to the gateway, if the answer has those of the
-// list that is held. Where they cannot be read, all are asked for next.
-func (c *Client) share(reply *protocol.SyncReply) error {
+// updateLoads passes the loads of all servers to the gateway if the answer has loads for the
+// current list. If they cannot be decoded, the next request asks for all of them.
+func (c *Client) updateLoads(reply *protocol.SyncReply) error {
 	if reply.Listed || (len(reply.Loads) == 0 && reply.Loaded.Version == 0) {
 		return nil
 	}
-	loads, err := place.UpdateLoads(c.loads, c.mark, reply.Loads, reply.LoadChanges, reply.Loaded)
+	loads, err := place.UpdateLoads(c.loads, c.loadVersion, reply.Loads, reply.LoadChanges, reply.Loaded)
 	if err != nil {
-		c.loads, c.mark = nil, protocol.LoadVersion{}
+		c.loads, c.loadVersion = nil, protocol.LoadVersion{}
 		return err
 	}
-	c.loads, c.mark = loads, reply.Loaded
+	c.loads, c.loadVersion = loads, reply.Loaded
 	if len(loads) > 0 {
 		c.gateway.SetLoads(loads, reply.Distrusted)
 	}
 	return nil
 }
 
-// list returns the whole list behind an answer with all of it or with what changed.
-func (c *Client) list(reply *protocol.SyncReply) ([]protocol.Instance, error) {
-	told, err := c.unpack(reply.List)
+// updateServers applies an answer with a full list or with changes and returns the full list.
+func (c *Client) updateServers(reply *protocol.SyncReply) ([]protocol.Instance, error) {
+	update, err := c.unpack(reply.List)
 	if err != nil {
 		return nil, err
 	}
-	c.servers = told.ApplyTo(c.servers)
+	c.servers = update.ApplyTo(c.servers)
 	return c.servers, nil
 }
 
-// lost forgets the instance, the leader or a relay, that did not answer as it should.
-func (c *Client) lost(address, reason string) {
+// unlink drops the link to the leader or relay after a failed request.
+func (c *Client) unlink(address, reason string) {
 	if c.linked != "" {
 		c.log.Warn().Str("instance", address).Str("reason", reason).Msg("link to the control role lost")
 	}
 	c.linked, c.target = "", ""
-	c.lead("", "")
+	c.setLeader("", "")
 }
 
-// lead notes the instance that answers for the leader, and the leader itself.
-func (c *Client) lead(address, leader string) {
+// setLeader sets the instance in use, which answers for the leader, and the leader itself.
+func (c *Client) setLeader(address, leader string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leader, c.leaderAddr = address, leader
+	c.linkAddr, c.leaderAddr = address, leader
 }
 
-// learn notes the control instances that another one knows.
-func (c *Client) learn(controls, domains []string) {
+// setControls records the control instances reported by one of them.
+func (c *Client) setControls(controls, domains []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.links.SetControls(controls, domains)
--- a/transport/uplink/uplink_test.go
+++ b/transport/uplink/uplink_test.go
@@ -16,17 +16,17 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// patience bounds what a test waits for.
-const patience = 10 * time.Second
+// testTimeout bounds every wait of a test.
+const testTimeout = 10 * time.Second
 
-// fakeCaller answers for control instances by their addresses.
+// fakeCaller simulates control instances by address.
 type fakeCaller struct {
 	mu      sync.Mutex // mu guards all below.
 	answers map[string]func(m protocol.SyncMsg) (protocol.SyncReply, error)
-	asked   []string // asked are those that were asked to synchronize.
+	synced  []string // synced lists the instances that got Uplink.Sync calls.
 }
 
-// set exchanges the answers.
+// set replaces the answers.
 func (c *fakeCaller) set(answers map[string]func(m protocol.SyncMsg) (protocol.SyncReply, error)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -38,10 +38,10 @@
 	defer c.mu.Unlock()
 	f := c.answers[address]
 	if method == "Uplink.Sync" {
-		c.asked = append(c.asked, address)
+		c.synced = append(c.synced, address)
 	}
 	if f == nil {
-		return errors.New("nobody is there")
+		return errors.New("connection refused")
 	}
 	if m, ok := args.(protocol.LeaderMsg); ok {
 		got, err := f(protocol.SyncMsg{})
@@ -60,37 +60,39 @@
 	return err
 }
 
-// fakeGateway notes what it is told.
+// fakeGateway records the calls of the client.
 type fakeGateway struct {
-	number    uint64
-	servers   int
-	loads     []byte
-	confirmed int
-	at        time.Time
-	bad       bool
-	late      int          // late counts how often it was told that the list is out of date.
-	held      []int        // held are how often it was confirmed when it was told what is held.
-	overdue   atomic.Int32 // overdue counts how often it was told so.
+	number             uint64
+	servers            int
+	loads              []byte
+	confirmed          int
+	confirmedAt        time.Time
+	rejectDocument     bool
+	listLate           int          // listLate counts the calls of ListLate.
+	quarantineSetAfter []int        // quarantineSetAfter holds the number of confirmations before each SetQuarantine.
+	overdue            atomic.Int32 // overdue counts the calls of Overdue.
 }
 
-func (g *fakeGateway) Report(uint64) protocol.SyncMsg    { return protocol.SyncMsg{Number: g.number} }
-func (g *fakeGateway) SetQuarantine(*protocol.SyncReply) { g.held = append(g.held, g.confirmed) }
+func (g *fakeGateway) Report(uint64) protocol.SyncMsg { return protocol.SyncMsg{Number: g.number} }
+func (g *fakeGateway) SetQuarantine(*protocol.SyncReply) {
+	g.quarantineSetAfter = append(g.quarantineSetAfter, g.confirmed)
+}
 
 func (g *fakeGateway) SetRollouts(*protocol.SyncReply, time.Time)                        {}
 func (g *fakeGateway) HandleSyncReply(*protocol.SyncMsg, *protocol.SyncReply, time.Time) {}
 func (g *fakeGateway) Document(number uint64, _ []byte) error {
-	if g.bad {
-		return errors.New("cannot be read")
+	if g.rejectDocument {
+		return errors.New("document cannot be decoded")
 	}
 	g.number = number
 	return nil
 }
 func (g *fakeGateway) Overdue()                            { g.overdue.Add(1) }
-func (g *fakeGateway) ListLate()                           { g.late++ }
+func (g *fakeGateway) ListLate()                           { g.listLate++ }
 func (g *fakeGateway) SetLoads(loads, _ []byte)            { g.loads = loads }
 func (g *fakeGateway) SetLanes([]protocol.ServiceLanes)    {}
 func (g *fakeGateway) SetServers(list []protocol.Instance) { g.servers = len(list) }
-func (g *fakeGateway) Confirm(at time.Time, _ int)         { g.confirmed, g.at = g.confirmed+1, at }
+func (g *fakeGateway) Confirm(at time.Time, _ int)         { g.confirmed, g.confirmedAt = g.confirmed+1, at }
 
 func leads(m protocol.SyncMsg) (protocol.SyncReply, error) {
 	r := protocol.SyncReply{Leads: true, Term: 4, Number: 9, Gateways: 1, Controls: []string{"a", "b", "c"}}
@@ -106,96 +108,95 @@
 	}
 }
 
-// TestFindsTheLeader checks that the client goes from a seed that is gone over
-// one that follows to the leader, stays with it, and finds the next one.
+// TestFindsTheLeader checks that the client finds the leader through a follower while another
+// seed is down, keeps using it, and finds its successor.
 func TestFindsTheLeader(t *testing.T) {
 	c := &fakeCaller{answers: map[string]func(protocol.SyncMsg) (protocol.SyncReply, error){"b": follows("c"), "c": leads}}
 	g := &fakeGateway{}
 	u := New(c, g, []string{"a", "b"}, unpackIDs, zerolog.Nop())
-	end := time.Now().Add(patience)
+	end := time.Now().Add(testTimeout)
 	confirms := func(more int) {
 		t.Helper()
 		for want := g.confirmed + more; g.confirmed < want; {
 			if time.Now().After(end) {
-				t.Fatalf("the leader was not found: asked %v", c.asked)
+				t.Fatalf("leader not found: asked %v", c.synced)
 			}
 			u.step(t.Context())
 		}
 	}
 	confirms(1)
 	if g.number != 9 {
-		t.Fatalf("holds %d after asking %v", g.number, c.asked)
+		t.Fatalf("gateway has document %d, want 9, after asking %v", g.number, c.synced)
 	}
-	n := len(c.asked)
+	n := len(c.synced)
 	confirms(3)
-	for _, address := range c.asked[n:] {
+	for _, address := range c.synced[n:] {
 		if address != "c" {
-			t.Errorf("asked %v after it had found the leader", c.asked[n:])
+			t.Errorf("asked %v after finding the leader, want only c", c.synced[n:])
 		}
 	}
 	c.set(map[string]func(protocol.SyncMsg) (protocol.SyncReply, error){"b": leads, "c": follows("b")})
-	n = len(c.asked)
+	n = len(c.synced)
 	confirms(1)
-	if !slices.Equal(c.asked[n:], []string{"c", "b"}) {
-		t.Errorf("asked %v when another led", c.asked[n:])
+	if !slices.Equal(c.synced[n:], []string{"c", "b"}) {
+		t.Errorf("asked %v after a change of leader, want c and b", c.synced[n:])
 	}
 }
 
-// TestLooksPastTheSilent checks that a leader that does not answer is not asked
-// again on the word of those that still take it for the leader, and that the next
-// one is found as soon as somebody names it.
-func TestLooksPastTheSilent(t *testing.T) {
+// TestSilentLeaderIsNotFollowed checks that a leader that does not answer is not asked again
+// because other instances still name it, and that its successor is found as soon as an instance
+// names it.
+func TestSilentLeaderIsNotFollowed(t *testing.T) {
 	answers := map[string]func(protocol.SyncMsg) (protocol.SyncReply, error){"a": follows("gone"), "b": follows("gone")}
 	c := &fakeCaller{answers: answers}
 	g := &fakeGateway{}
 	u := New(c, g, []string{"a", "b"}, unpackIDs, zerolog.Nop())
-	for len(c.asked) == 0 {
+	for len(c.synced) == 0 {
 		u.step(t.Context())
 	}
 	for range 5 {
 		u.step(t.Context())
 	}
-	if len(c.asked) != 1 {
-		t.Errorf("asked %v while only a silent leader was named", c.asked)
+	if len(c.synced) != 1 {
+		t.Errorf("asked %v while only the silent leader was named, want one call", c.synced)
 	}
 	c.set(map[string]func(protocol.SyncMsg) (protocol.SyncReply, error){"a": follows("gone"), "b": leads})
-	for end := time.Now().Add(patience); g.confirmed == 0; u.step(t.Context()) {
+	for end := time.Now().Add(testTimeout); g.confirmed == 0; u.step(t.Context()) {
 		if time.Now().After(end) {
-			t.Fatalf("the next leader was not found: asked %v", c.asked)
+			t.Fatalf("successor not found: asked %v", c.synced)
 		}
 	}
 }
 
-// TestLeaderThatCameBackIsFollowed has the leader's process end and start again at once: it
-// leads again 0.2 s later, and says so itself. A gateway that heard nothing from it meanwhile
-// passes over whoever names it, as those may not know yet that it is gone; its own word is
-// none of theirs. Without it gateways stayed without a leader for a second from the moment
-// at which it fell silent: in 30 rounds of two such restarts they logged "linked to the leader" 0.9
-// to 1.2 s behind its "duties held".
-func TestLeaderThatCameBackIsFollowed(t *testing.T) {
+// TestRestartedLeaderIsFollowed checks that a leader that restarts and leads again 0.2 s later is
+// followed as soon as it names itself. Other instances that name it are ignored for a while, as
+// they may not know yet that it is down. When its own claim was ignored as well, gateways had no
+// leader for a second after it fell silent: in 30 rounds of two such restarts they logged
+// "linked to the leader" 0.9 to 1.2 s after its "duties held".
+func TestRestartedLeaderIsFollowed(t *testing.T) {
 	c := &fakeCaller{answers: map[string]func(protocol.SyncMsg) (protocol.SyncReply, error){"a": leads, "b": follows("a")}}
 	g := &fakeGateway{}
 	u := New(c, g, []string{"a", "b"}, unpackIDs, zerolog.Nop())
 	confirmed := func(want int) bool {
-		for began := time.Now(); g.confirmed < want && time.Since(began) < silentFor/2; {
+		for began := time.Now(); g.confirmed < want && time.Since(began) < silentLeaderTTL/2; {
 			u.step(t.Context())
 		}
 		return g.confirmed >= want
 	}
 	if !confirmed(1) {
-		t.Fatalf("the leader was not found: asked %v", c.asked)
+		t.Fatalf("the leader was not found: asked %v", c.synced)
 	}
 	c.set(map[string]func(protocol.SyncMsg) (protocol.SyncReply, error){"b": follows("a")})
 	u.step(t.Context())
 	c.set(map[string]func(protocol.SyncMsg) (protocol.SyncReply, error){"a": leads, "b": follows("a")})
 	if !confirmed(2) {
-		t.Errorf("the leader that came back was not followed: asked %v", c.asked)
+		t.Errorf("restarted leader not followed: asked %v", c.synced)
 	}
 }
 
-// TestConfirmsTheTimeOfTheQuestion checks that a late answer makes sure only up
-// to when it was asked for.
-func TestConfirmsTheTimeOfTheQuestion(t *testing.T) {
+// TestConfirmUsesRequestTime checks that a late answer confirms the document only up to the time
+// of the request.
+func TestConfirmUsesRequestTime(t *testing.T) {
 	g := &fakeGateway{}
 	var answered time.Time
 	c := &fakeCaller{answers: map[string]func(protocol.SyncMsg) (protocol.SyncReply, error){"a": func(m protocol.SyncMsg) (protocol.SyncReply, error) {
@@ -203,23 +204,23 @@
 		return leads(m)
 	}}}
 	u := New(c, g, []string{"a"}, unpackIDs, zerolog.Nop())
-	u.ask(t.Context(), "a")
-	if g.at.IsZero() || g.at.After(answered) {
-		t.Errorf("sure up to %v, the answer was made at %v", g.at, answered)
+	u.syncWith(t.Context(), "a")
+	if g.confirmedAt.IsZero() || g.confirmedAt.After(answered) {
+		t.Errorf("confirmed up to %v, but the answer was made at %v", g.confirmedAt, answered)
 	}
 }
 
-// TestUnreadableDocumentConfirmsNothing checks that a gateway which cannot put
-// the newest document in force does not count as up to date.
+// TestUnreadableDocumentConfirmsNothing checks that a gateway that cannot install the newest
+// document is not confirmed as up to date.
 func TestUnreadableDocumentConfirmsNothing(t *testing.T) {
-	g := &fakeGateway{bad: true}
+	g := &fakeGateway{rejectDocument: true}
 	u := New(&fakeCaller{answers: map[string]func(protocol.SyncMsg) (protocol.SyncReply, error){"a": leads}}, g, []string{"a"}, unpackIDs, zerolog.Nop())
-	if u.ask(t.Context(), "a") || g.confirmed > 0 {
-		t.Error("it counts as up to date")
+	if u.syncWith(t.Context(), "a") || g.confirmed > 0 {
+		t.Error("answer accepted or document confirmed")
 	}
 }
 
-// hangingCaller is a fakeCaller whose first leader takes questions and answers none.
+// hangingCaller is a fakeCaller with an instance that never answers sync requests.
 type hangingCaller struct {
 	*fakeCaller
 	hangs   string
@@ -234,9 +235,9 @@
 	return c.fakeCaller.Call(address, method, args, reply, limit)
 }
 
-// TestOverdueLeaderIsLeft checks that a leader whose answer is overdue is left for
-// another one as soon as there is one, and not only once the call has timed out.
-func TestOverdueLeaderIsLeft(t *testing.T) {
+// TestOverdueLeaderIsReplaced checks that a leader whose answer is overdue is replaced as soon as
+// another one is found, and not only after the call times out.
+func TestOverdueLeaderIsReplaced(t *testing.T) {
 	leads := func(m protocol.SyncMsg) (protocol.SyncReply, error) {
 		return protocol.SyncReply{Leads: true, Number: 1}, nil
 	}
@@ -253,18 +254,18 @@
 	}()
 	select {
 	case <-linked:
-	case <-time.After(patience):
-		t.Fatal("it still waits for the one that does not answer")
+	case <-time.After(testTimeout):
+		t.Fatal("still waiting for the leader that does not answer")
 	}
 	close(c.release)
 	if u.target != "b" || g.overdue.Load() == 0 {
-		t.Errorf("it is linked to %q, and the gateway was told %d times that the answer is overdue", u.target, g.overdue.Load())
+		t.Errorf("target is %q, want b; Overdue was called %d times", u.target, g.overdue.Load())
 	}
 }
 
-// TestOverdueLeaderIsKept checks that a leader whose answer is overdue is kept while
-// no other one leads, and that its answer counts when it comes.
-func TestOverdueLeaderIsKept(t *testing.T) {
+// TestOverdueLeaderIsKeptWithoutSuccessor checks that a leader whose answer is overdue is kept
+// while no other one is found, and that its late answer is accepted.
+func TestOverdueLeaderIsKeptWithoutSuccessor(t *testing.T) {
 	asked := make(chan struct{})
 	names := func(m protocol.SyncMsg) (protocol.SyncReply, error) {
 		select {
@@ -277,24 +278,24 @@
 	answers := make(chan answer, 1)
 	got := make(chan answer)
 	go func() { got <- u.await(t.Context(), "a", answers) }()
-	<-asked // The answer is overdue, and the other one is asked.
-	u.found <- named{leader: "a"}
-	for len(u.found) > 0 {
+	<-asked // The answer is overdue, and the other instance is queried.
+	u.leaderHints <- leaderHint{leader: "a"}
+	for len(u.leaderHints) > 0 {
 		select {
 		case a := <-got:
-			t.Fatalf("left for itself: %+v", a)
+			t.Fatalf("leader replaced by itself: %+v", a)
 		default:
 		}
 	}
 	answers <- answer{reply: protocol.SyncReply{Leads: true, Number: 7}}
 	if a := <-got; a.err != nil || a.reply.Number != 7 {
-		t.Errorf("got %+v", a)
+		t.Errorf("got %+v, want document 7 without an error", a)
 	}
 }
 
-// TestListOfChanges checks that changes are put into the list that was told
-// before, and that a whole list replaces it.
-func TestListOfChanges(t *testing.T) {
+// TestListChangesAreApplied checks that changes are applied to the previous list, and that a
+// full list replaces it.
+func TestListChangesAreApplied(t *testing.T) {
 	c := New(nil, nil, nil, unpackIDs, zerolog.Nop())
 	ids := func(list []protocol.Instance) (text string) {
 		for _, in := range list {
@@ -314,46 +315,46 @@
 		{protocol.SyncReply{List: []byte("=d")}, "d"},
 		{protocol.SyncReply{List: []byte("-d")}, ""},
 	} {
-		list, err := c.list(&step.reply)
+		list, err := c.updateServers(&step.reply)
 		if got := ids(list); got != step.want || err != nil {
 			t.Errorf("got %s and %v, want %s", got, err, step.want)
 		}
 	}
-	if _, err := c.list(&protocol.SyncReply{List: []byte("?")}); err == nil {
-		t.Error("a list that cannot be read is no error")
+	if _, err := c.updateServers(&protocol.SyncReply{List: []byte("?")}); err == nil {
+		t.Error("no error for a list that cannot be decoded")
 	}
 }
 
-// TestLeaderIsAskedAtABoundedRate checks that all gateways together ask no more
-// often than a leader bears, however many they are.
-func TestLeaderIsAskedAtABoundedRate(t *testing.T) {
+// TestSyncRateIsBounded checks that the sync rate of all gateways together stays within the
+// leader's capacity for any number of gateways.
+func TestSyncRateIsBounded(t *testing.T) {
 	for _, gateways := range []int{1, 100, 300, 3000} {
-		if a := askEvery(gateways); a < every || a < time.Duration(gateways)*everyMember {
-			t.Errorf("each of %d asks every %v", gateways, a)
+		if a := syncIntervalFor(gateways); a < minSyncInterval || a < time.Duration(gateways)*intervalPerGateway {
+			t.Errorf("each of %d gateways syncs every %v", gateways, a)
 		}
 	}
 }
 
-// TestHurryKeepsAPause checks that a gateway in a syncNow lets the least time pass
-// between two questions.
-func TestHurryKeepsAPause(t *testing.T) {
+// TestSyncNowKeepsMinPause checks that SyncNow does not shorten the time between two sync
+// requests below minPause.
+func TestSyncNowKeepsMinPause(t *testing.T) {
 	c := New(nil, nil, nil, unpackIDs, zerolog.Nop())
 	c.SyncNow()
 	began := time.Now()
 	c.wait(context.Background(), began, time.Hour)
-	if took := time.Since(began); took < leastPause {
-		t.Errorf("asked again after %v", took)
+	if took := time.Since(began); took < minPause {
+		t.Errorf("waited only %v", took)
 	}
 }
 
-// unpackIDs reads a list of servers with names of one letter: all of them behind a
-// "=", "a!" for one that leaves, "-a" for one that is gone.
+// unpackIDs decodes a server list with IDs of one letter: "=" marks a full list, "a!" a leaving
+// server and "-a" a removed one.
 func unpackIDs(packed []byte) (list protocol.ServerList, err error) {
 	gone := false
 	for _, id := range string(packed) {
 		switch {
 		case id == '?':
-			return list, errors.New("cannot be read")
+			return list, errors.New("list cannot be decoded")
 		case id == '=':
 			list.Whole = true
 		case id == '-':
@@ -369,28 +370,27 @@
 	return list, nil
 }
 
-// TestHeldRequestsAreKnownFirst checks that a gateway is told which requests are held ahead
-// of being told that it may serve, and that the time of a question counts suspensions.
-func TestHeldRequestsAreKnownFirst(t *testing.T) {
+// TestQuarantineIsSetBeforeConfirm checks that SetQuarantine is called before Confirm, which makes
+// the gateway ready, and that the request time includes time spent suspended.
+func TestQuarantineIsSetBeforeConfirm(t *testing.T) {
 	clock.Skip(time.Hour)
 	defer clock.Skip(-time.Hour)
 	c := &fakeCaller{answers: map[string]func(protocol.SyncMsg) (protocol.SyncReply, error){"a": leads}}
 	g := &fakeGateway{}
 	u := New(c, g, []string{"a"}, unpackIDs, zerolog.Nop())
-	for end := time.Now().Add(patience); g.confirmed == 0 && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); g.confirmed == 0 && time.Now().Before(end); {
 		u.step(t.Context())
 	}
-	if !slices.Equal(g.held, []int{0}) {
-		t.Errorf("told of held requests behind so many confirmations: %v", g.held)
+	if !slices.Equal(g.quarantineSetAfter, []int{0}) {
+		t.Errorf("confirmations before each SetQuarantine: %v, want [0]", g.quarantineSetAfter)
 	}
-	if age := clock.Since(g.at); age < 0 || age > patience {
-		t.Errorf("the question counts as %v old", age)
+	if age := clock.Since(g.confirmedAt); age < 0 || age > testTimeout {
+		t.Errorf("the request time is %v ago", age)
 	}
 }
 
-// TestLateListIsPassedOn checks that the gateway learns that the leader's list is late, with
-// each answer that says so.
-func TestLateListIsPassedOn(t *testing.T) {
+// TestLateListIsReported checks that ListLate is called for each answer that reports a late list.
+func TestLateListIsReported(t *testing.T) {
 	for _, late := range []bool{true, false} {
 		g := &fakeGateway{}
 		c := &fakeCaller{answers: map[string]func(protocol.SyncMsg) (protocol.SyncReply, error){"a": func(m protocol.SyncMsg) (protocol.SyncReply, error) {
@@ -399,37 +399,38 @@
 			return r, err
 		}}}
 		u := New(c, g, []string{"a"}, unpackIDs, zerolog.Nop())
-		u.ask(t.Context(), "a")
-		u.ask(t.Context(), "a")
-		if want := map[bool]int{true: 2, false: 0}[late]; g.late != want {
-			t.Errorf("late %v: the gateway heard it %d times", late, g.late)
+		u.syncWith(t.Context(), "a")
+		u.syncWith(t.Context(), "a")
+		if want := map[bool]int{true: 2, false: 0}[late]; g.listLate != want {
+			t.Errorf("late %v: ListLate was called %d times", late, g.listLate)
 		}
 	}
 }
 
-// TestLostRelaysAreOverdueAtOnce checks that a gateway of a large fleet whose relays end all at
-// the same time, or refuse as they have lost the leader, is told with the first of them that
-// nobody answers: its requests then wait for no part of a quota.
-func TestLostRelaysAreOverdueAtOnce(t *testing.T) {
+// TestLostRelaysAreReportedOverdueAtOnce checks that a gateway of a large fleet whose relays all
+// stop at the same time, or refuse because they have lost the leader, gets Overdue at the first
+// failure, so that its requests do not wait for quota.
+func TestLostRelaysAreReportedOverdueAtOnce(t *testing.T) {
 	for name, relay := range map[string]func(protocol.SyncMsg) (protocol.SyncReply, error){
-		"ended":   nil,
+		"stopped": nil,
 		"refuses": follows(""),
 	} {
 		c := &fakeCaller{answers: map[string]func(protocol.SyncMsg) (protocol.SyncReply, error){"b": relay, "c": relay}}
 		g := &fakeGateway{}
 		u := New(c, g, []string{"a"}, unpackIDs, zerolog.Nop(), WithRegions(nil, "d1", "g"))
-		u.learn([]string{"a", "b", "c"}, []string{"d1", "d1", "d2"})
+		u.setControls([]string{"a", "b", "c"}, []string{"d1", "d1", "d2"})
 		u.setGateways(986)
 		u.step(t.Context())
-		if len(c.asked) != 1 || g.overdue.Load() == 0 {
-			t.Errorf("%s: asked %v, told %d times that nobody answers", name, c.asked, g.overdue.Load())
+		if len(c.synced) != 1 || g.overdue.Load() == 0 {
+			t.Errorf("%s: asked %v, Overdue was called %d times", name, c.synced, g.overdue.Load())
 		}
 	}
 }
 
-// TestLeaderSendsItToARelay checks that a gateway which a leader of many sends away asks a
-// relay next, as one that may be, keeps to it, and asks again by the share of one instance.
-func TestLeaderSendsItToARelay(t *testing.T) {
+// TestLeaderRedirectsToRelay checks that a gateway redirected by a leader with many gateways
+// marks its next request as relayed, sends it to a relay, keeps using that relay, and derives
+// its sync interval from the gateways per instance.
+func TestLeaderRedirectsToRelay(t *testing.T) {
 	controls, domains := []string{"a", "b", "c"}, []string{"d2", "d1", "d3"}
 	relayed := false
 	c := &fakeCaller{answers: map[string]func(protocol.SyncMsg) (protocol.SyncReply, error){
@@ -450,40 +451,40 @@
 	for range 3 {
 		u.step(t.Context())
 	}
-	if !slices.Equal(c.asked, []string{"a", "b", "b"}) || !relayed || g.confirmed != 2 {
-		t.Fatalf("asked %v, as one that may relay: %v, confirmed %d times", c.asked, relayed, g.confirmed)
+	if !slices.Equal(c.synced, []string{"a", "b", "b"}) || !relayed || g.confirmed != 2 {
+		t.Fatalf("asked %v, marked as relayed: %v, confirmed %d times", c.synced, relayed, g.confirmed)
 	}
-	if got, want := u.askEvery(), askEvery(986/2); got != want {
-		t.Errorf("asks every %v, want %v: two relays share 986 gateways", got, want)
+	if got, want := u.syncInterval(), syncIntervalFor(986/2); got != want {
+		t.Errorf("syncs every %v, want %v: two relays share 986 gateways", got, want)
 	}
 }
 
-// TestPauseBehindRefusals checks that a gateway of a large fleet whose relays refuse pauses
-// longer behind each, up to its usual pause, and one that asks the leader does not.
-func TestPauseBehindRefusals(t *testing.T) {
+// TestRetryPauseGrowsWithRefusals checks that the retry pause grows with each refusal by a relay,
+// up to minSyncInterval, and stays at minPause if the gateway asks the leader directly.
+func TestRetryPauseGrowsWithRefusals(t *testing.T) {
 	u := New(&fakeCaller{}, &fakeGateway{}, nil, unpackIDs, zerolog.Nop(), WithRegions(nil, "d1", "g"))
-	if got := u.failedPause(9); got != leastPause {
-		t.Errorf("without relays it pauses for %v", got)
+	if got := u.retryPause(9); got != minPause {
+		t.Errorf("pause without relays: %v", got)
 	}
 	u.setGateways(986)
-	for failed, want := range map[int]time.Duration{0: leastPause, 1: 2 * leastPause, 4: every, 1000: every} {
-		if got := u.failedPause(failed); got != want {
-			t.Errorf("behind %d failures it pauses for %v, want %v", failed, got, want)
+	for failed, want := range map[int]time.Duration{0: minPause, 1: 2 * minPause, 4: minSyncInterval, 1000: minSyncInterval} {
+		if got := u.retryPause(failed); got != want {
+			t.Errorf("pause after %d failures: %v, want %v", failed, got, want)
 		}
 	}
 }
 
-// TestFirstAnswerOfARelayIsDue checks that the first answer of a relay is overdue as soon as a
-// leader's within one region, and later by round trips over several.
-func TestFirstAnswerOfARelayIsDue(t *testing.T) {
+// TestFirstAnswerTimeoutOfRelay checks that the first answer of a relay times out as soon as a
+// leader's within one region, and later, by the extra round trips, with several regions.
+func TestFirstAnswerTimeoutOfRelay(t *testing.T) {
 	several := topology.New(map[string]string{"d1": "a", "d2": "b"})
 	for _, c := range []struct {
 		topology *topology.Topology
 		want     time.Duration
-	}{{nil, answerDue}, {several, answerDue + firstDue}} {
+	}{{nil, overdueTimeout}, {several, overdueTimeout + firstAnswerAllowance}} {
 		u := New(&fakeCaller{}, &fakeGateway{}, nil, unpackIDs, zerolog.Nop(), WithRegions(c.topology, "d1", "g"))
 		u.setGateways(986)
-		if got := u.due("relay"); got != c.want {
+		if got := u.answerTimeout("relay"); got != c.want {
 			t.Errorf("several regions %v: overdue after %v, want %v", c.topology.Several(), got, c.want)
 		}
 	}
