--- a/cmd/weldstreamd/gateway.go
+++ b/cmd/weldstreamd/gateway.go
@@ -133,9 +133,9 @@
 	}
 	return []caller.Option{
 		caller.WithMemory(g.memory),
-		caller.WithPace(caller.Pace{Rate: n.Memory.Rate, Window: n.Memory.Window}),
-		caller.WithSocket(n.Memory.SocketKB << 10),
-		caller.WithConnections(n.Connections()),
+		caller.WithMinRate(caller.MinRate{Rate: n.Memory.Rate, Window: n.Memory.Window}),
+		caller.WithSocketBuffer(n.Memory.SocketKB << 10),
+		caller.WithMaxConnections(n.Connections()),
 		caller.WithLogger(g.log),
 		caller.WithRegistry(g.registry),
 	}
@@ -215,9 +215,9 @@
 	AgeMS       int64  `json:"age_ms"` // AgeMS is since Number was known to be the newest; -1 for never.
 	Connections int    `json:"connections"`
 
-	Ways    []forward.Way     `json:"ways"`             // Ways are what was seen by distance to the servers.
-	Prompts forward.Dump      `json:"prompt_memory"`    // Prompts are what is known of what servers have read.
-	Memory  *caller.MemoryRow `json:"memory,omitempty"` // Memory is what is held for callers.
+	Ways    []forward.Way        `json:"ways"`             // Ways are what was seen by distance to the servers.
+	Prompts forward.Dump         `json:"prompt_memory"`    // Prompts are what is known of what servers have read.
+	Memory  *caller.MemoryStatus `json:"memory,omitempty"` // Memory is what is held for callers.
 
 	Held int `json:"held_requests"` // Held are the requests that are kept from servers.
 
@@ -227,7 +227,7 @@
 }
 
 func (g *gateway) dump() any {
-	d := gatewayDump{Name: g.settings.Name, Domain: g.settings.Domain, Region: g.forward.Region(), Ready: g.ready(), Number: g.forward.Number(), AgeMS: -1, Connections: g.server.Conns(), Ways: g.forward.Ways(), Prompts: g.forward.DumpMemory(), Memory: g.memory.Row(), InFlight: g.forward.InFlight(), Held: g.forward.Held(), Limited: g.forward.LimitedServers()}
+	d := gatewayDump{Name: g.settings.Name, Domain: g.settings.Domain, Region: g.forward.Region(), Ready: g.ready(), Number: g.forward.Number(), AgeMS: -1, Connections: g.server.Conns(), Ways: g.forward.Ways(), Prompts: g.forward.DumpMemory(), Memory: g.memory.Status(), InFlight: g.forward.InFlight(), Held: g.forward.Held(), Limited: g.forward.LimitedServers()}
 	if age, ok := g.forward.Age(); ok {
 		d.AgeMS = age.Milliseconds()
 	}
--- a/transport/caller/admit.go
+++ b/transport/caller/admit.go
@@ -29,10 +29,10 @@
 			return s.refuseConn(c, memory.Decision{})
 		}
 	}
-	v := s.memory.Take(&c.cost, memory.Connection, connectionBytes)
+	v := s.memory.Reserve(&c.cost, memory.Connection, connectionBytes)
 	if !v.Granted {
 		s.evict()
-		if v = s.memory.Take(&c.cost, memory.Connection, connectionBytes); !v.Granted {
+		if v = s.memory.Reserve(&c.cost, memory.Connection, connectionBytes); !v.Granted {
 			return s.refuseConn(c, v)
 		}
 	}
@@ -83,7 +83,7 @@
 		if w.conn.closeIf(w.state) {
 			gone++
 			delete(s.conns, w.conn)
-			s.memory.End(&w.conn.cost)
+			s.memory.ReleaseAll(&w.conn.cost)
 		}
 	}
 	if gone > 0 {
--- a/transport/caller/body.go
+++ b/transport/caller/body.go
@@ -16,8 +16,8 @@
 	// Owner names a request and its workspace; the workspace is empty where it is
 	// not known.
 	Owner(req *fasthttp.Request) (request, workspace string)
-	// NoRoom answers a request that was refused for want of memory: it has not run.
-	NoRoom(req *fasthttp.Request, v memory.Decision) *fasthttp.Response
+	// OutOfMemoryResponse answers a request that was refused for want of memory: it has not run.
+	OutOfMemoryResponse(req *fasthttp.Request, v memory.Decision) *fasthttp.Response
 }
 
 // firstBuffer, in bytes, is the first buffer of a body without a length.
@@ -41,7 +41,7 @@
 		s.setOwner(c, req)
 	}
 	if length > readBuffer {
-		if v := s.memory.Take(&c.hold, memory.Body, length); !v.Granted {
+		if v := s.memory.Reserve(&c.hold, memory.Body, length); !v.Granted {
 			return &noRoom{v}
 		}
 	}
@@ -126,7 +126,7 @@
 		return nil, fasthttp.ErrBodyTooLarge
 	}
 	// The byte beyond the most, which finds the end, would never be taken.
-	if v := s.memory.Take(&c.hold, memory.Body, min(size, most)-cap(body)); !v.Granted {
+	if v := s.memory.Reserve(&c.hold, memory.Body, min(size, most)-cap(body)); !v.Granted {
 		return nil, &noRoom{v}
 	}
 	return append(make([]byte, 0, size), body...), nil
@@ -135,7 +135,7 @@
 // paceReads holds the caller to the pace until endPace. A window is never shorter than
 // twice what a caller may take for its headers, so that one who is in time there is in
 // time here.
-func (c *Conn) paceReads(p Pace, limits *Limits) error {
+func (c *Conn) paceReads(p MinRate, limits *Limits) error {
 	p.Window = max(p.Window, 2*limits.HeaderTime)
 	now := time.Now()
 	c.reads.begin(p, now)
--- a/transport/caller/caller.go
+++ b/transport/caller/caller.go
@@ -1,12 +1,12 @@
 // Package caller is the edge towards callers of a gateway: it accepts
 // connections, reads one request after the other from each, and hands every one
-// to a [Handler] with an [Answer] to write to.
+// to a [Handler] with a [ResponseWriter] to write to.
 //
 // What a request means is not known here. A handler that returns without having
 // ended its answer has the connection cut, so that an answer that broke off
 // never looks whole.
 //
-//	callers ── Conn ── Request, Answer ──► Handler
+//	callers ── Conn ── Request, ResponseWriter ──► Handler
 //
 // A planned stop has two steps: Drain closes what is idle and has every further
 // answer say that its connection ends; Close waits for what is under way.
@@ -31,9 +31,9 @@
 
 // Handler answers one request. The context ends when the caller hangs up.
 type Handler interface {
-	Serve(ctx context.Context, req *fasthttp.Request, a *Answer)
-	// Refuse answers what could not be read as a request.
-	Refuse(status int, reason string) *fasthttp.Response
+	Serve(ctx context.Context, req *fasthttp.Request, a *ResponseWriter)
+	// ErrorResponse answers what could not be read as a request.
+	ErrorResponse(status int, reason string) *fasthttp.Response
 }
 
 // Limits bound what a caller may send, and how long it may take.
@@ -58,7 +58,7 @@
 type Server struct {
 	handler Handler
 	memory  *Memory // memory is nil where nothing is admitted by it.
-	pace    Pace
+	pace    MinRate
 	socket  int // socket is what the kernel may keep of a connection each way, in bytes; 0 leaves it to the kernel.
 	log     zerolog.Logger
 
@@ -83,15 +83,15 @@
 // WithMemory sets the account that bytes are taken from.
 func WithMemory(m *Memory) Option { return func(s *Server) { s.memory = m } }
 
-// WithPace sets the least rate of callers.
-func WithPace(p Pace) Option { return func(s *Server) { s.pace = p } }
+// WithMinRate sets the least rate of callers.
+func WithMinRate(p MinRate) Option { return func(s *Server) { s.pace = p } }
 
-// WithSocket bounds what the kernel keeps of a connection each way, which no account
+// WithSocketBuffer bounds what the kernel keeps of a connection each way, which no account
 // counts.
-func WithSocket(bytes int) Option { return func(s *Server) { s.socket = bytes } }
+func WithSocketBuffer(bytes int) Option { return func(s *Server) { s.socket = bytes } }
 
-// WithConnections bounds the connections of callers; 0 sets no bound.
-func WithConnections(most int) Option { return func(s *Server) { s.mostConns = most } }
+// WithMaxConnections bounds the connections of callers; 0 sets no bound.
+func WithMaxConnections(most int) Option { return func(s *Server) { s.mostConns = most } }
 
 // WithLogger sets the logger; without it nothing is logged.
 func WithLogger(l zerolog.Logger) Option { return func(s *Server) { s.log = l } }
@@ -101,7 +101,7 @@
 
 // NewServer returns a server that is not serving yet.
 func NewServer(h Handler, opts ...Option) *Server {
-	s := &Server{handler: h, cross: crossTime, pace: DefaultPace, log: zerolog.Nop(), conns: map[*Conn]struct{}{}, ended: make(chan struct{})}
+	s := &Server{handler: h, cross: crossTime, pace: DefaultMinRate, log: zerolog.Nop(), conns: map[*Conn]struct{}{}, ended: make(chan struct{})}
 	s.meter(metrics.NewRegistry())
 	s.SetLimits(DefaultLimits)
 	for _, opt := range opts {
@@ -218,8 +218,8 @@
 	defer func() {
 		_ = c.net.Close()
 		_ = c.out.awaitWritten() // Its goroutine uses the hold; behind the close it ends at once.
-		s.memory.End(&c.hold)
-		s.memory.End(&c.cost)
+		s.memory.ReleaseAll(&c.hold)
+		s.memory.ReleaseAll(&c.cost)
 		s.track(c, false)
 	}()
 	req := fasthttp.AcquireRequest()
@@ -275,16 +275,16 @@
 		s.refuse(c, req, err)
 		return false
 	}
-	a := &Answer{conn: c, close: s.drain.Load() || req.Header.ConnectionClose()}
+	a := &ResponseWriter{conn: c, close: s.drain.Load() || req.Header.ConnectionClose()}
 	ctx, cancel := context.WithCancel(context.Background())
 	stop := c.watch(cancel)
 	s.handler.Serve(ctx, req, a)
 	req.ResetBody() // What follows may take long, and needs it no more.
-	s.memory.Give(&c.hold, memory.Body, int(c.hold.Held(memory.Body)))
+	s.memory.Release(&c.hold, memory.Body, int(c.hold.Held(memory.Body)))
 	err := c.out.awaitWritten()
 	stop()
 	cancel()
-	s.memory.End(&c.hold)
+	s.memory.ReleaseAll(&c.hold)
 	return a.ended && !a.close && err == nil
 }
 
@@ -326,10 +326,10 @@
 // refuse answers what could not be read. The connection ends with it, since
 // where the next request begins is not known.
 func (s *Server) refuse(c *Conn, req *fasthttp.Request, err error) {
-	a := &Answer{conn: c, close: true}
+	a := &ResponseWriter{conn: c, close: true}
 	var full *noRoom
 	if admitter, ok := s.handler.(Admitter); ok && errors.As(err, &full) {
-		_ = a.Whole(admitter.NoRoom(req, full.decision)) // The connection is closed in any case.
+		_ = a.WriteResponse(admitter.OutOfMemoryResponse(req, full.decision)) // The connection is closed in any case.
 		c.linger()
 		return
 	}
@@ -337,6 +337,6 @@
 	if status < 0 {
 		return
 	}
-	_ = a.Whole(s.handler.Refuse(status, reason)) // The connection is closed in any case.
+	_ = a.WriteResponse(s.handler.ErrorResponse(status, reason)) // The connection is closed in any case.
 	c.linger()
 }
--- a/transport/caller/caller_test.go
+++ b/transport/caller/caller_test.go
@@ -16,25 +16,27 @@
 const patience = 10 * time.Second
 
 // handlerFunc is a handler made of a func.
-type handlerFunc func(ctx context.Context, req *fasthttp.Request, a *Answer)
+type handlerFunc func(ctx context.Context, req *fasthttp.Request, a *ResponseWriter)
 
-func (f handlerFunc) Serve(ctx context.Context, req *fasthttp.Request, a *Answer) { f(ctx, req, a) }
+func (f handlerFunc) Serve(ctx context.Context, req *fasthttp.Request, a *ResponseWriter) {
+	f(ctx, req, a)
+}
 
-func (handlerFunc) Refuse(status int, reason string) *fasthttp.Response {
+func (handlerFunc) ErrorResponse(status int, reason string) *fasthttp.Response {
 	resp := &fasthttp.Response{}
 	resp.SetStatusCode(status)
 	resp.SetBodyString(reason)
 	return resp
 }
 
-func whole(a *Answer, text string) {
+func whole(a *ResponseWriter, text string) {
 	resp := &fasthttp.Response{}
 	resp.SetBodyString(text)
-	_ = a.Whole(resp)
+	_ = a.WriteResponse(resp)
 }
 
 // echo answers with method, path and body.
-var echo = handlerFunc(func(_ context.Context, req *fasthttp.Request, a *Answer) {
+var echo = handlerFunc(func(_ context.Context, req *fasthttp.Request, a *ResponseWriter) {
 	whole(a, string(req.Header.Method())+" "+string(req.Header.RequestURI())+" "+string(req.Body()))
 })
 
@@ -93,7 +95,7 @@
 // written is noticed.
 func TestHangUpEndsTheContext(t *testing.T) {
 	begun, ended := make(chan struct{}), make(chan struct{})
-	_, conn, _ := serve(t, handlerFunc(func(ctx context.Context, _ *fasthttp.Request, _ *Answer) {
+	_, conn, _ := serve(t, handlerFunc(func(ctx context.Context, _ *fasthttp.Request, _ *ResponseWriter) {
 		close(begun)
 		<-ctx.Done()
 		close(ended)
@@ -112,11 +114,11 @@
 // whole, and that one that was ended does.
 func TestBrokenAnswerIsCut(t *testing.T) {
 	for _, end := range []bool{false, true} {
-		_, conn, _ := serve(t, handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *Answer) {
-			_ = a.Head(&fasthttp.Response{})
-			_ = a.Piece([]byte("data: 1\n\n"))
+		_, conn, _ := serve(t, handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *ResponseWriter) {
+			_ = a.WriteHeader(&fasthttp.Response{})
+			_ = a.WriteChunk([]byte("data: 1\n\n"))
 			if end {
-				_ = a.End()
+				_ = a.Finish()
 			}
 		}))
 		_, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -131,7 +133,7 @@
 // request under way gets its answer, which says that the connection ends.
 func TestDrain(t *testing.T) {
 	begun, release := make(chan struct{}), make(chan struct{})
-	s, busy, _ := serve(t, handlerFunc(func(_ context.Context, req *fasthttp.Request, a *Answer) {
+	s, busy, _ := serve(t, handlerFunc(func(_ context.Context, req *fasthttp.Request, a *ResponseWriter) {
 		if string(req.Header.RequestURI()) == "/wait" {
 			close(begun)
 			<-release
@@ -167,7 +169,7 @@
 // on a new one, just as the server drains gets an answer: closed unread, the connection would
 // be reset, and its caller would not know what became of the request.
 func TestDrainReadsWhatWasSent(t *testing.T) {
-	s, first, _ := serve(t, handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *Answer) { whole(a, "done") }))
+	s, first, _ := serve(t, handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *ResponseWriter) { whole(a, "done") }))
 	s.cross = patience // A machine that stands still for a moment decides nothing.
 	address := first.RemoteAddr().String()
 	var resting []net.Conn
@@ -201,7 +203,7 @@
 // neither race with its wait nor are left behind by it: what was accepted before
 // counts. The race detector tells of the first.
 func TestWaitBesideNewConnections(t *testing.T) {
-	s, first, _ := serve(t, handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *Answer) { whole(a, "done") }))
+	s, first, _ := serve(t, handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *ResponseWriter) { whole(a, "done") }))
 	address := first.RemoteAddr().String()
 	_ = first.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
--- a/transport/caller/conn.go
+++ b/transport/caller/conn.go
@@ -118,8 +118,8 @@
 	return errors.As(err, &e) && e.Timeout()
 }
 
-// Answer writes the answer to one request: whole, or as a head and pieces.
-type Answer struct {
+// ResponseWriter writes the answer to one request: whole, or as a head and pieces.
+type ResponseWriter struct {
 	conn    *Conn
 	close   bool
 	began   bool
@@ -127,11 +127,11 @@
 	chunked bool
 }
 
-// Began reports whether a byte of the answer was written.
-func (a *Answer) Began() bool { return a.began }
+// Started reports whether a byte of the answer was written.
+func (a *ResponseWriter) Started() bool { return a.began }
 
-// Own names the request and the workspace that what is held for it belongs to.
-func (a *Answer) Own(request, workspace string) {
+// SetOwner names the request and the workspace that what is held for it belongs to.
+func (a *ResponseWriter) SetOwner(request, workspace string) {
 	c := a.conn
 	c.request = request
 	if c.hold == (memory.Hold{Workspace: c.hold.Workspace}) { // What is held stays with whom it was taken for.
@@ -139,25 +139,25 @@
 	}
 }
 
-// Until says how long the caller waits for the answer: what it has not taken by then is
+// SetDeadline says how long the caller waits for the answer: what it has not taken by then is
 // of no use to it.
-func (a *Answer) Until(t time.Time) { a.conn.out.until = t }
+func (a *ResponseWriter) SetDeadline(t time.Time) { a.conn.out.until = t }
 
-// Hold takes bytes for a whole answer that is read before it is written.
-func (a *Answer) Hold(n int) memory.Decision {
-	return a.conn.out.memory.Take(&a.conn.hold, memory.Answer, n)
+// Reserve takes bytes for a whole answer that is read before it is written.
+func (a *ResponseWriter) Reserve(n int) memory.Decision {
+	return a.conn.out.memory.Reserve(&a.conn.hold, memory.Answer, n)
 }
 
-// Free gives the bytes of a whole answer back.
-func (a *Answer) Free() {
-	a.conn.out.memory.Give(&a.conn.hold, memory.Answer, int(a.conn.hold.Held(memory.Answer)))
+// Release gives the bytes of a whole answer back.
+func (a *ResponseWriter) Release() {
+	a.conn.out.memory.Release(&a.conn.hold, memory.Answer, int(a.conn.hold.Held(memory.Answer)))
 }
 
-// Close has the connection closed behind the answer, which says so.
-func (a *Answer) Close() { a.close = true }
+// CloseConnection has the connection closed behind the answer, which says so.
+func (a *ResponseWriter) CloseConnection() { a.close = true }
 
-// Whole writes a whole answer.
-func (a *Answer) Whole(resp *fasthttp.Response) error {
+// WriteResponse writes a whole answer.
+func (a *ResponseWriter) WriteResponse(resp *fasthttp.Response) error {
 	a.began, a.ended = true, true
 	a.mark(resp)
 	if err := resp.Write(a.conn.bw); err != nil {
@@ -168,15 +168,15 @@
 }
 
 // mark tells the caller what becomes of the connection.
-func (a *Answer) mark(resp *fasthttp.Response) {
+func (a *ResponseWriter) mark(resp *fasthttp.Response) {
 	resp.Header.Del(fasthttp.HeaderConnection)
 	if a.close {
 		resp.SetConnectionClose()
 	}
 }
 
-// Head writes the head of an answer whose body follows in pieces.
-func (a *Answer) Head(resp *fasthttp.Response) error {
+// WriteHeader writes the head of an answer whose body follows in pieces.
+func (a *ResponseWriter) WriteHeader(resp *fasthttp.Response) error {
 	a.began, a.chunked = true, true
 	a.mark(resp)
 	resp.Header.SetContentLength(-1)
@@ -186,8 +186,8 @@
 	return a.flush()
 }
 
-// Piece writes one piece of the body and has it sent at once.
-func (a *Answer) Piece(p []byte) error {
+// WriteChunk writes one piece of the body and has it sent at once.
+func (a *ResponseWriter) WriteChunk(p []byte) error {
 	if len(p) == 0 {
 		return nil
 	}
@@ -198,8 +198,8 @@
 	return a.flush()
 }
 
-// End writes the end of the body: the answer is whole.
-func (a *Answer) End() error {
+// Finish writes the end of the body: the answer is whole.
+func (a *ResponseWriter) Finish() error {
 	a.ended = true
 	if _, err := io.WriteString(a.conn.bw, "0\r\n\r\n"); err != nil {
 		a.close = true
@@ -208,7 +208,7 @@
 	return a.flush()
 }
 
-func (a *Answer) flush() error {
+func (a *ResponseWriter) flush() error {
 	err := a.conn.bw.Flush()
 	if err != nil {
 		a.close = true
--- a/transport/caller/cost_test.go
+++ b/transport/caller/cost_test.go
@@ -28,7 +28,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		s := NewServer(handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *Answer) {
+		s := NewServer(handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *ResponseWriter) {
 			begun <- struct{}{}
 			<-release
 			whole(a, "done")
--- a/transport/caller/late_test.go
+++ b/transport/caller/late_test.go
@@ -56,7 +56,7 @@
 // window takes none of its callers for slow: not one who takes an answer, with memory for
 // it and without, and not one who sends a body.
 func TestStandingStillCutsNobody(t *testing.T) {
-	pace := Pace{Rate: 1 << 20, Window: 20 * time.Millisecond}
+	pace := MinRate{Rate: 1 << 20, Window: 20 * time.Millisecond}
 	for name, bound := range map[string]int64{"kept": 1 << 20, "direct": 0} {
 		cut := false
 		s := newSendBuffer(&frozen{}, NewMemory(bound, metrics.NewRegistry()), &memory.Hold{}, pace, func() { cut = true })
@@ -98,7 +98,7 @@
 	const window = 500 * time.Millisecond
 	conn := &gated{began: make(chan struct{}, 2), may: make(chan struct{})}
 	cut := false
-	s := newSendBuffer(conn, NewMemory(2*blockBytes, metrics.NewRegistry()), &memory.Hold{}, Pace{Rate: 1, Window: window}, func() { cut = true })
+	s := newSendBuffer(conn, NewMemory(2*blockBytes, metrics.NewRegistry()), &memory.Hold{}, MinRate{Rate: 1, Window: window}, func() { cut = true })
 	done := make(chan error, 1)
 	go func() {
 		_, err := s.Write(make([]byte, 2*blockBytes))
--- a/transport/caller/memory.go
+++ b/transport/caller/memory.go
@@ -49,8 +49,8 @@
 	})) // It fails for a name that is there already, of an account before this one.
 }
 
-// Take takes bytes for a cause, all or none.
-func (m *Memory) Take(h *memory.Hold, c memory.Cause, n int) memory.Decision {
+// Reserve takes bytes for a cause, all or none.
+func (m *Memory) Reserve(h *memory.Hold, c memory.Cause, n int) memory.Decision {
 	if m == nil {
 		return memory.Decision{Granted: true}
 	}
@@ -72,8 +72,8 @@
 	return v
 }
 
-// Give gives bytes back.
-func (m *Memory) Give(h *memory.Hold, c memory.Cause, n int) {
+// Release gives bytes back.
+func (m *Memory) Release(h *memory.Hold, c memory.Cause, n int) {
 	if m == nil {
 		return
 	}
@@ -82,8 +82,8 @@
 	m.account.Release(h, c, int64(n), time.Now())
 }
 
-// End gives back all that a hold has.
-func (m *Memory) End(h *memory.Hold) {
+// ReleaseAll gives back all that a hold has.
+func (m *Memory) ReleaseAll(h *memory.Hold) {
 	if m == nil {
 		return
 	}
@@ -101,22 +101,22 @@
 	return int(min(int64(limit), max(0, m.account.MaxHold()-connectionBytes/2)))
 }
 
-// MemoryRow is the account's state for people.
-type MemoryRow struct {
+// MemoryStatus is the account's state for people.
+type MemoryStatus struct {
 	Bound      int64            `json:"bound"` // Bound is in bytes, as all are.
 	Held       int64            `json:"held"`
 	Causes     map[string]int64 `json:"causes"`
 	Workspaces map[string]int64 `json:"workspaces"` // Workspaces are those that hold any; "" are callers who are not known.
 }
 
-// Row returns the account's state, nil without an account.
-func (m *Memory) Row() *MemoryRow {
+// Status returns the account's state, nil without an account.
+func (m *Memory) Status() *MemoryStatus {
 	if m == nil {
 		return nil
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	row := &MemoryRow{Bound: m.account.Bound(), Held: m.account.Held(), Causes: map[string]int64{}, Workspaces: m.account.Workspaces()}
+	row := &MemoryStatus{Bound: m.account.Bound(), Held: m.account.Held(), Causes: map[string]int64{}, Workspaces: m.account.Workspaces()}
 	for _, c := range memory.Causes {
 		row.Causes[c.String()] = m.account.HeldFor(c)
 	}
--- a/transport/caller/memory_test.go
+++ b/transport/caller/memory_test.go
@@ -30,7 +30,7 @@
 	return "", string(req.Header.Peek("W"))
 }
 
-func (k *keyed) NoRoom(_ *fasthttp.Request, v memory.Decision) *fasthttp.Response {
+func (k *keyed) OutOfMemoryResponse(_ *fasthttp.Request, v memory.Decision) *fasthttp.Response {
 	k.refused.Add(1)
 	resp := &fasthttp.Response{}
 	resp.SetStatusCode(fasthttp.StatusServiceUnavailable)
@@ -39,7 +39,7 @@
 }
 
 // quick is a pace whose windows end soon.
-var quick = Pace{Rate: 1 << 20, Window: 200 * time.Millisecond}
+var quick = MinRate{Rate: 1 << 20, Window: 200 * time.Millisecond}
 
 // impatient limits leave the window as it is.
 var impatient = Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20, HeaderTime: 100 * time.Millisecond, BodyTime: 2 * patience, IdleTime: patience}
@@ -76,7 +76,7 @@
 // taken meanwhile; and that nothing is held at rest.
 func TestBodyIsRefusedBeforeItIsRead(t *testing.T) {
 	release := make(chan struct{})
-	h := &keyed{handlerFunc: func(_ context.Context, req *fasthttp.Request, a *Answer) {
+	h := &keyed{handlerFunc: func(_ context.Context, req *fasthttp.Request, a *ResponseWriter) {
 		if len(req.Header.Peek("Wait")) > 0 {
 			<-release
 		}
@@ -89,7 +89,7 @@
 	go func() {
 		_, _ = io.WriteString(first, strings.Replace(post("a", size), "\r\n\r\n", "\r\nWait: 1\r\n\r\n", 1)+strings.Repeat("x", size))
 	}()
-	await(t, "the first body is held", func() bool { return m.Row().Workspaces["a"] >= size })
+	await(t, "the first body is held", func() bool { return m.Status().Workspaces["a"] >= size })
 	second := dial(t, address)
 	_, _ = io.WriteString(second, post("a", 3*size/2)) // No byte of the body follows.
 	var resp fasthttp.Response
@@ -109,7 +109,7 @@
 		_ = c.Close()
 	}
 	await(t, "no connection is left", func() bool { return s.Conns() == 0 })
-	if row := m.Row(); row.Held != 0 || len(row.Workspaces) != 0 {
+	if row := m.Status(); row.Held != 0 || len(row.Workspaces) != 0 {
 		t.Errorf("at rest: %+v", row)
 	}
 }
@@ -121,7 +121,7 @@
 	m := NewMemory(1<<20, metrics.NewRegistry())
 	_, address := listen(t, h, WithMemory(m))
 	var hold memory.Hold
-	if !m.Take(&hold, memory.Body, 1<<19).Granted {
+	if !m.Reserve(&hold, memory.Body, 1<<19).Granted {
 		t.Fatal("half of the bound was not taken")
 	}
 	conn := dial(t, address)
@@ -187,7 +187,7 @@
 	}
 	var hold memory.Hold
 	hold.Workspace = "a"
-	if !m.Take(&hold, memory.Lag, 3<<19).Granted {
+	if !m.Reserve(&hold, memory.Lag, 3<<19).Granted {
 		t.Fatal("nothing was taken")
 	}
 	conn := dial(t, address)
@@ -202,12 +202,12 @@
 // keeps the pace is served.
 func TestSlowBodyEnds(t *testing.T) {
 	var served atomic.Int64
-	h := &keyed{handlerFunc: func(_ context.Context, req *fasthttp.Request, a *Answer) {
+	h := &keyed{handlerFunc: func(_ context.Context, req *fasthttp.Request, a *ResponseWriter) {
 		served.Add(1)
 		whole(a, fmt.Sprint(len(req.Body())))
 	}}
 	r := metrics.NewRegistry()
-	s, address := listen(t, h, WithPace(Pace{Rate: 5 << 10, Window: time.Second}), WithRegistry(r))
+	s, address := listen(t, h, WithMinRate(MinRate{Rate: 5 << 10, Window: time.Second}), WithRegistry(r))
 	s.SetLimits(impatient)
 	slow := dial(t, address)
 	_, _ = io.WriteString(slow, post("a", 100_000))
@@ -247,7 +247,7 @@
 // the request sets.
 func TestContinueIsTakenBeforeTheBody(t *testing.T) {
 	started := make(chan struct{})
-	s := NewServer(handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *Answer) {
+	s := NewServer(handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *ResponseWriter) {
 		close(started)
 		whole(a, "done")
 	}))
@@ -274,13 +274,13 @@
 
 // streamOf answers with pieces and tells when the handler is done.
 func streamOf(pieces, size int, done chan<- error) handlerFunc {
-	return func(_ context.Context, _ *fasthttp.Request, a *Answer) {
-		err := a.Head(&fasthttp.Response{})
+	return func(_ context.Context, _ *fasthttp.Request, a *ResponseWriter) {
+		err := a.WriteHeader(&fasthttp.Response{})
 		for i := 0; i < pieces && err == nil; i++ {
-			err = a.Piece([]byte(strings.Repeat(string(rune('a'+i%26)), size)))
+			err = a.WriteChunk([]byte(strings.Repeat(string(rune('a'+i%26)), size)))
 		}
 		if err == nil {
-			err = a.End()
+			err = a.Finish()
 		}
 		done <- err
 	}
@@ -302,7 +302,7 @@
 func TestSlowReaderHoldsNobodyUp(t *testing.T) {
 	done := make(chan error, 2)
 	m := NewMemory(4<<20, metrics.NewRegistry())
-	s, address := listen(t, streamOf(300, 700, done), WithMemory(m), WithSocket(8<<10))
+	s, address := listen(t, streamOf(300, 700, done), WithMemory(m), WithSocketBuffer(8<<10))
 	conn := lazy(t, address)
 	br := bufio.NewReader(conn)
 	for range 2 {
@@ -315,7 +315,7 @@
 		case <-time.After(patience):
 			t.Fatal("the handler waits for its caller")
 		}
-		if m.Row().Causes["lag"] == 0 {
+		if m.Status().Causes["lag"] == 0 {
 			t.Error("nothing is held for a caller who has read nothing")
 		}
 		status, body := read(t, br)
@@ -325,7 +325,7 @@
 	}
 	_ = conn.Close()
 	await(t, "no connection is left", func() bool { return s.Conns() == 0 })
-	if row := m.Row(); row.Held != 0 {
+	if row := m.Status(); row.Held != 0 {
 		t.Errorf("at rest: %+v", row)
 	}
 }
@@ -336,7 +336,7 @@
 	done := make(chan error, 1)
 	r := metrics.NewRegistry()
 	m := NewMemory(8<<20, r)
-	s, address := listen(t, streamOf(20_000, 700, done), WithMemory(m), WithSocket(8<<10), WithPace(quick), WithRegistry(r))
+	s, address := listen(t, streamOf(20_000, 700, done), WithMemory(m), WithSocketBuffer(8<<10), WithMinRate(quick), WithRegistry(r))
 	conn := lazy(t, address)
 	_, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	ended := make(chan error, 1)
@@ -359,8 +359,8 @@
 		t.Fatal("the handler waits for its caller")
 	}
 	await(t, "the connection is closed", func() bool { return s.Conns() == 0 })
-	if n := metrics.GetOrRegisterCounter(`callers.slow{side="reads"}`, r).Count(); n != 1 || m.Row().Held != 0 {
-		t.Errorf("%d callers were counted as too slow, at rest: %+v", n, m.Row())
+	if n := metrics.GetOrRegisterCounter(`callers.slow{side="reads"}`, r).Count(); n != 1 || m.Status().Held != 0 {
+		t.Errorf("%d callers were counted as too slow, at rest: %+v", n, m.Status())
 	}
 }
 
@@ -369,7 +369,7 @@
 func TestStoreWithoutRoom(t *testing.T) {
 	done := make(chan error, 1)
 	m := NewMemory(64<<10, metrics.NewRegistry())
-	_, address := listen(t, streamOf(300, 700, done), WithMemory(m), WithSocket(8<<10))
+	_, address := listen(t, streamOf(300, 700, done), WithMemory(m), WithSocketBuffer(8<<10))
 	conn := lazy(t, address)
 	_, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	if status, body := read(t, bufio.NewReader(conn)); status != 200 || len(body) != 300*700 {
@@ -385,13 +385,13 @@
 // and that one whose request is under way stays.
 func TestFloodLeavesRoom(t *testing.T) {
 	begun, release := make(chan struct{}), make(chan struct{})
-	s, address := listen(t, handlerFunc(func(_ context.Context, req *fasthttp.Request, a *Answer) {
+	s, address := listen(t, handlerFunc(func(_ context.Context, req *fasthttp.Request, a *ResponseWriter) {
 		if string(req.Header.RequestURI()) == "/wait" {
 			close(begun)
 			<-release
 		}
 		whole(a, "done")
-	}), WithConnections(100))
+	}), WithMaxConnections(100))
 	busy := dial(t, address)
 	_, _ = io.WriteString(busy, "GET /wait HTTP/1.1\r\nHost: h\r\n\r\n")
 	<-begun
@@ -422,7 +422,7 @@
 // accepted, and whose goroutine has not run yet, makes no room for others before those
 // that have rested for longer.
 func TestNewConnectionIsNotTakenForOneThatRests(t *testing.T) {
-	s := NewServer(echo, WithConnections(evictBatch+1))
+	s := NewServer(echo, WithMaxConnections(evictBatch+1))
 	pipe := func() *Conn {
 		ours, theirs := net.Pipe()
 		t.Cleanup(func() { _, _ = ours.Close(), theirs.Close() })
@@ -446,20 +446,20 @@
 	const slow, good, bound = 500, 50, 32 << 20
 	piece := []byte(strings.Repeat("p", 1000))
 	m := NewMemory(bound, metrics.NewRegistry())
-	_, address := listen(t, &keyed{handlerFunc: func(_ context.Context, req *fasthttp.Request, a *Answer) {
-		a.Own("", string(req.Header.Peek("W")))
+	_, address := listen(t, &keyed{handlerFunc: func(_ context.Context, req *fasthttp.Request, a *ResponseWriter) {
+		a.SetOwner("", string(req.Header.Peek("W")))
 		pieces := 100
 		if string(req.Header.Peek("W")) == "slow" {
 			pieces = 100_000
 		}
-		err := a.Head(&fasthttp.Response{})
+		err := a.WriteHeader(&fasthttp.Response{})
 		for i := 0; i < pieces && err == nil; i++ {
-			err = a.Piece(piece)
+			err = a.WriteChunk(piece)
 		}
 		if err == nil {
-			_ = a.End()
+			_ = a.Finish()
 		}
-	}}, WithMemory(m), WithSocket(8<<10))
+	}}, WithMemory(m), WithSocketBuffer(8<<10))
 	inUse := func() int64 {
 		var s runtime.MemStats
 		runtime.GC()
@@ -472,7 +472,7 @@
 		_, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\nW: slow\r\n\r\n")
 	}
 	await(t, "the slow workspace holds its share", func() bool {
-		row := m.Row()
+		row := m.Status()
 		return row.Workspaces["slow"] >= (row.Bound-row.Causes["connection"])/2-2*blockBytes
 	})
 	var callers sync.WaitGroup
@@ -491,7 +491,7 @@
 	if used := inUse() - before; used > 2*bound {
 		t.Errorf("%d bytes are in use, of a bound of %d", used, bound)
 	}
-	if held := m.Row().Held; held > bound {
+	if held := m.Status().Held; held > bound {
 		t.Errorf("%d bytes are held, of a bound of %d", held, bound)
 	}
 }
@@ -501,16 +501,16 @@
 func TestAnswerEndsWithItsCallersTime(t *testing.T) {
 	m := NewMemory(8<<20, metrics.NewRegistry())
 	r := metrics.NewRegistry()
-	s, address := listen(t, handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *Answer) {
-		a.Until(time.Now().Add(time.Second))
+	s, address := listen(t, handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *ResponseWriter) {
+		a.SetDeadline(time.Now().Add(time.Second))
 		whole(a, strings.Repeat("x", 200_000))
-	}), WithMemory(m), WithSocket(8<<10), WithPace(Pace{Rate: 1, Window: 100 * patience}), WithRegistry(r))
+	}), WithMemory(m), WithSocketBuffer(8<<10), WithMinRate(MinRate{Rate: 1, Window: 100 * patience}), WithRegistry(r))
 	conn := lazy(t, address)
 	_, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-	await(t, "the answer is held", func() bool { return m.Row().Causes["lag"] > 0 })
+	await(t, "the answer is held", func() bool { return m.Status().Causes["lag"] > 0 })
 	await(t, "the connection ends", func() bool { return s.Conns() == 0 })
-	if n := metrics.GetOrRegisterCounter(`callers.slow{side="reads"}`, r).Count(); n != 0 || m.Row().Held != 0 {
-		t.Errorf("%d callers were counted as too slow, at rest: %+v", n, m.Row())
+	if n := metrics.GetOrRegisterCounter(`callers.slow{side="reads"}`, r).Count(); n != 0 || m.Status().Held != 0 {
+		t.Errorf("%d callers were counted as too slow, at rest: %+v", n, m.Status())
 	}
 	var resp fasthttp.Response
 	if err := resp.Read(bufio.NewReader(conn)); err == nil || isTimeout(err) {
@@ -524,7 +524,7 @@
 func TestPressedReaderIsCutSooner(t *testing.T) {
 	done := make(chan error, 1)
 	m := NewMemory(512<<10, metrics.NewRegistry())
-	s, address := listen(t, streamOf(2000, 700, done), WithMemory(m), WithSocket(8<<10), WithPace(Pace{Rate: 4 << 10, Window: 100 * patience}))
+	s, address := listen(t, streamOf(2000, 700, done), WithMemory(m), WithSocketBuffer(8<<10), WithMinRate(MinRate{Rate: 4 << 10, Window: 100 * patience}))
 	for _, reads := range []bool{false, true} {
 		conn := lazy(t, address)
 		_, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -543,7 +543,7 @@
 		}
 		_ = conn.Close()
 		await(t, "the connection ends", func() bool { return s.Conns() == 0 })
-		if held := m.Row().Held; held != 0 {
+		if held := m.Status().Held; held != 0 {
 			t.Errorf("at rest %d bytes are held", held)
 		}
 	}
@@ -554,15 +554,15 @@
 // by memory.
 func TestCrowdIsRefused(t *testing.T) {
 	for name, option := range map[string]Option{
-		"descriptors": WithConnections(2),
+		"descriptors": WithMaxConnections(2),
 		"memory":      WithMemory(NewMemory(4*connectionBytes, metrics.NewRegistry())),
 	} {
 		begun, release := make(chan struct{}), make(chan struct{})
 		r := metrics.NewRegistry()
-		_, address := listen(t, handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *Answer) {
+		_, address := listen(t, handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *ResponseWriter) {
 			begun <- struct{}{}
 			<-release
-			a.Close()
+			a.CloseConnection()
 			whole(a, "done")
 		}), option, WithRegistry(r))
 		var conns []net.Conn
--- a/transport/caller/pace.go
+++ b/transport/caller/pace.go
@@ -6,18 +6,18 @@
 	"github.com/weldstream/weldstream/internal/tcp"
 )
 
-// Pace is the least rate that callers are held to while they send a body or take an
+// MinRate is the least rate that callers are held to while they send a body or take an
 // answer: bytes over a window, so that a pause is allowed and a byte now and then is
 // not enough.
-type Pace struct {
+type MinRate struct {
 	Rate   int           // Rate is in bytes a second; 0 asks for one byte in each window.
 	Window time.Duration // Window is the time over which the rate holds.
 }
 
-// DefaultPace is far below what any caller needs who means to go on: the slowest links
+// DefaultMinRate is far below what any caller needs who means to go on: the slowest links
 // in use carry ten times the rate. The window is longer than a caller pauses who waits
 // for its disk or for a lost packet to be repeated several times.
-var DefaultPace = Pace{Rate: defaultRate, Window: defaultWindow}
+var DefaultMinRate = MinRate{Rate: defaultRate, Window: defaultWindow}
 
 const (
 	defaultRate   = 1 << 10 // in bytes a second
@@ -25,7 +25,7 @@
 )
 
 // need is how many bytes each window has to bring.
-func (p Pace) need() int { return max(1, int(float64(p.Rate)*p.Window.Seconds())) }
+func (p MinRate) need() int { return max(1, int(float64(p.Rate)*p.Window.Seconds())) }
 
 // window is one direction of a connection, held to a pace.
 type window struct {
@@ -38,7 +38,7 @@
 }
 
 // begin starts the first window.
-func (w *window) begin(p Pace, now time.Time) {
+func (w *window) begin(p MinRate, now time.Time) {
 	*w = window{need: p.need(), time: p.Window, end: now.Add(p.Window)}
 }
 
--- a/transport/caller/piece_test.go
+++ b/transport/caller/piece_test.go
@@ -18,13 +18,13 @@
 	}
 	defer ln.Close()
 	done := make(chan error)
-	s := NewServer(handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *Answer) {
+	s := NewServer(handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *ResponseWriter) {
 		piece := make([]byte, 200)
-		err := a.Head(&fasthttp.Response{})
+		err := a.WriteHeader(&fasthttp.Response{})
 		b.ReportAllocs()
 		for b.Loop() {
 			if err == nil {
-				err = a.Piece(piece)
+				err = a.WriteChunk(piece)
 			}
 		}
 		done <- err
--- a/transport/caller/send_buffer.go
+++ b/transport/caller/send_buffer.go
@@ -34,7 +34,7 @@
 	conn   net.Conn
 	memory *Memory
 	hold   *memory.Hold
-	pace   Pace
+	pace   MinRate
 	slow   func() // slow is called when the caller is cut for its rate.
 	socket *nonblocking
 	until  time.Time // until is how long the caller waits for the answer under way; zero where that is not known.
@@ -49,7 +49,7 @@
 }
 
 // newSendBuffer returns a buffer whose blocks are taken from an account for a hold.
-func newSendBuffer(conn net.Conn, m *Memory, h *memory.Hold, p Pace, slow func()) *sendBuffer {
+func newSendBuffer(conn net.Conn, m *Memory, h *memory.Hold, p MinRate, slow func()) *sendBuffer {
 	s := &sendBuffer{conn: conn, memory: m, hold: h, pace: p, slow: slow, socket: newNonblocking(conn)}
 	s.changed.L = &s.mu
 	return s
@@ -96,7 +96,7 @@
 		}
 	}
 	full := s.taken >= maxBlocks
-	if !full && s.memory.Take(s.hold, memory.Lag, blockBytes).Granted {
+	if !full && s.memory.Reserve(s.hold, memory.Lag, blockBytes).Granted {
 		s.taken++
 		n := min(blockBytes, len(p))
 		s.blocks = append(s.blocks, append(make([]byte, 0, blockBytes), p[:n]...))
@@ -117,7 +117,7 @@
 // paceWhenFull is the pace while the account has no room: the same rate, over a window no
 // longer than a block takes at it. The server waits for the caller meanwhile, and a slow
 // one is not to occupy it for as long as a whole window.
-func (s *sendBuffer) paceWhenFull() Pace {
+func (s *sendBuffer) paceWhenFull() MinRate {
 	p := s.pace
 	if p.Rate > 0 {
 		p.Window = min(p.Window, blockBytes*time.Second/time.Duration(p.Rate))
@@ -182,7 +182,7 @@
 			return
 		}
 		err := s.write(block, &w)
-		s.memory.Give(s.hold, memory.Lag, blockBytes)
+		s.memory.Release(s.hold, memory.Lag, blockBytes)
 		s.blockDone(err)
 	}
 }
@@ -212,7 +212,7 @@
 		if s.err == nil {
 			s.err = err
 		}
-		s.memory.Give(s.hold, memory.Lag, len(s.blocks)*blockBytes)
+		s.memory.Release(s.hold, memory.Lag, len(s.blocks)*blockBytes)
 		s.taken -= len(s.blocks)
 		s.blocks = nil
 	}
@@ -220,7 +220,7 @@
 }
 
 // window begins a window of a pace.
-func (s *sendBuffer) window(p Pace) window {
+func (s *sendBuffer) window(p MinRate) window {
 	var w window
 	w.begin(p, time.Now())
 	w.queued, _ = s.socket.queued()
--- a/transport/caller/steady_linux_test.go
+++ b/transport/caller/steady_linux_test.go
@@ -27,8 +27,8 @@
 		t.Run(fmt.Sprint(bound), func(t *testing.T) {
 			t.Parallel()
 			done := make(chan error, 1)
-			_, address := listen(t, streamOf(size/500, 500, done), WithMemory(NewMemory(bound, metrics.NewRegistry())), WithSocket(32<<10),
-				WithPace(Pace{Rate: rate, Window: time.Second}))
+			_, address := listen(t, streamOf(size/500, 500, done), WithMemory(NewMemory(bound, metrics.NewRegistry())), WithSocketBuffer(32<<10),
+				WithMinRate(MinRate{Rate: rate, Window: time.Second}))
 			conn, err := usualPackets.Dial("tcp", address)
 			if err != nil {
 				t.Fatal(err)
--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -364,7 +364,7 @@
 func (t *try) whole(stop func() bool) *protocol.Refusal {
 	x, status := t.x, t.x.resp.StatusCode()
 	body, err := t.conn.Body(x.resp)
-	defer x.answer.Free()
+	defer x.answer.Release()
 	var data []byte
 	if err == nil {
 		data, err = x.readWhole(body, x.resp.Header.ContentLength())
@@ -416,7 +416,7 @@
 	resp.SetBodyRaw(data)
 	x.first = clock.Since(x.start)
 	x.note()
-	if err := x.answer.Whole(resp); err != nil {
+	if err := x.answer.WriteResponse(resp); err != nil {
 		x.log.Info().Err(err).Msg("answer not taken")
 	}
 	return nil
--- a/transport/forward/exchange.go
+++ b/transport/forward/exchange.go
@@ -24,7 +24,7 @@
 	in     *fasthttp.Request
 	out    *fasthttp.Request
 	resp   *fasthttp.Response // resp is the server's answer.
-	answer *caller.Answer
+	answer *caller.ResponseWriter
 	call   protocol.Call
 	log    zerolog.Logger
 
@@ -60,7 +60,7 @@
 	gap     time.Duration     // gap is the longest pause between two of them.
 }
 
-func newExchange(ctx context.Context, g *Gateway, req *fasthttp.Request, a *caller.Answer) *exchange {
+func newExchange(ctx context.Context, g *Gateway, req *fasthttp.Request, a *caller.ResponseWriter) *exchange {
 	return &exchange{
 		g:      g,
 		gone:   ctx,
@@ -86,7 +86,7 @@
 	x.g.meters.requests.Inc(1)
 	x.call = x.g.dialect.Call(x.in)
 	refusal := x.admit()
-	x.answer.Own(x.call.ID, x.workspaceName())
+	x.answer.SetOwner(x.call.ID, x.workspaceName())
 	x.log = x.g.log.With().Str("request", x.call.ID).Str("workspace", x.workspaceName()).Str("route", x.routeName()).Logger()
 	if refusal != nil {
 		x.refuse(refusal)
@@ -198,7 +198,7 @@
 		limit = min(limit, x.call.Remaining)
 	}
 	x.deadline = x.start.Add(limit)
-	x.answer.Until(clock.Steady(x.deadline))
+	x.answer.SetDeadline(clock.Steady(x.deadline))
 	x.ctx, x.cancel = context.WithTimeout(x.gone, x.left())
 }
 
@@ -216,7 +216,7 @@
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	x.g.dialect.Refuse(resp, x.call.ID, r)
-	_ = x.answer.Whole(resp) // A caller that is gone takes no answer.
+	_ = x.answer.WriteResponse(resp) // A caller that is gone takes no answer.
 }
 
 // leaderPlace asks the leader for a server for a long prompt.
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -352,14 +352,14 @@
 func (g *Gateway) Close() { g.closed.Store(true) }
 
 // Serve implements caller.Handler.
-func (g *Gateway) Serve(ctx context.Context, req *fasthttp.Request, a *caller.Answer) {
+func (g *Gateway) Serve(ctx context.Context, req *fasthttp.Request, a *caller.ResponseWriter) {
 	x := newExchange(ctx, g, req, a)
 	defer x.release()
 	x.run()
 }
 
-// Refuse implements caller.Handler.
-func (g *Gateway) Refuse(status int, reason string) *fasthttp.Response {
+// ErrorResponse implements caller.Handler.
+func (g *Gateway) ErrorResponse(status int, reason string) *fasthttp.Response {
 	resp := &fasthttp.Response{}
 	g.dialect.Refuse(resp, "", protocol.NewRefusal(status, protocol.CodeBadRequest, "%s", reason))
 	return resp
--- a/transport/forward/room.go
+++ b/transport/forward/room.go
@@ -27,8 +27,8 @@
 	return call.ID, workspace
 }
 
-// NoRoom implements caller.Admitter.
-func (g *Gateway) NoRoom(req *fasthttp.Request, v memory.Decision) *fasthttp.Response {
+// OutOfMemoryResponse implements caller.Admitter.
+func (g *Gateway) OutOfMemoryResponse(req *fasthttp.Request, v memory.Decision) *fasthttp.Response {
 	call := g.dialect.Call(req)
 	_, workspace := g.Owner(req)
 	r := protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeMemory, "no memory is left for a body of this size").WithRetryAfter(v.RetryAfter)
@@ -239,7 +239,7 @@
 
 // takeRoom takes bytes for the answer from the account of memory.
 func (x *exchange) takeRoom(n int) error {
-	v := x.answer.Hold(n)
+	v := x.answer.Reserve(n)
 	if v.Granted {
 		return nil
 	}
--- a/transport/forward/room_test.go
+++ b/transport/forward/room_test.go
@@ -57,9 +57,9 @@
 	}
 	// What was given back is counted as the connection ends, which its caller may see
 	// before.
-	for end := time.Now().Add(patience); m.Row().Held != 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patience); m.Status().Held != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("at rest: %+v", m.Row())
+			t.Fatalf("at rest: %+v", m.Status())
 		}
 	}
 }
@@ -86,7 +86,7 @@
 	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "one", Keys: []string{"1"}}, protocol.WorkspaceSpec{Name: "two", Keys: []string{"2"}})
 	b := w.backend("a", good)
 	hold := memory.Hold{Workspace: "one"}
-	if !m.Take(&hold, memory.Lag, 3<<19).Granted {
+	if !m.Reserve(&hold, memory.Lag, 3<<19).Granted {
 		t.Fatal("nothing was taken")
 	}
 	body := strings.Repeat("x", 1<<20)
@@ -96,7 +96,7 @@
 	if got := w.send(body, "Key: 2"); got.status != 200 {
 		t.Errorf("another workspace got %+v", got)
 	}
-	m.End(&hold)
+	m.ReleaseAll(&hold)
 	if got := w.send(body, "Key: 1"); got.status != 200 {
 		t.Errorf("with room again got %+v", got)
 	}
@@ -108,7 +108,7 @@
 func TestSlowCallerFreesTheServer(t *testing.T) {
 	// A stream fits into the store of its caller; a whole answer need not.
 	for kind, size := range map[protocol.RouteKind]int{protocol.RouteStream: 200_000, protocol.RouteRepeatable: 600_000} {
-		w := newWorld(t, caller.WithSocket(8<<10))
+		w := newWorld(t, caller.WithSocketBuffer(8<<10))
 		w.install(protocol.PathRoute{Kind: kind, Attempts: 1})
 		w.backend("a", func(c net.Conn, _ *fasthttp.Request) { say(c, 200, "", strings.Repeat("data: xy\n\n", size/10)) })
 		slow, err := net.Dial("tcp", w.address)
@@ -266,7 +266,7 @@
 // caller who reads nothing for longer: it still gets the whole answer.
 func TestUnreadAnswerIsNotCutOff(t *testing.T) {
 	const size, unread = 250_000, 2 * time.Second
-	w := newWorld(t, caller.WithSocket(8<<10))
+	w := newWorld(t, caller.WithSocketBuffer(8<<10))
 	w.g.pool = backend.NewPool(patience, backend.WithSocket(32<<10))
 	w.install(protocol.PathRoute{Kind: protocol.RouteStream, Attempts: 1})
 	written := make(chan error, 1)
--- a/transport/forward/stream.go
+++ b/transport/forward/stream.go
@@ -56,7 +56,7 @@
 		x.gap = max(x.gap, now.Sub(x.pieceAt))
 	}
 	x.pieceAt = now
-	if err := x.answer.Piece(whole); err != nil {
+	if err := x.answer.WriteChunk(whole); err != nil {
 		t.observe(t.times(now))
 		t.conn.Close()
 		return callerGone().WithVerdict(protocol.MayHaveRun)
@@ -75,7 +75,7 @@
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	x.g.dialect.Answer(resp, x.resp)
-	return x.answer.Head(resp)
+	return x.answer.WriteHeader(resp)
 }
 
 // streamEnded ends the answer: the server said that it is whole.
@@ -95,7 +95,7 @@
 		return callerGone().WithVerdict(protocol.MayHaveRun)
 	}
 	x.note()
-	if err := x.answer.End(); err != nil {
+	if err := x.answer.Finish(); err != nil {
 		x.log.Info().Err(err).Msg("answer not taken")
 	}
 	return nil
