--- a/transport/caller/body.go
+++ b/transport/caller/body.go
@@ -10,92 +10,92 @@
 	"github.com/weldstream/weldstream/coordination/memory"
 )
 
-// Admitter is a Handler that knows whose request it is once its headers are read.
+// Admitter is a Handler that can identify a request's workspace from its headers.
 type Admitter interface {
 	Handler
-	// Owner names a request and its workspace; the workspace is empty where it is
-	// not known.
+	// Owner returns the request's ID and workspace. The workspace is empty if it is unknown.
 	Owner(req *fasthttp.Request) (request, workspace string)
-	// OutOfMemoryResponse answers a request that was refused for want of memory: it has not run.
+	// OutOfMemoryResponse returns the response to a request that was refused for lack of memory
+	// and has not run.
 	OutOfMemoryResponse(req *fasthttp.Request, v memory.Decision) *fasthttp.Response
 }
 
-// firstBuffer, in bytes, is the first buffer of a body without a length.
-const firstBuffer = 16 << 10
+// initialBodyBuffer is the initial buffer size of a body of unknown length, in bytes.
+const initialBodyBuffer = 16 << 10
 
-// noRoom is a request that was refused for want of memory.
-type noRoom struct{ decision memory.Decision }
+// outOfMemoryError is the error of a request that was refused for lack of memory.
+type outOfMemoryError struct{ decision memory.Decision }
 
 // Error implements error.
-func (*noRoom) Error() string { return "no memory is left for the request" }
+func (*outOfMemoryError) Error() string { return "no memory is left for the request" }
 
-// readBody reads the body behind the headers. What it needs is taken from the account
-// before it is read: at once where its length is told, else as it grows. A body that
-// fits into the connection's buffer is a part of what the connection costs.
+// readBody reads the body after the headers. Its memory is reserved before it is read: all at
+// once if its length is announced, otherwise as it grows. A body that fits into the
+// connection's buffer is covered by the charge for the connection.
 func (s *Server) readBody(c *Conn, req *fasthttp.Request, limits *Limits) error {
-	length, most := req.Header.ContentLength(), s.memory.most(limits.BodyBytes)
-	if length > most {
+	length, limit := req.Header.ContentLength(), s.memory.maxBody(limits.BodyBytes)
+	if length > limit {
 		return fasthttp.ErrBodyTooLarge
 	}
 	if length > readBuffer || length == -1 {
 		s.setOwner(c, req)
 	}
 	if length > readBuffer {
-		if v := s.memory.Reserve(&c.hold, memory.Body, length); !v.Granted {
-			return &noRoom{v}
+		if v := s.memory.Reserve(&c.requestHold, memory.Body, length); !v.Granted {
+			return &outOfMemoryError{v}
 		}
 	}
 	if req.MayContinue() {
-		if err := c.sayContinue(); err != nil {
+		if err := c.writeContinue(); err != nil {
 			return err
 		}
 	}
-	if err := c.paceReads(s.pace, limits); err != nil {
+	if err := c.startRateCheck(s.minRate, limits); err != nil {
 		return err
 	}
-	defer c.endPace()
+	defer c.stopRateCheck()
 	switch {
 	case length > readBuffer:
-		body := make([]byte, length) // The codec's own buffer would be up to twice as large.
+		body := make([]byte, length) // The codec's buffer would be up to twice as large.
 		if _, err := io.ReadFull(c.br, body); err != nil {
 			return err
 		}
 		req.SetBodyRaw(body)
 		return nil
 	case length == -1 && s.memory != nil:
-		return s.readPieces(c, req, most)
+		return s.readChunked(c, req, limit)
 	}
-	return req.ContinueReadBody(c.br, most, false)
+	return req.ContinueReadBody(c.br, limit, false)
 }
 
-// sayContinue asks for the body, and returns when that is written: a rest of it that
-// still waits must not meet what the request sets for its own answer.
-func (c *Conn) sayContinue() error {
+// writeContinue sends "100 Continue" and returns once it is written. Otherwise buffered bytes
+// of it would be subject to the settings that the request makes for its own response.
+func (c *Conn) writeContinue() error {
 	if _, err := c.bw.WriteString("HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 		return err
 	}
 	if err := c.bw.Flush(); err != nil {
 		return err
 	}
-	return c.out.awaitWritten()
+	return c.sendBuffer.awaitWritten()
 }
 
-// setOwner tells the account which workspace the request belongs to.
+// setOwner sets the workspace that is charged for the request's memory.
 func (s *Server) setOwner(c *Conn, req *fasthttp.Request) {
 	if a, ok := s.handler.(Admitter); ok && s.memory != nil {
-		c.request, c.hold.Workspace = a.Owner(req)
+		c.request, c.requestHold.Workspace = a.Owner(req)
 	}
 }
 
-// readPieces reads a body whose length is not told.
-func (s *Server) readPieces(c *Conn, req *fasthttp.Request, most int) error {
-	if err := req.ContinueReadBodyStream(c.br, most, false); err != nil {
+// readChunked reads a body of unknown length.
+func (s *Server) readChunked(c *Conn, req *fasthttp.Request, limit int) error {
+	if err := req.ContinueReadBodyStream(c.br, limit, false); err != nil {
 		return err
 	}
 	stream, body := req.BodyStream(), []byte(nil)
 	for {
 		if len(body) == cap(body) {
-			grown, err := s.grow(c, body, most)
+			grown, err := s.growBody(c, body, limit)
 			if err != nil {
 				return err
 			}
@@ -103,7 +103,7 @@
 		}
 		n, err := stream.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
-		if len(body) > most {
+		if len(body) > limit {
 			return fasthttp.ErrBodyTooLarge
 		}
 		if errors.Is(err, io.EOF) {
@@ -119,33 +119,34 @@
 	}
 }
 
-// grow returns the body with more room, taken from the account.
-func (s *Server) grow(c *Conn, body []byte, most int) ([]byte, error) {
-	size := memory.GrownSize(cap(body), firstBuffer, most+1)
+// growBody returns the body with a larger capacity, after reserving the memory for it.
+func (s *Server) growBody(c *Conn, body []byte, limit int) ([]byte, error) {
+	size := memory.GrownSize(cap(body), initialBodyBuffer, limit+1)
 	if size <= cap(body) {
 		return nil, fasthttp.ErrBodyTooLarge
 	}
-	// The byte beyond the most, which finds the end, would never be taken.
-	if v := s.memory.Reserve(&c.hold, memory.Body, min(size, most)-cap(body)); !v.Granted {
-		return nil, &noRoom{v}
+	// The last byte, which is beyond the limit and only detects the end, is not charged: a
+	// reservation of that size would never be granted.
+	if v := s.memory.Reserve(&c.requestHold, memory.Body, min(size, limit)-cap(body)); !v.Granted {
+		return nil, &outOfMemoryError{v}
 	}
 	return append(make([]byte, 0, size), body...), nil
 }
 
-// paceReads holds the caller to the pace until endPace. A window is never shorter than
-// twice what a caller may take for its headers, so that one who is in time there is in
-// time here.
-func (c *Conn) paceReads(p MinRate, limits *Limits) error {
+// startRateCheck enforces the minimum rate on reads until stopRateCheck. A window is at least
+// twice the time allowed for headers, so that a caller that is fast enough for its headers is
+// fast enough for its body.
+func (c *Conn) startRateCheck(p MinRate, limits *Limits) error {
 	p.Window = max(p.Window, 2*limits.HeaderTime)
 	now := time.Now()
-	c.reads.begin(p, now)
-	c.lastRead = now.Add(limits.BodyTime)
-	c.paced = true
-	return c.net.SetReadDeadline(earlier(c.reads.end, c.lastRead))
+	c.readWindow.start(p, now)
+	c.bodyDeadline = now.Add(limits.BodyTime)
+	c.rateChecked = true
+	return c.net.SetReadDeadline(earlier(c.readWindow.end, c.bodyDeadline))
 }
 
-// endPace holds the caller to no pace any more.
-func (c *Conn) endPace() { c.paced = false }
+// stopRateCheck stops enforcing the minimum rate.
+func (c *Conn) stopRateCheck() { c.rateChecked = false }
 
 // earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
@@ -155,41 +156,41 @@
 	return b
 }
 
-// Read implements io.Reader and notes whether the caller keeps the pace.
+// Read implements io.Reader and checks the minimum rate.
 func (c *Conn) Read(p []byte) (int, error) {
 	n, err := c.net.Read(p)
-	if !c.paced {
+	if !c.rateChecked {
 		return n, err
 	}
 	if isTimeout(err) && c.restartIfFrozen() {
 		n, err = c.net.Read(p)
 	}
-	if err == nil && c.reads.add(n, time.Now) {
-		err = c.net.SetReadDeadline(earlier(c.reads.end, c.lastRead))
+	if err == nil && c.readWindow.add(n, time.Now) {
+		err = c.net.SetReadDeadline(earlier(c.readWindow.end, c.bodyDeadline))
 	}
 	return n, err
 }
 
-// restartIfFrozen gives the caller another window if the process was frozen at the end of
-// the last one.
+// restartIfFrozen restarts the window if the process was suspended when it ended, and reports
+// whether it did.
 func (c *Conn) restartIfFrozen() bool {
-	return c.reads.end.Before(c.lastRead) && c.reads.restartIfFrozen(time.Now()) && c.net.SetReadDeadline(earlier(c.reads.end, c.lastRead)) == nil
+	return c.readWindow.end.Before(c.bodyDeadline) && c.readWindow.restartIfFrozen(time.Now()) && c.net.SetReadDeadline(earlier(c.readWindow.end, c.bodyDeadline)) == nil
 }
 
 const (
-	// lingerTime and lingerBytes bound what is read and thrown away of a caller who is
-	// refused while it sends. Closed at once, its connection would be reset, and the
-	// answer lost with it. A caller who reads while it writes stops by itself; a link of
-	// 10 Mbit/s carries most bodies in the time.
+	// lingerTime and lingerBytes bound what is read and discarded from a caller that is refused
+	// while it sends. If the connection were closed immediately, it would be reset and the
+	// response lost. A caller that reads while it writes stops on its own; a 10 Mbit/s link
+	// transfers most bodies in this time.
 	lingerTime  = 500 * time.Millisecond
 	lingerBytes = 4 << 20
 )
 
-// linger lets a refused caller read its answer.
+// linger gives a refused caller time to read its response.
 func (c *Conn) linger() {
 	half, ok := c.net.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil || c.net.SetReadDeadline(time.Now().Add(lingerTime)) != nil {
 		return
 	}
-	_, _ = io.Copy(io.Discard, io.LimitReader(c.br, lingerBytes)) // However it ends, the connection is closed.
+	_, _ = io.Copy(io.Discard, io.LimitReader(c.br, lingerBytes)) // The connection is closed in any case.
 }
--- a/transport/caller/broken_unix.go
+++ b/transport/caller/broken_unix.go
@@ -8,7 +8,7 @@
 	"syscall"
 )
 
-// isBroken reports whether an error says that the caller is gone.
-func isBroken(err error) bool {
+// isDisconnect reports whether an error means that the caller has disconnected.
+func isDisconnect(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
--- a/transport/caller/caller.go
+++ b/transport/caller/caller.go
@@ -1,15 +1,14 @@
-// Package caller is the edge towards callers of a gateway: it accepts
-// connections, reads one request after the other from each, and hands every one
-// to a [Handler] with a [ResponseWriter] to write to.
+// Package caller is the HTTP server of a gateway's caller side: it accepts connections, reads
+// requests from each one after the other, and passes every request to a [Handler] with a
+// [ResponseWriter].
 //
-// What a request means is not known here. A handler that returns without having
-// ended its answer has the connection cut, so that an answer that broke off
-// never looks whole.
+// The package does not interpret requests. If a handler returns without finishing its response,
+// the connection is closed, so that a truncated response never looks complete.
 //
 //	callers ── Conn ── Request, ResponseWriter ──► Handler
 //
-// A planned stop has two steps: Drain closes what is idle and has every further
-// answer say that its connection ends; Close waits for what is under way.
+// A graceful shutdown has two steps: Drain closes idle connections and makes every further
+// response announce that its connection closes; Wait waits for the remaining connections.
 package caller
 
 import (
@@ -29,23 +28,23 @@
 	"github.com/weldstream/weldstream/coordination/memory"
 )
 
-// Handler answers one request. The context ends when the caller hangs up.
+// Handler serves requests. The context is canceled when the caller disconnects.
 type Handler interface {
 	Serve(ctx context.Context, req *fasthttp.Request, a *ResponseWriter)
-	// ErrorResponse answers what could not be read as a request.
+	// ErrorResponse returns the response to input that could not be read as a request.
 	ErrorResponse(status int, reason string) *fasthttp.Response
 }
 
-// Limits bound what a caller may send, and how long it may take.
+// Limits bound the size and duration of requests.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int
-	HeaderTime  time.Duration // HeaderTime is from the first byte to the end of the headers.
-	BodyTime    time.Duration // BodyTime is for the body behind them.
-	IdleTime    time.Duration // IdleTime is how long a connection may rest between requests.
+	HeaderTime  time.Duration // HeaderTime is the time from the first byte to the end of the headers.
+	BodyTime    time.Duration // BodyTime is the time for the body after the headers.
+	IdleTime    time.Duration // IdleTime is how long a connection may be idle between requests.
 }
 
-// DefaultLimits hold before a configuration names others.
+// DefaultLimits apply until a configuration sets others.
 var DefaultLimits = Limits{
 	HeaderBytes: 16 << 10,
 	BodyBytes:   4 << 20,
@@ -56,42 +55,42 @@
 
 // Server serves callers on one listener.
 type Server struct {
-	handler Handler
-	memory  *Memory // memory is nil where nothing is admitted by it.
-	pace    MinRate
-	socket  int // socket is what the kernel may keep of a connection each way, in bytes; 0 leaves it to the kernel.
-	log     zerolog.Logger
-
-	refusalLogged time.Time // refusalLogged is when refusals were last logged; only Serve uses it.
-	mostConns     int       // mostConns bounds the connections; 0 sets no bound.
-	slow          [2]metrics.Counter
-	refusedConns  metrics.Counter // refusedConns counts connections that were closed unread.
-	evictions     metrics.Counter // evictions counts those that were closed for others.
-
-	limits atomic.Pointer[Limits]
-	drain  atomic.Bool
-	cross  time.Duration // cross is crossTime, and more where a test is not to depend on it.
-	mu     sync.Mutex    // mu guards all below.
-	conns  map[*Conn]struct{}
-	open   int           // open are the connections that were accepted and have not ended.
-	ended  chan struct{} // ended is closed and replaced when one ends.
+	handler      Handler
+	memory       *Memory // memory is nil if memory is not limited.
+	minRate      MinRate
+	socketBuffer int // socketBuffer is the kernel's buffer size in each direction, in bytes; 0 is the kernel's default.
+	log          zerolog.Logger
+
+	lastRefusalLog time.Time // lastRefusalLog is when refusals were last logged; only Serve uses it.
+	maxConns       int       // maxConns bounds the connections; 0 means no bound.
+	slowCallers    [2]metrics.Counter
+	refusedConns   metrics.Counter // refusedConns counts connections that were closed without being read.
+	evictions      metrics.Counter // evictions counts connections that were closed to make room for others.
+
+	limits     atomic.Pointer[Limits]
+	draining   atomic.Bool
+	drainGrace time.Duration // drainGrace is drainGracePeriod, or longer in tests that must not depend on timing.
+	mu         sync.Mutex    // mu guards all below.
+	conns      map[*Conn]struct{}
+	openConns  int           // openConns is the number of accepted connections that have not ended.
+	connEnded  chan struct{} // connEnded is closed and replaced when a connection ends.
 }
 
-// Option changes a new server.
+// Option configures a new server.
 type Option func(*Server)
 
-// WithMemory sets the account that bytes are taken from.
+// WithMemory sets the memory account that bytes are reserved from.
 func WithMemory(m *Memory) Option { return func(s *Server) { s.memory = m } }
 
-// WithMinRate sets the least rate of callers.
-func WithMinRate(p MinRate) Option { return func(s *Server) { s.pace = p } }
+// WithMinRate sets the minimum rate of callers.
+func WithMinRate(p MinRate) Option { return func(s *Server) { s.minRate = p } }
 
-// WithSocketBuffer bounds what the kernel keeps of a connection each way, which no account
-// counts.
-func WithSocketBuffer(bytes int) Option { return func(s *Server) { s.socket = bytes } }
+// WithSocketBuffer bounds the kernel's buffers of a connection in each direction, which are not
+// part of the memory account.
+func WithSocketBuffer(bytes int) Option { return func(s *Server) { s.socketBuffer = bytes } }
 
-// WithMaxConnections bounds the connections of callers; 0 sets no bound.
-func WithMaxConnections(most int) Option { return func(s *Server) { s.mostConns = most } }
+// WithMaxConnections bounds the number of connections; 0 means no bound.
+func WithMaxConnections(limit int) Option { return func(s *Server) { s.maxConns = limit } }
 
 // WithLogger sets the logger; without it nothing is logged.
 func WithLogger(l zerolog.Logger) Option { return func(s *Server) { s.log = l } }
@@ -99,9 +98,9 @@
 // WithRegistry sets the registry of the server's counters.
 func WithRegistry(r metrics.Registry) Option { return func(s *Server) { s.meter(r) } }
 
-// NewServer returns a server that is not serving yet.
+// NewServer returns a server that does not accept connections yet.
 func NewServer(h Handler, opts ...Option) *Server {
-	s := &Server{handler: h, cross: crossTime, pace: DefaultMinRate, log: zerolog.Nop(), conns: map[*Conn]struct{}{}, ended: make(chan struct{})}
+	s := &Server{handler: h, drainGrace: drainGracePeriod, minRate: DefaultMinRate, log: zerolog.Nop(), conns: map[*Conn]struct{}{}, connEnded: make(chan struct{})}
 	s.meter(metrics.NewRegistry())
 	s.SetLimits(DefaultLimits)
 	for _, opt := range opts {
@@ -110,10 +109,10 @@
 	return s
 }
 
-// The sides on which a caller can be too slow.
+// The sides of a connection on which a caller can be too slow.
 const (
-	sends = iota
-	reads
+	sendSide = iota
+	readSide
 )
 
 var sideNames = [2]string{"sends", "reads"}
@@ -122,18 +121,18 @@
 	s.refusedConns = metrics.GetOrRegisterCounter("connections.refused", r)
 	s.evictions = metrics.GetOrRegisterCounter("connections.evicted", r)
 	for i, name := range sideNames {
-		s.slow[i] = metrics.GetOrRegisterCounter(fmt.Sprintf("callers.slow{side=%q}", name), r)
+		s.slowCallers[i] = metrics.GetOrRegisterCounter(fmt.Sprintf("callers.slow{side=%q}", name), r)
 	}
 }
 
-// tooSlow notes a caller that is cut for its rate.
-func (s *Server) tooSlow(c *Conn, side int) {
-	s.slow[side].Inc(1)
-	s.log.Info().Str("request", c.request).Str("workspace", c.hold.Workspace).Str("side", sideNames[side]).
-		Int("rate", s.pace.Rate).Dur("window", s.pace.Window).Str("caller", c.net.RemoteAddr().String()).Msg("caller too slow")
+// recordSlowCaller counts and logs a caller that is disconnected for its rate.
+func (s *Server) recordSlowCaller(c *Conn, side int) {
+	s.slowCallers[side].Inc(1)
+	s.log.Info().Str("request", c.request).Str("workspace", c.requestHold.Workspace).Str("side", sideNames[side]).
+		Int("rate", s.minRate.Rate).Dur("window", s.minRate.Window).Str("caller", c.net.RemoteAddr().String()).Msg("caller too slow")
 }
 
-// SetLimits puts other limits in force for the requests that follow.
+// SetLimits sets the limits of subsequent requests.
 func (s *Server) SetLimits(l Limits) { s.limits.Store(&l) }
 
 // Conns returns the number of open connections.
@@ -151,30 +150,30 @@
 			return nil
 		}
 		if err != nil {
-			time.Sleep(acceptPause) // Out of descriptors: the next try may find one.
+			time.Sleep(acceptRetryPause) // Possibly out of file descriptors; one may be free at the next try.
 			continue
 		}
 		c := s.newConn(conn)
-		if !s.admit(c) { // One after the other, so that the bound holds.
+		if !s.admit(c) { // Not concurrent, so that the bound holds.
 			_ = conn.Close()
 			continue
 		}
 		s.track(c, true)
-		go s.run(c)
+		go s.serveConn(c)
 	}
 }
 
-const acceptPause = 5 * time.Millisecond
+const acceptRetryPause = 5 * time.Millisecond
 
-// crossTime is for how long a draining server still reads requests on connections that rest:
-// those that callers sent before they could know. Closed at once, a connection whose request
-// has arrived and was not read yet is reset.
-const crossTime = 100 * time.Millisecond
+// drainGracePeriod is how long a draining server still reads requests from idle connections,
+// since callers may have sent them before they could notice. If a connection is closed
+// immediately while a request has arrived but is unread, it is reset.
+const drainGracePeriod = 100 * time.Millisecond
 
-// Drain closes the connections that rest, and each other one behind its answer, a moment
-// later.
+// Drain closes idle connections after drainGracePeriod, and every other connection after its
+// response.
 func (s *Server) Drain() {
-	s.drain.Store(true)
+	s.draining.Store(true)
 	s.mu.Lock()
 	conns := make([]*Conn, 0, len(s.conns))
 	for c := range s.conns {
@@ -182,16 +181,16 @@
 	}
 	s.mu.Unlock()
 	for _, c := range conns {
-		c.expireIdle(s.cross)
+		c.expireIdle(s.drainGrace)
 	}
 }
 
-// Wait returns when no connection is left or ctx ends, and reports whether none is.
-// Callers may go on connecting meanwhile.
+// Wait returns when no connection is open or ctx ends, and reports whether none is open.
+// Callers may continue to connect meanwhile.
 func (s *Server) Wait(ctx context.Context) bool {
 	for {
 		s.mu.Lock()
-		open, ended := s.open, s.ended
+		open, ended := s.openConns, s.connEnded
 		s.mu.Unlock()
 		if open == 0 {
 			return true
@@ -204,45 +203,45 @@
 	}
 }
 
-// end counts a connection as ended.
-func (s *Server) end() {
+// connectionEnded updates the count of open connections and wakes Wait.
+func (s *Server) connectionEnded() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open--
-	close(s.ended)
-	s.ended = make(chan struct{})
+	s.openConns--
+	close(s.connEnded)
+	s.connEnded = make(chan struct{})
 }
 
-func (s *Server) run(c *Conn) {
-	defer s.end()
+func (s *Server) serveConn(c *Conn) {
+	defer s.connectionEnded()
 	defer func() {
 		_ = c.net.Close()
-		_ = c.out.awaitWritten() // Its goroutine uses the hold; behind the close it ends at once.
-		s.memory.ReleaseAll(&c.hold)
-		s.memory.ReleaseAll(&c.cost)
+		_ = c.sendBuffer.awaitWritten() // Its goroutine uses requestHold; it ends soon after the close.
+		s.memory.ReleaseAll(&c.requestHold)
+		s.memory.ReleaseAll(&c.connHold)
 		s.track(c, false)
 	}()
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
-	for s.next(c, req) {
+	for s.serveNext(c, req) {
 		req.Reset()
 	}
 }
 
-// newConn returns the state of a connection that was accepted.
+// newConn returns the state of an accepted connection.
 func (s *Server) newConn(conn net.Conn) *Conn {
-	if tcp, ok := conn.(*net.TCPConn); ok && s.socket > 0 {
-		_, _ = tcp.SetReadBuffer(s.socket), tcp.SetWriteBuffer(s.socket) // A connection that ended says so when it is read.
+	if tcp, ok := conn.(*net.TCPConn); ok && s.socketBuffer > 0 {
+		_, _ = tcp.SetReadBuffer(s.socketBuffer), tcp.SetWriteBuffer(s.socketBuffer) // A closed connection is noticed by the next read.
 	}
-	c := &Conn{net: conn, since: time.Now()} // It rests from now on, and not longest of all.
-	c.out = newSendBuffer(conn, s.memory, &c.hold, s.pace, func() { s.tooSlow(c, reads) })
+	c := &Conn{net: conn, stateSince: time.Now()} // It is idle from now on; the zero time would make it the first to be evicted.
+	c.sendBuffer = newSendBuffer(conn, s.memory, &c.requestHold, s.minRate, func() { s.recordSlowCaller(c, readSide) })
 	c.br = bufio.NewReaderSize(c, readBuffer)
-	c.bw = bufio.NewWriterSize(c.out, writeBuffer)
+	c.bw = bufio.NewWriterSize(c.sendBuffer, writeBuffer)
 	return c
 }
 
 const (
-	// readBuffer holds the headers of nearly all requests; see Conn.readHead.
+	// readBuffer is large enough for the headers of nearly all requests; see Conn.readHeaders.
 	readBuffer  = 4 << 10
 	writeBuffer = 4 << 10
 )
@@ -251,49 +250,49 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if add {
-		s.open++
+		s.openConns++
 		s.conns[c] = struct{}{}
 		return
 	}
 	delete(s.conns, c)
 }
 
-// next serves one request and reports whether the connection goes on.
-func (s *Server) next(c *Conn, req *fasthttp.Request) bool {
+// serveNext serves one request and reports whether the connection stays open.
+func (s *Server) serveNext(c *Conn, req *fasthttp.Request) bool {
 	limits := s.limits.Load()
 	if !c.enter(connIdle) || c.net.SetReadDeadline(time.Now().Add(limits.IdleTime)) != nil {
 		return false
 	}
-	if s.drain.Load() {
-		c.expireIdle(s.cross)
+	if s.draining.Load() {
+		c.expireIdle(s.drainGrace)
 	}
-	if _, err := c.br.Peek(1); err != nil || !c.enter(connHead) {
+	if _, err := c.br.Peek(1); err != nil || !c.enter(connHeaders) {
 		return false
 	}
-	c.request, c.hold.Workspace, c.out.until = "", "", time.Time{}
-	if err := s.read(c, req, limits); err != nil {
-		s.refuse(c, req, err)
+	c.request, c.requestHold.Workspace, c.sendBuffer.deadline = "", "", time.Time{}
+	if err := s.readRequest(c, req, limits); err != nil {
+		s.writeError(c, req, err)
 		return false
 	}
-	a := &ResponseWriter{conn: c, close: s.drain.Load() || req.Header.ConnectionClose()}
+	a := &ResponseWriter{conn: c, closeAfter: s.draining.Load() || req.Header.ConnectionClose()}
 	ctx, cancel := context.WithCancel(context.Background())
-	stop := c.watch(cancel)
+	stop := c.watchClose(cancel)
 	s.handler.Serve(ctx, req, a)
-	req.ResetBody() // What follows may take long, and needs it no more.
-	s.memory.Release(&c.hold, memory.Body, int(c.hold.Held(memory.Body)))
-	err := c.out.awaitWritten()
+	req.ResetBody() // Writing the response may take long and does not need the body.
+	s.memory.Release(&c.requestHold, memory.Body, int(c.requestHold.Held(memory.Body)))
+	err := c.sendBuffer.awaitWritten()
 	stop()
 	cancel()
-	s.memory.ReleaseAll(&c.hold)
-	return a.ended && !a.close && err == nil
+	s.memory.ReleaseAll(&c.requestHold)
+	return a.finished && !a.closeAfter && err == nil
 }
 
-// read reads a whole request.
-func (s *Server) read(c *Conn, req *fasthttp.Request, limits *Limits) error {
+// readRequest reads the headers and body of a request.
+func (s *Server) readRequest(c *Conn, req *fasthttp.Request, limits *Limits) error {
 	if err := c.net.SetReadDeadline(time.Now().Add(limits.HeaderTime)); err != nil {
 		return err
 	}
-	if err := c.readHead(req, limits.HeaderBytes); err != nil {
+	if err := c.readHeaders(req, limits.HeaderBytes); err != nil {
 		return err
 	}
 	if !c.enter(connBusy) {
@@ -301,14 +300,14 @@
 	}
 	err := s.readBody(c, req, limits)
 	if isTimeout(err) {
-		s.tooSlow(c, sends)
+		s.recordSlowCaller(c, sendSide)
 	}
 	return err
 }
 
-// readFault names what was wrong without quoting the request, which may hold a
-// key. The status is what to answer; -1 says that there is nobody to answer.
-func readFault(err error) (status int, reason string) {
+// requestError returns the status and reason for a read error. The reason never quotes the
+// request, which may contain a key. The status is -1 if the caller has disconnected.
+func requestError(err error) (status int, reason string) {
 	var small *fasthttp.ErrSmallBuffer
 	switch {
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
@@ -317,23 +316,23 @@
 		return fasthttp.StatusRequestHeaderFieldsTooLarge, "the headers are too large"
 	case isTimeout(err):
 		return fasthttp.StatusRequestTimeout, "the request did not arrive in time"
-	case isBroken(err), errors.Is(err, net.ErrClosed):
+	case isDisconnect(err), errors.Is(err, net.ErrClosed):
 		return -1, ""
 	}
 	return fasthttp.StatusBadRequest, "the request cannot be read"
 }
 
-// refuse answers what could not be read. The connection ends with it, since
-// where the next request begins is not known.
-func (s *Server) refuse(c *Conn, req *fasthttp.Request, err error) {
-	a := &ResponseWriter{conn: c, close: true}
-	var full *noRoom
-	if admitter, ok := s.handler.(Admitter); ok && errors.As(err, &full) {
-		_ = a.WriteResponse(admitter.OutOfMemoryResponse(req, full.decision)) // The connection is closed in any case.
+// writeError responds to a request that could not be read. The connection is closed after it,
+// since the start of the next request is unknown.
+func (s *Server) writeError(c *Conn, req *fasthttp.Request, err error) {
+	a := &ResponseWriter{conn: c, closeAfter: true}
+	var outOfMemory *outOfMemoryError
+	if admitter, ok := s.handler.(Admitter); ok && errors.As(err, &outOfMemory) {
+		_ = a.WriteResponse(admitter.OutOfMemoryResponse(req, outOfMemory.decision)) // The connection is closed in any case.
 		c.linger()
 		return
 	}
-	status, reason := readFault(err)
+	status, reason := requestError(err)
 	if status < 0 {
 		return
 	}
--- a/transport/caller/caller_test.go
+++ b/transport/caller/caller_test.go
@@ -13,9 +13,9 @@
 	"github.com/valyala/fasthttp"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// handlerFunc is a handler made of a func.
+// handlerFunc adapts a func to a Handler.
 type handlerFunc func(ctx context.Context, req *fasthttp.Request, a *ResponseWriter)
 
 func (f handlerFunc) Serve(ctx context.Context, req *fasthttp.Request, a *ResponseWriter) {
@@ -29,15 +29,15 @@
 	return resp
 }
 
-func whole(a *ResponseWriter, text string) {
+func writeText(a *ResponseWriter, text string) {
 	resp := &fasthttp.Response{}
 	resp.SetBodyString(text)
 	_ = a.WriteResponse(resp)
 }
 
-// echo answers with method, path and body.
+// echo responds with method, path and body.
 var echo = handlerFunc(func(_ context.Context, req *fasthttp.Request, a *ResponseWriter) {
-	whole(a, string(req.Header.Method())+" "+string(req.Header.RequestURI())+" "+string(req.Body()))
+	writeText(a, string(req.Header.Method())+" "+string(req.Header.RequestURI())+" "+string(req.Body()))
 })
 
 // serve starts a server and returns it with a connection to it.
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	t.Cleanup(func() { _ = conn.Close() })
 	return conn
 }
@@ -73,8 +73,8 @@
 	return resp.StatusCode(), string(resp.Body())
 }
 
-// TestRequestsOnOneConnection sends requests of all framings, two of them at
-// once, and checks that each gets its own answer.
+// TestRequestsOnOneConnection sends requests with all kinds of framing, two of them pipelined, and
+// checks that each gets its own response.
 func TestRequestsOnOneConnection(t *testing.T) {
 	_, conn, _ := serve(t, echo)
 	br := bufio.NewReader(conn)
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestHangUpEndsTheContext checks that a caller that leaves while nothing is
-// written is noticed.
-func TestHangUpEndsTheContext(t *testing.T) {
+// TestDisconnectCancelsContext checks that a caller that disconnects while nothing is written is
+// noticed.
+func TestDisconnectCancelsContext(t *testing.T) {
 	begun, ended := make(chan struct{}), make(chan struct{})
 	_, conn, _ := serve(t, handlerFunc(func(ctx context.Context, _ *fasthttp.Request, _ *ResponseWriter) {
 		close(begun)
@@ -105,14 +105,14 @@
 	_ = conn.Close()
 	select {
 	case <-ended:
-	case <-time.After(patience):
-		t.Fatal("the hang-up was not noticed")
+	case <-time.After(testTimeout):
+		t.Fatal("context not canceled after the caller disconnected")
 	}
 }
 
-// TestBrokenAnswerIsCut checks that an answer that was not ended does not look
-// whole, and that one that was ended does.
-func TestBrokenAnswerIsCut(t *testing.T) {
+// TestUnfinishedResponseIsCut checks that a response that was not finished does not look complete,
+// and that a finished one does.
+func TestUnfinishedResponseIsCut(t *testing.T) {
 	for _, end := range []bool{false, true} {
 		_, conn, _ := serve(t, handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *ResponseWriter) {
 			_ = a.WriteHeader(&fasthttp.Response{})
@@ -124,13 +124,13 @@
 		_, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 		var resp fasthttp.Response
 		if err := resp.Read(bufio.NewReader(conn)); (err == nil) != end || (err != nil && isTimeout(err)) {
-			t.Errorf("ended: %v, the caller got error %v", end, err)
+			t.Errorf("finished: %v, the caller got error %v", end, err)
 		}
 	}
 }
 
-// TestDrain checks that a connection that rests is closed, and that one with a
-// request under way gets its answer, which says that the connection ends.
+// TestDrain checks that an idle connection is closed, and that one with a request in progress
+// gets its response and is closed after it.
 func TestDrain(t *testing.T) {
 	begun, release := make(chan struct{}), make(chan struct{})
 	s, busy, _ := serve(t, handlerFunc(func(_ context.Context, req *fasthttp.Request, a *ResponseWriter) {
@@ -138,7 +138,7 @@
 			close(begun)
 			<-release
 		}
-		whole(a, "done")
+		writeText(a, "done")
 	}))
 	idle := dial(t, busy.RemoteAddr().String())
 	idleReader := bufio.NewReader(idle)
@@ -149,42 +149,42 @@
 	awaitIdle(t, s)
 	s.Drain()
 	if _, err := idleReader.ReadByte(); err != io.EOF {
-		t.Errorf("the resting connection got %v", err)
+		t.Errorf("read from the idle connection: %v, want EOF", err)
 	}
 	close(release)
 	br := bufio.NewReader(busy)
 	read(t, br)
 	if _, err := br.ReadByte(); err != io.EOF {
-		t.Errorf("behind its answer the busy connection got %v", err)
+		t.Errorf("read from the busy connection after its response: %v, want EOF", err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	s.Wait(ctx)
 	if n := s.Conns(); n != 0 {
-		t.Errorf("%d connections are left", n)
+		t.Errorf("%d connections are open, want 0", n)
 	}
 }
 
-// TestDrainReadsWhatWasSent checks that a request which was sent on a resting connection, or
-// on a new one, just as the server drains gets an answer: closed unread, the connection would
-// be reset, and its caller would not know what became of the request.
-func TestDrainReadsWhatWasSent(t *testing.T) {
-	s, first, _ := serve(t, handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *ResponseWriter) { whole(a, "done") }))
-	s.cross = patience // A machine that stands still for a moment decides nothing.
+// TestDrainServesRequestsInFlight checks that a request sent on an idle or a new connection while
+// the server starts to drain gets a response. If the connection were closed with the request
+// unread, it would be reset, and the caller would not know the outcome of its request.
+func TestDrainServesRequestsInFlight(t *testing.T) {
+	s, first, _ := serve(t, handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *ResponseWriter) { writeText(a, "done") }))
+	s.drainGrace = testTimeout // A short stall of the machine must not decide the outcome.
 	address := first.RemoteAddr().String()
-	var resting []net.Conn
+	var idle []net.Conn
 	for range 50 {
 		conn := dial(t, address)
 		_, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 		read(t, bufio.NewReader(conn))
-		resting = append(resting, conn)
+		idle = append(idle, conn)
 	}
 	drained := make(chan struct{})
 	go func() {
 		defer close(drained)
 		s.Drain()
 	}()
-	for i, conn := range resting {
+	for i, conn := range idle {
 		if i%2 == 0 {
 			conn = dial(t, address)
 		}
@@ -199,14 +199,13 @@
 	<-drained
 }
 
-// TestWaitBesideNewConnections checks that callers who connect while a server ends
-// neither race with its wait nor are left behind by it: what was accepted before
-// counts. The race detector tells of the first.
-func TestWaitBesideNewConnections(t *testing.T) {
-	s, first, _ := serve(t, handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *ResponseWriter) { whole(a, "done") }))
+// TestWaitDuringNewConnections checks that callers that connect during Wait do not race with it,
+// which the race detector reports, and that Wait covers every connection accepted before.
+func TestWaitDuringNewConnections(t *testing.T) {
+	s, first, _ := serve(t, handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *ResponseWriter) { writeText(a, "done") }))
 	address := first.RemoteAddr().String()
 	_ = first.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	var callers sync.WaitGroup
 	for range 4 {
@@ -233,21 +232,21 @@
 	open := dial(t, address)
 	_, _ = io.WriteString(open, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	read(t, bufio.NewReader(open))
-	over, end := context.WithCancel(ctx)
-	end()
-	if s.Wait(over) {
-		t.Error("the wait ended though a connection is open")
+	expired, expire := context.WithCancel(ctx)
+	expire()
+	if s.Wait(expired) {
+		t.Error("Wait returned true while a connection is open")
 	}
 	_ = open.Close()
 	if !s.Wait(ctx) {
-		t.Error("the wait did not end with the last connection")
+		t.Error("Wait returned false after the last connection closed")
 	}
 }
 
-// awaitIdle waits until a connection of the server rests.
+// awaitIdle waits until a connection of the server is idle.
 func awaitIdle(t *testing.T, s *Server) {
 	t.Helper()
-	resting := func() bool {
+	hasIdle := func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for c := range s.conns {
@@ -260,16 +259,16 @@
 		}
 		return false
 	}
-	for end := time.Now().Add(patience); !resting(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !hasIdle(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("no connection rests")
+			t.Fatal("no connection became idle")
 		}
 	}
 }
 
-// TestFaultsQuoteNothing checks that a refusal of what cannot be read names the
-// fault and repeats nothing of the request, which may hold a key.
-func TestFaultsQuoteNothing(t *testing.T) {
+// TestErrorsDoNotQuoteRequest checks that the response to an unreadable request does not quote the
+// request, which may contain a key.
+func TestErrorsDoNotQuoteRequest(t *testing.T) {
 	for name, text := range map[string]string{
 		"no request":    "secret-key\r\n\r\n",
 		"large headers": "GET / HTTP/1.1\r\nHost: h\r\nX: secret-key" + strings.Repeat("x", 64<<10) + "\r\n\r\n",
@@ -284,8 +283,8 @@
 	}
 }
 
-// TestLongHeaders checks that headers up to the limit are read whole, with the body
-// behind them and the request after it, and that longer ones are refused.
+// TestLongHeaders checks that headers up to the limit are read completely, along with the body and
+// the next request, and that longer ones are refused.
 func TestLongHeaders(t *testing.T) {
 	_, conn, _ := serve(t, echo)
 	br := bufio.NewReader(conn)
@@ -297,6 +296,6 @@
 	}
 	_, _ = io.WriteString(conn, "POST /x HTTP/1.1\r\nHost: h\r\nLong: "+strings.Repeat("a", DefaultLimits.HeaderBytes)+"\r\n\r\n")
 	if status, _ := read(t, br); status != fasthttp.StatusRequestHeaderFieldsTooLarge {
-		t.Errorf("headers beyond the limit got %d", status)
+		t.Errorf("headers beyond the limit got status %d", status)
 	}
 }
--- a/transport/caller/conn.go
+++ b/transport/caller/conn.go
@@ -14,40 +14,40 @@
 	"github.com/weldstream/weldstream/coordination/memory"
 )
 
-// pastDeadline wakes a read that waits.
+// pastDeadline interrupts a blocked read.
 var pastDeadline = time.Unix(1, 0)
 
-// Conn is one caller's connection. The codec is fasthttp's; the loop is ours,
-// since only so a caller that hangs up is noticed while nothing is written, and
-// an answer that breaks off can be told from one that ended.
+// Conn is one caller's connection. It uses fasthttp's codec but its own request loop, to notice a
+// caller that disconnects while nothing is written, and to make a truncated response
+// distinguishable from a complete one.
 type Conn struct {
-	net net.Conn
-	br  *bufio.Reader
-	bw  *bufio.Writer
-	out *sendBuffer // out is what bw writes to.
+	net        net.Conn
+	br         *bufio.Reader
+	bw         *bufio.Writer
+	sendBuffer *sendBuffer // sendBuffer is the destination of bw.
 
-	cost     memory.Hold // cost is what the connection holds by itself.
-	hold     memory.Hold // hold is what its request holds.
-	request  string      // request names the request, where its owner was asked for.
-	reads    window      // reads are held to the pace while a body is read.
-	lastRead time.Time   // lastRead is when the body has to be there.
-	paced    bool
+	connHold     memory.Hold // connHold is the memory charged for the connection itself.
+	requestHold  memory.Hold // requestHold is the memory charged for its request.
+	request      string      // request is the request's ID if its owner was determined.
+	readWindow   rateWindow  // readWindow checks the minimum rate while a body is read.
+	bodyDeadline time.Time   // bodyDeadline is when the body must have arrived.
+	rateChecked  bool
 
-	mu    sync.Mutex // mu guards state and since.
-	state connState
-	since time.Time // since is when it began to rest, or to send its headers.
+	mu         sync.Mutex // mu guards state and stateSince.
+	state      connState
+	stateSince time.Time // stateSince is when the connection became idle or began to send headers.
 }
 
 type connState uint8
 
 const (
-	connIdle   connState = iota // connIdle waits for the first byte of a request.
-	connHead                    // connHead reads the headers of a request.
-	connBusy                    // connBusy reads a request's body or answers it.
-	connClosed                  // connClosed was closed by Close of the server.
+	connIdle    connState = iota // connIdle waits for the first byte of a request.
+	connHeaders                  // connHeaders reads the headers of a request.
+	connBusy                     // connBusy reads a request's body or serves the request.
+	connClosed                   // connClosed was evicted by the server.
 )
 
-// enter notes what the connection does; false means that it was closed.
+// enter sets the state and returns false if the connection was closed.
 func (c *Conn) enter(s connState) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,23 +56,23 @@
 	}
 	c.state = s
 	if s != connBusy {
-		c.since = time.Now()
+		c.stateSince = time.Now()
 	}
 	return true
 }
 
-// waits returns what a connection waits for, and since when; connBusy where it does
-// not wait for its caller.
-func (c *Conn) waits() (connState, time.Time) {
+// waitState returns the state of a connection that waits for its caller, and since when. The
+// state is connBusy if the connection does not wait.
+func (c *Conn) waitState() (connState, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state == connClosed {
-		return connBusy, c.since
+		return connBusy, c.stateSince
 	}
-	return c.state, c.since
+	return c.state, c.stateSince
 }
 
-// closeIf closes a connection that is in a state, and reports whether it was.
+// closeIf closes the connection if it is in the given state, and reports whether it was.
 func (c *Conn) closeIf(s connState) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,26 +84,26 @@
 	return true
 }
 
-// expireIdle has a connection that rests end after a time in which no request comes.
+// expireIdle closes an idle connection if no request arrives within the given time.
 func (c *Conn) expireIdle(after time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state == connIdle {
-		_ = c.net.SetReadDeadline(time.Now().Add(after)) // A connection that ended says so when it is read.
+		_ = c.net.SetReadDeadline(time.Now().Add(after)) // A closed connection is noticed by the next read.
 	}
 }
 
-// watch calls gone once if the caller hangs up before stop is called. Bytes
-// that arrive stay in the reader, as they belong to the next request.
-func (c *Conn) watch(gone func()) (stop func()) {
+// watchClose calls onClose once if the caller disconnects before stop is called. Bytes that
+// arrive stay in the reader, as they belong to the next request.
+func (c *Conn) watchClose(onClose func()) (stop func()) {
 	_ = c.net.SetReadDeadline(time.Time{})
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		// What is buffered already says nothing of the connection, but a caller
-		// that has sent more is there.
+		// Buffered bytes say nothing about the connection, but a caller that sends more is
+		// still connected.
 		if _, err := c.br.Peek(c.br.Buffered() + 1); err != nil && !isTimeout(err) && !errors.Is(err, bufio.ErrBufferFull) {
-			gone()
+			onClose()
 		}
 	}()
 	return func() {
@@ -118,67 +118,67 @@
 	return errors.As(err, &e) && e.Timeout()
 }
 
-// ResponseWriter writes the answer to one request: whole, or as a head and pieces.
+// ResponseWriter writes the response to one request, either at once or as headers and chunks.
 type ResponseWriter struct {
-	conn    *Conn
-	close   bool
-	began   bool
-	ended   bool
-	chunked bool
+	conn       *Conn
+	closeAfter bool
+	started    bool
+	finished   bool
+	chunked    bool
 }
 
-// Started reports whether a byte of the answer was written.
-func (a *ResponseWriter) Started() bool { return a.began }
+// Started reports whether any part of the response was written.
+func (a *ResponseWriter) Started() bool { return a.started }
 
-// SetOwner names the request and the workspace that what is held for it belongs to.
+// SetOwner sets the request's ID and the workspace that is charged for its memory.
 func (a *ResponseWriter) SetOwner(request, workspace string) {
 	c := a.conn
 	c.request = request
-	if c.hold == (memory.Hold{Workspace: c.hold.Workspace}) { // What is held stays with whom it was taken for.
-		c.hold.Workspace = workspace
+	if c.requestHold == (memory.Hold{Workspace: c.requestHold.Workspace}) { // Reserved bytes stay with the workspace they were charged to.
+		c.requestHold.Workspace = workspace
 	}
 }
 
-// SetDeadline says how long the caller waits for the answer: what it has not taken by then is
-// of no use to it.
-func (a *ResponseWriter) SetDeadline(t time.Time) { a.conn.out.until = t }
+// SetDeadline sets how long the caller waits for the response. Data that it has not received by
+// then is of no use to it.
+func (a *ResponseWriter) SetDeadline(t time.Time) { a.conn.sendBuffer.deadline = t }
 
-// Reserve takes bytes for a whole answer that is read before it is written.
+// Reserve reserves memory for a response that is read completely before it is written.
 func (a *ResponseWriter) Reserve(n int) memory.Decision {
-	return a.conn.out.memory.Reserve(&a.conn.hold, memory.Answer, n)
+	return a.conn.sendBuffer.memory.Reserve(&a.conn.requestHold, memory.Answer, n)
 }
 
-// Release gives the bytes of a whole answer back.
+// Release releases the memory reserved by Reserve.
 func (a *ResponseWriter) Release() {
-	a.conn.out.memory.Release(&a.conn.hold, memory.Answer, int(a.conn.hold.Held(memory.Answer)))
+	a.conn.sendBuffer.memory.Release(&a.conn.requestHold, memory.Answer, int(a.conn.requestHold.Held(memory.Answer)))
 }
 
-// CloseConnection has the connection closed behind the answer, which says so.
-func (a *ResponseWriter) CloseConnection() { a.close = true }
+// CloseConnection makes the server close the connection after the response, which announces it.
+func (a *ResponseWriter) CloseConnection() { a.closeAfter = true }
 
-// WriteResponse writes a whole answer.
+// WriteResponse writes a complete response.
 func (a *ResponseWriter) WriteResponse(resp *fasthttp.Response) error {
-	a.began, a.ended = true, true
-	a.mark(resp)
+	a.started, a.finished = true, true
+	a.setConnectionHeader(resp)
 	if err := resp.Write(a.conn.bw); err != nil {
-		a.close = true
+		a.closeAfter = true
 		return err
 	}
 	return a.flush()
 }
 
-// mark tells the caller what becomes of the connection.
-func (a *ResponseWriter) mark(resp *fasthttp.Response) {
+// setConnectionHeader sets the Connection header of a response.
+func (a *ResponseWriter) setConnectionHeader(resp *fasthttp.Response) {
 	resp.Header.Del(fasthttp.HeaderConnection)
-	if a.close {
+	if a.closeAfter {
 		resp.SetConnectionClose()
 	}
 }
 
-// WriteHeader writes the head of an answer whose body follows in pieces.
+// WriteHeader writes the headers of a response whose body follows in chunks.
 func (a *ResponseWriter) WriteHeader(resp *fasthttp.Response) error {
-	a.began, a.chunked = true, true
-	a.mark(resp)
+	a.started, a.chunked = true, true
+	a.setConnectionHeader(resp)
 	resp.Header.SetContentLength(-1)
 	if _, err := a.conn.bw.Write(resp.Header.Header()); err != nil {
 		return err
@@ -186,23 +186,23 @@
 	return a.flush()
 }
 
-// WriteChunk writes one piece of the body and has it sent at once.
+// WriteChunk writes and flushes one chunk of the body.
 func (a *ResponseWriter) WriteChunk(p []byte) error {
 	if len(p) == 0 {
 		return nil
 	}
 	if err := writeChunk(a.conn.bw, p); err != nil {
-		a.close = true
+		a.closeAfter = true
 		return err
 	}
 	return a.flush()
 }
 
-// Finish writes the end of the body: the answer is whole.
+// Finish writes the final chunk, which completes the response.
 func (a *ResponseWriter) Finish() error {
-	a.ended = true
+	a.finished = true
 	if _, err := io.WriteString(a.conn.bw, "0\r\n\r\n"); err != nil {
-		a.close = true
+		a.closeAfter = true
 		return err
 	}
 	return a.flush()
@@ -211,7 +211,7 @@
 func (a *ResponseWriter) flush() error {
 	err := a.conn.bw.Flush()
 	if err != nil {
-		a.close = true
+		a.closeAfter = true
 	}
 	return err
 }
@@ -238,13 +238,13 @@
 	return err
 }
 
-// readHead reads the headers of a request. They have to fit into the buffer, which
-// grows, once, to the most bytes that they may have: hundreds of connections rest at
-// a time, and few ever need that much.
-func (c *Conn) readHead(req *fasthttp.Request, most int) error {
+// readHeaders reads the headers of a request. They must fit into the buffer, which grows to the
+// limit only when needed: hundreds of connections are idle at a time, and few ever need that
+// much.
+func (c *Conn) readHeaders(req *fasthttp.Request, limit int) error {
 	err := req.Header.Read(c.br)
 	var small *fasthttp.ErrSmallBuffer
-	if !errors.As(err, &small) || c.br.Size() >= most {
+	if !errors.As(err, &small) || c.br.Size() >= limit {
 		return err
 	}
 	buffered, err := c.br.Peek(c.br.Buffered())
@@ -252,6 +252,6 @@
 		return err
 	}
 	rest := io.MultiReader(bytes.NewReader(bytes.Clone(buffered)), c)
-	c.br = bufio.NewReaderSize(rest, most)
+	c.br = bufio.NewReaderSize(rest, limit)
 	return req.Header.Read(c.br)
 }
--- a/transport/caller/cost_test.go
+++ b/transport/caller/cost_test.go
@@ -11,8 +11,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// BenchmarkConnection tells what a connection costs that rests, and one whose request
-// is under way.
+// BenchmarkConnection measures the memory of an idle connection and of one with a request in
+// progress.
 func BenchmarkConnection(b *testing.B) {
 	debug.SetGCPercent(20)
 	const count = 1000
@@ -31,7 +31,7 @@
 		s := NewServer(handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *ResponseWriter) {
 			begun <- struct{}{}
 			<-release
-			whole(a, "done")
+			writeText(a, "done")
 		}))
 		go func() { _ = s.Serve(ln) }()
 		before := memory()
--- a/transport/caller/late_test.go
+++ b/transport/caller/late_test.go
@@ -14,89 +14,89 @@
 	"github.com/weldstream/weldstream/coordination/memory"
 )
 
-// stillFor is how much later than its time-out the process goes on.
-const stillFor = 500 * time.Millisecond
+// freezeTime is how long after its deadline the process resumes.
+const freezeTime = 500 * time.Millisecond
 
-// frozen is a connection whose process stands still in the first read or write, until
-// its time-out is long past. What comes behind it succeeds.
-type frozen struct {
+// frozenConn simulates a process that is suspended in the first read or write until long after
+// its deadline. Later reads and writes succeed.
+type frozenConn struct {
 	net.Conn
 	end   time.Time
-	stood bool
+	froze bool
 }
 
-func (f *frozen) SetReadDeadline(t time.Time) error  { f.end = t; return nil }
-func (f *frozen) SetWriteDeadline(t time.Time) error { f.end = t; return nil }
-func (f *frozen) Close() error                       { return nil }
+func (f *frozenConn) SetReadDeadline(t time.Time) error  { f.end = t; return nil }
+func (f *frozenConn) SetWriteDeadline(t time.Time) error { f.end = t; return nil }
+func (f *frozenConn) Close() error                       { return nil }
 
-func (f *frozen) stand() error {
-	if f.stood {
+func (f *frozenConn) freeze() error {
+	if f.froze {
 		return nil
 	}
-	f.stood = true
-	time.Sleep(time.Until(f.end) + stillFor)
+	f.froze = true
+	time.Sleep(time.Until(f.end) + freezeTime)
 	return os.ErrDeadlineExceeded
 }
 
-func (f *frozen) Read(p []byte) (int, error) {
-	if err := f.stand(); err != nil {
+func (f *frozenConn) Read(p []byte) (int, error) {
+	if err := f.freeze(); err != nil {
 		return 0, err
 	}
 	return len(p), nil
 }
 
-func (f *frozen) Write(p []byte) (int, error) {
-	if err := f.stand(); err != nil {
+func (f *frozenConn) Write(p []byte) (int, error) {
+	if err := f.freeze(); err != nil {
 		return 0, err
 	}
 	return len(p), nil
 }
 
-// TestStandingStillCutsNobody checks that a process which stood still for longer than a
-// window takes none of its callers for slow: not one who takes an answer, with memory for
-// it and without, and not one who sends a body.
-func TestStandingStillCutsNobody(t *testing.T) {
-	pace := MinRate{Rate: 1 << 20, Window: 20 * time.Millisecond}
-	for name, bound := range map[string]int64{"kept": 1 << 20, "direct": 0} {
+// TestFrozenProcessCutsNoCaller checks that a process that was suspended for longer than a window
+// does not treat a caller as slow: neither one that reads a response, with or without memory
+// for its send buffer, nor one that sends a body.
+func TestFrozenProcessCutsNoCaller(t *testing.T) {
+	minRate := MinRate{Rate: 1 << 20, Window: 20 * time.Millisecond}
+	for name, bound := range map[string]int64{"buffered": 1 << 20, "direct": 0} {
 		cut := false
-		s := newSendBuffer(&frozen{}, NewMemory(bound, metrics.NewRegistry()), &memory.Hold{}, pace, func() { cut = true })
+		s := newSendBuffer(&frozenConn{}, NewMemory(bound, metrics.NewRegistry()), &memory.Hold{}, minRate, func() { cut = true })
 		_, err := s.Write(make([]byte, 100))
 		if err = errors.Join(err, s.awaitWritten()); err != nil || cut {
-			t.Errorf("%s: an answer ended with %v, cut %v", name, err, cut)
+			t.Errorf("%s: the response ended with %v, cut %v", name, err, cut)
 		}
 	}
-	c := &Conn{net: &frozen{}}
+	c := &Conn{net: &frozenConn{}}
 	c.br = bufio.NewReader(c)
-	limits := Limits{BodyTime: patience}
-	if err := c.paceReads(pace, &limits); err != nil {
+	limits := Limits{BodyTime: testTimeout}
+	if err := c.startRateCheck(minRate, &limits); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.ReadFull(c.br, make([]byte, 100)); err != nil {
-		t.Errorf("a body ended with %v", err)
+		t.Errorf("the body ended with %v", err)
 	}
 }
 
-// gated is a connection that takes what is written once it may.
-type gated struct {
+// gatedConn is a connection whose writes block until release is closed.
+type gatedConn struct {
 	net.Conn
-	began chan struct{}
-	may   chan struct{}
+	started chan struct{}
+	release chan struct{}
 }
 
-func (g *gated) SetWriteDeadline(time.Time) error { return nil }
-func (g *gated) Close() error                     { return nil }
+func (g *gatedConn) SetWriteDeadline(time.Time) error { return nil }
+func (g *gatedConn) Close() error                     { return nil }
 
-func (g *gated) Write(p []byte) (int, error) {
-	g.began <- struct{}{}
-	<-g.may
+func (g *gatedConn) Write(p []byte) (int, error) {
+	g.started <- struct{}{}
+	<-g.release
 	return len(p), nil
 }
 
-// TestStandingStillWhilePressed checks the same of a caller whose answer waits for memory
-// behind a block that is being written.
-func TestStandingStillWhilePressed(t *testing.T) {
+// TestFrozenProcessCutsNoCallerWithoutMemory checks the same for a caller whose response waits for
+// memory while a block is being written.
+func TestFrozenProcessCutsNoCallerWithoutMemory(t *testing.T) {
 	const window = 500 * time.Millisecond
-	conn := &gated{began: make(chan struct{}, 2), may: make(chan struct{})}
+	conn := &gatedConn{started: make(chan struct{}, 2), release: make(chan struct{})}
 	cut := false
 	s := newSendBuffer(conn, NewMemory(2*blockBytes, metrics.NewRegistry()), &memory.Hold{}, MinRate{Rate: 1, Window: window}, func() { cut = true })
 	done := make(chan error, 1)
@@ -104,12 +104,12 @@
 		_, err := s.Write(make([]byte, 2*blockBytes))
 		done <- errors.Join(err, s.awaitWritten())
 	}()
-	<-conn.began // The second block waits for the first one's bytes now.
+	<-conn.started // The second block now waits for the memory of the first.
 	s.mu.Lock()
-	time.Sleep(window + stillFor) // Nothing of the send buffer goes on meanwhile.
-	close(conn.may)
+	time.Sleep(window + freezeTime) // The send buffer makes no progress meanwhile.
+	close(conn.release)
 	s.mu.Unlock()
 	if err := <-done; err != nil || cut {
-		t.Errorf("an answer ended with %v, cut %v", err, cut)
+		t.Errorf("the response ended with %v, cut %v", err, cut)
 	}
 }
--- a/transport/caller/memory.go
+++ b/transport/caller/memory.go
@@ -10,28 +10,28 @@
 	"github.com/weldstream/weldstream/coordination/memory"
 )
 
-// Memory is the account of the bytes that a process holds for its callers. A nil
-// Memory counts nothing and admits all.
+// Memory accounts for the bytes that a process holds for its callers. A nil Memory counts
+// nothing and grants every reservation.
 type Memory struct {
 	registry metrics.Registry
 	refused  metrics.Counter
 
-	mu      sync.Mutex // mu guards all below.
-	account *memory.Account
-	metered map[string]bool // metered are the workspaces that have a gauge.
+	mu               sync.Mutex // mu guards all below.
+	account          *memory.Account
+	gaugedWorkspaces map[string]bool // gaugedWorkspaces are the workspaces that have a gauge.
 }
 
-// mostMetered bounds the gauges of workspaces: names come from the operators, and each
-// gauge costs memory and a line.
-const mostMetered = 512
+// maxWorkspaceGauges bounds the number of per-workspace gauges: names come from operators, and
+// each gauge costs memory and a line of output.
+const maxWorkspaceGauges = 512
 
-// NewMemory returns an account of at most some bytes, with its figures in a registry.
+// NewMemory returns an account bounded to the given bytes, with its gauges in a registry.
 func NewMemory(bound int64, r metrics.Registry) *Memory {
 	m := &Memory{
-		registry: r,
-		refused:  metrics.GetOrRegisterCounter("memory.refused", r),
-		account:  memory.New(bound),
-		metered:  map[string]bool{},
+		registry:         r,
+		refused:          metrics.GetOrRegisterCounter("memory.refused", r),
+		account:          memory.New(bound),
+		gaugedWorkspaces: map[string]bool{},
 	}
 	m.gauge("memory.bound", (*memory.Account).Bound)
 	for _, c := range memory.Causes {
@@ -40,39 +40,40 @@
 	return m
 }
 
-// gauge registers a figure of the account.
+// gauge registers a gauge of the account.
 func (m *Memory) gauge(name string, figure func(*memory.Account) int64) {
 	_ = m.registry.Register(name, metrics.NewFunctionalGauge(func() int64 {
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		return figure(m.account)
-	})) // It fails for a name that is there already, of an account before this one.
+	})) // It fails if the name is already registered by an earlier account.
 }
 
-// Reserve takes bytes for a cause, all or none.
+// Reserve reserves n bytes for a cause, all or none.
 func (m *Memory) Reserve(h *memory.Hold, c memory.Cause, n int) memory.Decision {
 	if m == nil {
 		return memory.Decision{Granted: true}
 	}
 	m.mu.Lock()
 	v := m.account.Reserve(h, c, int64(n), time.Now())
-	newcomer := v.Granted && h.Workspace != "" && !m.metered[h.Workspace] && len(m.metered) < mostMetered
-	if newcomer {
-		m.metered[h.Workspace] = true
+	isNew := v.Granted && h.Workspace != "" && !m.gaugedWorkspaces[h.Workspace] && len(m.gaugedWorkspaces) < maxWorkspaceGauges
+	if isNew {
+		m.gaugedWorkspaces[h.Workspace] = true
 	}
 	m.mu.Unlock()
-	// Where a send buffer is full the answer goes on, slower; connections have their own count.
+	// A refusal for a send buffer only slows the response down, and refused connections have
+	// their own counter.
 	if !v.Granted && (c == memory.Body || c == memory.Answer) {
 		m.refused.Inc(1)
 	}
-	if newcomer {
+	if isNew {
 		name := h.Workspace
 		m.gauge(fmt.Sprintf("memory.held_for{workspace=%q}", name), func(a *memory.Account) int64 { return a.HeldBy(name) })
 	}
 	return v
 }
 
-// Release gives bytes back.
+// Release releases n bytes of a cause.
 func (m *Memory) Release(h *memory.Hold, c memory.Cause, n int) {
 	if m == nil {
 		return
@@ -82,7 +83,7 @@
 	m.account.Release(h, c, int64(n), time.Now())
 }
 
-// ReleaseAll gives back all that a hold has.
+// ReleaseAll releases all bytes of a hold.
 func (m *Memory) ReleaseAll(h *memory.Hold) {
 	if m == nil {
 		return
@@ -92,33 +93,33 @@
 	m.account.ReleaseAll(h, time.Now())
 }
 
-// most is the largest body that can ever be taken, at most a limit: one beside whose
-// connection as much is left for the others.
-func (m *Memory) most(limit int) int {
+// maxBody returns the largest body that can be granted, up to limit: one that, together with
+// its connection, leaves the same amount for the others.
+func (m *Memory) maxBody(limit int) int {
 	if m == nil {
 		return limit
 	}
 	return int(min(int64(limit), max(0, m.account.MaxHold()-connectionBytes/2)))
 }
 
-// MemoryStatus is the account's state for people.
+// MemoryStatus is the state of the account as shown to operators.
 type MemoryStatus struct {
-	Bound      int64            `json:"bound"` // Bound is in bytes, as all are.
+	Bound      int64            `json:"bound"` // Bound is in bytes, like all values.
 	Held       int64            `json:"held"`
 	Causes     map[string]int64 `json:"causes"`
-	Workspaces map[string]int64 `json:"workspaces"` // Workspaces are those that hold any; "" are callers who are not known.
+	Workspaces map[string]int64 `json:"workspaces"` // Workspaces are the workspaces that hold memory; "" is for unknown callers.
 }
 
-// Status returns the account's state, nil without an account.
+// Status returns the state of the account, or nil without an account.
 func (m *Memory) Status() *MemoryStatus {
 	if m == nil {
 		return nil
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	row := &MemoryStatus{Bound: m.account.Bound(), Held: m.account.Held(), Causes: map[string]int64{}, Workspaces: m.account.Workspaces()}
+	status := &MemoryStatus{Bound: m.account.Bound(), Held: m.account.Held(), Causes: map[string]int64{}, Workspaces: m.account.Workspaces()}
 	for _, c := range memory.Causes {
-		row.Causes[c.String()] = m.account.HeldFor(c)
+		status.Causes[c.String()] = m.account.HeldFor(c)
 	}
-	return row
+	return status
 }
--- a/transport/caller/memory_test.go
+++ b/transport/caller/memory_test.go
@@ -20,17 +20,17 @@
 	"github.com/weldstream/weldstream/coordination/memory"
 )
 
-// keyed is a handler that knows a request's workspace by its header "W".
-type keyed struct {
+// admittingHandler is an Admitter that takes a request's workspace from its header "W".
+type admittingHandler struct {
 	handlerFunc
 	refused atomic.Int64
 }
 
-func (k *keyed) Owner(req *fasthttp.Request) (request, workspace string) {
+func (k *admittingHandler) Owner(req *fasthttp.Request) (request, workspace string) {
 	return "", string(req.Header.Peek("W"))
 }
 
-func (k *keyed) OutOfMemoryResponse(_ *fasthttp.Request, v memory.Decision) *fasthttp.Response {
+func (k *admittingHandler) OutOfMemoryResponse(_ *fasthttp.Request, v memory.Decision) *fasthttp.Response {
 	k.refused.Add(1)
 	resp := &fasthttp.Response{}
 	resp.SetStatusCode(fasthttp.StatusServiceUnavailable)
@@ -38,11 +38,11 @@
 	return resp
 }
 
-// quick is a pace whose windows end soon.
-var quick = MinRate{Rate: 1 << 20, Window: 200 * time.Millisecond}
+// shortWindowRate is a minimum rate with a short window.
+var shortWindowRate = MinRate{Rate: 1 << 20, Window: 200 * time.Millisecond}
 
-// impatient limits leave the window as it is.
-var impatient = Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20, HeaderTime: 100 * time.Millisecond, BodyTime: 2 * patience, IdleTime: patience}
+// shortLimits are limits that do not extend the rate window.
+var shortLimits = Limits{HeaderBytes: 16 << 10, BodyBytes: 4 << 20, HeaderTime: 100 * time.Millisecond, BodyTime: 2 * testTimeout, IdleTime: testTimeout}
 
 // listen starts a server and returns it with its address.
 func listen(t testing.TB, h Handler, opts ...Option) (*Server, string) {
@@ -60,9 +60,9 @@
 // await waits for a condition.
 func await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not in %v: %s", patience, what)
+			t.Fatalf("not in %v: %s", testTimeout, what)
 		}
 	}
 }
@@ -71,16 +71,16 @@
 	return fmt.Sprintf("POST / HTTP/1.1\r\nHost: h\r\nW: %s\r\nContent-Length: %d\r\n\r\n", workspace, length)
 }
 
-// TestBodyIsRefusedBeforeItIsRead checks that a body for which there is no memory is
-// refused by its announced length, with a time to come back; that another workspace's is
-// taken meanwhile; and that nothing is held at rest.
+// TestBodyIsRefusedBeforeItIsRead checks that a body for which there is no memory is refused by its
+// announced length, with a Retry-After header; that another workspace's body is accepted
+// meanwhile; and that all memory is released at the end.
 func TestBodyIsRefusedBeforeItIsRead(t *testing.T) {
 	release := make(chan struct{})
-	h := &keyed{handlerFunc: func(_ context.Context, req *fasthttp.Request, a *ResponseWriter) {
+	h := &admittingHandler{handlerFunc: func(_ context.Context, req *fasthttp.Request, a *ResponseWriter) {
 		if len(req.Header.Peek("Wait")) > 0 {
 			<-release
 		}
-		whole(a, fmt.Sprint(len(req.Body())))
+		writeText(a, fmt.Sprint(len(req.Body())))
 	}}
 	m := NewMemory(4<<20, metrics.NewRegistry())
 	s, address := listen(t, h, WithMemory(m))
@@ -89,40 +89,40 @@
 	go func() {
 		_, _ = io.WriteString(first, strings.Replace(post("a", size), "\r\n\r\n", "\r\nWait: 1\r\n\r\n", 1)+strings.Repeat("x", size))
 	}()
-	await(t, "the first body is held", func() bool { return m.Status().Workspaces["a"] >= size })
+	await(t, "the first body's memory is reserved", func() bool { return m.Status().Workspaces["a"] >= size })
 	second := dial(t, address)
 	_, _ = io.WriteString(second, post("a", 3*size/2)) // No byte of the body follows.
 	var resp fasthttp.Response
 	if err := resp.Read(bufio.NewReader(second)); err != nil || resp.StatusCode() != 503 || len(resp.Header.Peek("Retry-After")) == 0 {
-		t.Errorf("a body beyond the share got %d, %q, %v", resp.StatusCode(), resp.Header.Peek("Retry-After"), err)
+		t.Errorf("a body beyond the share got status %d, Retry-After %q, error %v", resp.StatusCode(), resp.Header.Peek("Retry-After"), err)
 	}
 	other := dial(t, address)
 	go func() { _, _ = io.WriteString(other, post("b", size)+strings.Repeat("x", size)) }()
 	if status, body := read(t, bufio.NewReader(other)); status != 200 || body != fmt.Sprint(size) {
-		t.Errorf("another workspace's body got %d %q", status, body)
+		t.Errorf("another workspace's body got status %d, body %q", status, body)
 	}
 	close(release)
 	if status, _ := read(t, bufio.NewReader(first)); status != 200 {
-		t.Errorf("the first got %d", status)
+		t.Errorf("the first body got status %d", status)
 	}
 	for _, c := range []net.Conn{first, second, other} {
 		_ = c.Close()
 	}
 	await(t, "no connection is left", func() bool { return s.Conns() == 0 })
 	if row := m.Status(); row.Held != 0 || len(row.Workspaces) != 0 {
-		t.Errorf("at rest: %+v", row)
+		t.Errorf("after all connections closed: %+v", row)
 	}
 }
 
-// TestRefusalReachesOneWhoSends checks that a caller who sends all of its body before it
-// reads gets the refusal, and not a reset.
-func TestRefusalReachesOneWhoSends(t *testing.T) {
-	h := &keyed{handlerFunc: echo}
+// TestRefusalReachesSendingCaller checks that a caller that sends all of its body before it reads
+// gets the refusal instead of a connection reset.
+func TestRefusalReachesSendingCaller(t *testing.T) {
+	h := &admittingHandler{handlerFunc: echo}
 	m := NewMemory(1<<20, metrics.NewRegistry())
 	_, address := listen(t, h, WithMemory(m))
 	var hold memory.Hold
 	if !m.Reserve(&hold, memory.Body, 1<<19).Granted {
-		t.Fatal("half of the bound was not taken")
+		t.Fatal("half of the bound could not be reserved")
 	}
 	conn := dial(t, address)
 	if _, err := io.WriteString(conn, post("a", 1<<19-connectionBytes)+strings.Repeat("x", 1<<17)); err != nil {
@@ -139,30 +139,31 @@
 	}
 }
 
-// TestBodyBesideItsOwnConnection checks that a body which fits into an empty account but
-// not beside its own connection is too large, and not one to come back with; and that one
-// without a length is taken where it fits, though its buffer doubles.
-func TestBodyBesideItsOwnConnection(t *testing.T) {
-	h := &keyed{handlerFunc: echo}
+// TestBodyLimitLeavesRoomForConnection checks that a body that fits into an empty account, but not
+// together with its own connection, is rejected as too large instead of being worth a retry;
+// and that a body of unknown length that fits is accepted although its buffer doubles.
+func TestBodyLimitLeavesRoomForConnection(t *testing.T) {
+	h := &admittingHandler{handlerFunc: echo}
 	_, address := listen(t, h, WithMemory(NewMemory(1<<20, metrics.NewRegistry())))
 	conn := dial(t, address)
 	_, _ = io.WriteString(conn, post("a", 1<<19))
 	if status, _ := read(t, bufio.NewReader(conn)); status != 413 {
-		t.Errorf("half of the bound got %d", status)
+		t.Errorf("a body of half the bound got status %d", status)
 	}
 	_, address = listen(t, h, WithMemory(NewMemory(1<<20, metrics.NewRegistry())))
 	conn = dial(t, address)
 	const size = 300 << 10
 	_, _ = fmt.Fprintf(conn, "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", size, strings.Repeat("x", size))
 	if status, _ := read(t, bufio.NewReader(conn)); status != 200 {
-		t.Errorf("a body of %d bytes without a length got %d", size, status)
+		t.Errorf("a body of %d bytes without a length got status %d", size, status)
 	}
 }
 
-// TestBodyOfNoLength checks that a body that tells no length is taken as it grows: what
-// fits arrives unchanged with the request behind it, and what does not is refused.
-func TestBodyOfNoLength(t *testing.T) {
-	h := &keyed{handlerFunc: echo}
+// TestBodyOfUnknownLength checks that memory for a body of unknown length is reserved as it grows:
+// a body that fits arrives unchanged, as does the next request, and one that does not fit is
+// refused.
+func TestBodyOfUnknownLength(t *testing.T) {
+	h := &admittingHandler{handlerFunc: echo}
 	m := NewMemory(4<<20, metrics.NewRegistry())
 	_, address := listen(t, h, WithMemory(m))
 	chunked := func(size int) string {
@@ -174,7 +175,7 @@
 		}
 		return text + "0\r\n\r\n"
 	}
-	for _, size := range []int{0, 1, firstBuffer - 1, firstBuffer, firstBuffer + 1, 300_000} {
+	for _, size := range []int{0, 1, initialBodyBuffer - 1, initialBodyBuffer, initialBodyBuffer + 1, 300_000} {
 		conn := dial(t, address)
 		go func() { _, _ = io.WriteString(conn, chunked(size)+"GET /next HTTP/1.1\r\nHost: h\r\n\r\n") }()
 		br := bufio.NewReader(conn)
@@ -182,13 +183,13 @@
 			t.Errorf("%d bytes in chunks: %d, %d bytes", size, status, len(got))
 		}
 		if status, got := read(t, br); status != 200 || got != "GET /next " {
-			t.Errorf("behind %d bytes in chunks: %d %q", size, status, got)
+			t.Errorf("request after %d bytes in chunks: %d %q", size, status, got)
 		}
 	}
 	var hold memory.Hold
 	hold.Workspace = "a"
 	if !m.Reserve(&hold, memory.Lag, 3<<19).Granted {
-		t.Fatal("nothing was taken")
+		t.Fatal("the memory could not be reserved")
 	}
 	conn := dial(t, address)
 	go func() { _, _ = io.WriteString(conn, chunked(2<<20)) }()
@@ -197,18 +198,18 @@
 	}
 }
 
-// TestSlowBodyEnds checks that a caller who sends a byte now and then gets 408 before the
-// time for bodies is over, that no handler saw its request, and that one who pauses but
-// keeps the pace is served.
-func TestSlowBodyEnds(t *testing.T) {
+// TestSlowSenderTimesOut checks that a caller that sends single bytes now and then gets 408 before
+// the body timeout, that the handler does not see its request, and that a caller that pauses but
+// keeps the minimum rate is served.
+func TestSlowSenderTimesOut(t *testing.T) {
 	var served atomic.Int64
-	h := &keyed{handlerFunc: func(_ context.Context, req *fasthttp.Request, a *ResponseWriter) {
+	h := &admittingHandler{handlerFunc: func(_ context.Context, req *fasthttp.Request, a *ResponseWriter) {
 		served.Add(1)
-		whole(a, fmt.Sprint(len(req.Body())))
+		writeText(a, fmt.Sprint(len(req.Body())))
 	}}
 	r := metrics.NewRegistry()
 	s, address := listen(t, h, WithMinRate(MinRate{Rate: 5 << 10, Window: time.Second}), WithRegistry(r))
-	s.SetLimits(impatient)
+	s.SetLimits(shortLimits)
 	slow := dial(t, address)
 	_, _ = io.WriteString(slow, post("a", 100_000))
 	stop := make(chan struct{})
@@ -224,10 +225,10 @@
 		}
 	}()
 	if status, _ := read(t, bufio.NewReader(slow)); status != fasthttp.StatusRequestTimeout || served.Load() != 0 {
-		t.Errorf("a byte now and then got %d, %d served", status, served.Load())
+		t.Errorf("a slow sender got status %d, %d requests were served", status, served.Load())
 	}
 	if n := metrics.GetOrRegisterCounter(`callers.slow{side="sends"}`, r).Count(); n != 1 {
-		t.Errorf("%d callers were counted as too slow", n)
+		t.Errorf("%d callers were counted as too slow, want 1", n)
 	}
 	steady := dial(t, address)
 	_, _ = io.WriteString(steady, post("a", 60_000))
@@ -238,31 +239,31 @@
 		}
 	}()
 	if status, _ := read(t, bufio.NewReader(steady)); status != 200 {
-		t.Errorf("a caller who keeps the pace got %d", status)
+		t.Errorf("a caller that keeps the minimum rate got status %d", status)
 	}
 }
 
-// TestContinueIsTakenBeforeTheBody checks that a caller has taken the interim answer that
-// it asked for before its request goes on: what is still written for it would meet what
-// the request sets.
-func TestContinueIsTakenBeforeTheBody(t *testing.T) {
+// TestContinueIsWrittenBeforeRequest checks that a requested "100 Continue" is written completely
+// before the handler runs. Otherwise bytes of it that are still buffered would be subject to the
+// settings of the response.
+func TestContinueIsWrittenBeforeRequest(t *testing.T) {
 	started := make(chan struct{})
 	s := NewServer(handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *ResponseWriter) {
 		close(started)
-		whole(a, "done")
+		writeText(a, "done")
 	}))
-	ours, theirs := net.Pipe() // It takes nothing by itself.
-	defer theirs.Close()
-	c := s.newConn(ours)
+	serverConn, clientConn := net.Pipe() // A pipe has no buffer.
+	defer clientConn.Close()
+	c := s.newConn(serverConn)
 	s.track(c, true)
-	go s.run(c)
-	_, _ = io.WriteString(theirs, "POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\nx")
+	go s.serveConn(c)
+	_, _ = io.WriteString(clientConn, "POST / HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\nx")
 	select {
 	case <-started:
-		t.Error("the request went on")
-	case <-time.After(50 * time.Millisecond): // A longer time finds no more.
+		t.Error("the handler ran before the interim response was read")
+	case <-time.After(50 * time.Millisecond): // A longer wait would not detect more.
 	}
-	br := bufio.NewReader(theirs)
+	br := bufio.NewReader(clientConn)
 	if line, err := br.ReadString('\n'); err != nil || !strings.Contains(line, "100") {
 		t.Errorf("got %q, %v", line, err)
 	}
@@ -272,7 +273,7 @@
 	}
 }
 
-// streamOf answers with pieces and tells when the handler is done.
+// streamOf responds with chunks and reports when the handler is done.
 func streamOf(pieces, size int, done chan<- error) handlerFunc {
 	return func(_ context.Context, _ *fasthttp.Request, a *ResponseWriter) {
 		err := a.WriteHeader(&fasthttp.Response{})
@@ -286,8 +287,8 @@
 	}
 }
 
-// lazy connects with a small window, so that the kernels keep little.
-func lazy(t *testing.T, address string) net.Conn {
+// dialSmallWindow connects with a small receive buffer, so that the kernel buffers little.
+func dialSmallWindow(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn := dial(t, address)
 	if err := conn.(*net.TCPConn).SetReadBuffer(32 << 10); err != nil {
@@ -296,14 +297,14 @@
 	return conn
 }
 
-// TestSlowReaderHoldsNobodyUp checks that an answer is taken from the handler while its
-// caller reads nothing, that the caller gets it whole when it reads, and that the next
-// request on the connection is served.
-func TestSlowReaderHoldsNobodyUp(t *testing.T) {
+// TestSlowReaderDoesNotBlockHandler checks that a response is accepted from the handler while the
+// caller reads nothing, that the caller gets all of it when it reads, and that the next request
+// on the connection is served.
+func TestSlowReaderDoesNotBlockHandler(t *testing.T) {
 	done := make(chan error, 2)
 	m := NewMemory(4<<20, metrics.NewRegistry())
 	s, address := listen(t, streamOf(300, 700, done), WithMemory(m), WithSocketBuffer(8<<10))
-	conn := lazy(t, address)
+	conn := dialSmallWindow(t, address)
 	br := bufio.NewReader(conn)
 	for range 2 {
 		_, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -312,32 +313,32 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-		case <-time.After(patience):
-			t.Fatal("the handler waits for its caller")
+		case <-time.After(testTimeout):
+			t.Fatal("the handler is blocked by its caller")
 		}
 		if m.Status().Causes["lag"] == 0 {
-			t.Error("nothing is held for a caller who has read nothing")
+			t.Error("no memory is reserved for a caller that has read nothing")
 		}
 		status, body := read(t, br)
 		if status != 200 || len(body) != 300*700 || body[700*27] != 'b' || strings.Count(body, "z") != 11*700 {
-			t.Errorf("the caller got %d and %d bytes", status, len(body))
+			t.Errorf("the caller got status %d and %d bytes", status, len(body))
 		}
 	}
 	_ = conn.Close()
 	await(t, "no connection is left", func() bool { return s.Conns() == 0 })
 	if row := m.Status(); row.Held != 0 {
-		t.Errorf("at rest: %+v", row)
+		t.Errorf("after all connections closed: %+v", row)
 	}
 }
 
-// TestReaderBelowThePaceIsCut checks that a caller who takes a byte now and then of a
-// long answer is cut, so that the handler ends, and that nothing is held for it then.
-func TestReaderBelowThePaceIsCut(t *testing.T) {
+// TestReaderBelowMinRateIsCut checks that a caller that reads single bytes of a long response is
+// disconnected, so that the handler ends, and that its memory is released.
+func TestReaderBelowMinRateIsCut(t *testing.T) {
 	done := make(chan error, 1)
 	r := metrics.NewRegistry()
 	m := NewMemory(8<<20, r)
-	s, address := listen(t, streamOf(20_000, 700, done), WithMemory(m), WithSocketBuffer(8<<10), WithMinRate(quick), WithRegistry(r))
-	conn := lazy(t, address)
+	s, address := listen(t, streamOf(20_000, 700, done), WithMemory(m), WithSocketBuffer(8<<10), WithMinRate(shortWindowRate), WithRegistry(r))
+	conn := dialSmallWindow(t, address)
 	_, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	ended := make(chan error, 1)
 	go func() {
@@ -352,45 +353,45 @@
 	}()
 	select {
 	case err := <-done:
-		if !errors.Is(err, errSlow) {
+		if !errors.Is(err, errTooSlow) {
 			t.Errorf("the handler ended with %v", err)
 		}
-	case <-time.After(patience):
-		t.Fatal("the handler waits for its caller")
+	case <-time.After(testTimeout):
+		t.Fatal("the handler is blocked by its caller")
 	}
 	await(t, "the connection is closed", func() bool { return s.Conns() == 0 })
 	if n := metrics.GetOrRegisterCounter(`callers.slow{side="reads"}`, r).Count(); n != 1 || m.Status().Held != 0 {
-		t.Errorf("%d callers were counted as too slow, at rest: %+v", n, m.Status())
+		t.Errorf("%d callers were counted as too slow, memory afterwards: %+v", n, m.Status())
 	}
 }
 
-// TestStoreWithoutRoom checks that an answer arrives whole where the account gives the
-// store nothing.
-func TestStoreWithoutRoom(t *testing.T) {
+// TestSendBufferWithoutMemory checks that a response arrives complete if no memory can be reserved
+// for the send buffer.
+func TestSendBufferWithoutMemory(t *testing.T) {
 	done := make(chan error, 1)
 	m := NewMemory(64<<10, metrics.NewRegistry())
 	_, address := listen(t, streamOf(300, 700, done), WithMemory(m), WithSocketBuffer(8<<10))
-	conn := lazy(t, address)
+	conn := dialSmallWindow(t, address)
 	_, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	if status, body := read(t, bufio.NewReader(conn)); status != 200 || len(body) != 300*700 {
-		t.Errorf("the caller got %d and %d bytes", status, len(body))
+		t.Errorf("the caller got status %d and %d bytes", status, len(body))
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 }
 
-// TestFloodLeavesRoom checks that connections which rest, and ones that sent half of
-// their headers, make room for a caller who asks, the oldest of those that rest first;
-// and that one whose request is under way stays.
-func TestFloodLeavesRoom(t *testing.T) {
+// TestFloodDoesNotBlockCallers checks that idle connections, and ones that sent half of their
+// headers, are evicted for a caller that sends a request, the longest idle first, and that a
+// connection with a request in progress is kept.
+func TestFloodDoesNotBlockCallers(t *testing.T) {
 	begun, release := make(chan struct{}), make(chan struct{})
 	s, address := listen(t, handlerFunc(func(_ context.Context, req *fasthttp.Request, a *ResponseWriter) {
 		if string(req.Header.RequestURI()) == "/wait" {
 			close(begun)
 			<-release
 		}
-		whole(a, "done")
+		writeText(a, "done")
 	}), WithMaxConnections(100))
 	busy := dial(t, address)
 	_, _ = io.WriteString(busy, "GET /wait HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -406,27 +407,26 @@
 		good := dial(t, address)
 		_, _ = io.WriteString(good, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 		if status, _ := read(t, bufio.NewReader(good)); status != 200 {
-			t.Fatalf("a caller beside %d others got %d", i, status)
+			t.Fatalf("a caller among %d others got status %d", i, status)
 		}
 	}
 	if n := s.Conns(); n > 100 {
-		t.Errorf("%d connections are open", n)
+		t.Errorf("%d connections are open, want at most 100", n)
 	}
 	close(release)
 	if status, _ := read(t, bufio.NewReader(busy)); status != 200 {
-		t.Errorf("the request under way got %d", status)
+		t.Errorf("the request in progress got status %d", status)
 	}
 }
 
-// TestNewConnectionIsNotTakenForOneThatRests checks that a connection which was just
-// accepted, and whose goroutine has not run yet, makes no room for others before those
-// that have rested for longer.
-func TestNewConnectionIsNotTakenForOneThatRests(t *testing.T) {
+// TestNewConnectionIsEvictedLast checks that a connection that was just accepted, and whose
+// goroutine has not run yet, is not evicted before those that have been idle for longer.
+func TestNewConnectionIsEvictedLast(t *testing.T) {
 	s := NewServer(echo, WithMaxConnections(evictBatch+1))
 	pipe := func() *Conn {
-		ours, theirs := net.Pipe()
-		t.Cleanup(func() { _, _ = ours.Close(), theirs.Close() })
-		c := s.newConn(ours)
+		serverConn, clientConn := net.Pipe()
+		t.Cleanup(func() { _, _ = serverConn.Close(), clientConn.Close() })
+		c := s.newConn(serverConn)
 		s.track(c, true)
 		return c
 	}
@@ -435,18 +435,18 @@
 	}
 	fresh := pipe()
 	s.evict()
-	if state, _ := fresh.waits(); state != connIdle || s.Conns() != 1 {
-		t.Errorf("the new connection is in state %d, and %d are left", state, s.Conns())
+	if state, _ := fresh.waitState(); state != connIdle || s.Conns() != 1 {
+		t.Errorf("the new connection is in state %d, and %d connections are left", state, s.Conns())
 	}
 }
 
-// TestManySlowCallers has 500 callers take a long answer a byte at a time, and 50 good
-// ones beside them. The memory in use stays bounded, and the good ones all get theirs.
+// TestManySlowCallers runs 500 callers that do not read their long responses next to 50 normal
+// ones. It checks that memory use stays bounded and that all normal callers get their responses.
 func TestManySlowCallers(t *testing.T) {
 	const slow, good, bound = 500, 50, 32 << 20
 	piece := []byte(strings.Repeat("p", 1000))
 	m := NewMemory(bound, metrics.NewRegistry())
-	_, address := listen(t, &keyed{handlerFunc: func(_ context.Context, req *fasthttp.Request, a *ResponseWriter) {
+	_, address := listen(t, &admittingHandler{handlerFunc: func(_ context.Context, req *fasthttp.Request, a *ResponseWriter) {
 		a.SetOwner("", string(req.Header.Peek("W")))
 		pieces := 100
 		if string(req.Header.Peek("W")) == "slow" {
@@ -468,10 +468,10 @@
 	}
 	before := inUse()
 	for range slow {
-		conn := lazy(t, address)
+		conn := dialSmallWindow(t, address)
 		_, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\nW: slow\r\n\r\n")
 	}
-	await(t, "the slow workspace holds its share", func() bool {
+	await(t, "the slow workspace reserves its share", func() bool {
 		row := m.Status()
 		return row.Workspaces["slow"] >= (row.Bound-row.Causes["connection"])/2-2*blockBytes
 	})
@@ -482,77 +482,77 @@
 			_, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\nW: good\r\n\r\n")
 			var resp fasthttp.Response
 			if err := resp.Read(bufio.NewReader(conn)); err != nil || len(resp.Body()) != 100*len(piece) {
-				t.Errorf("a good caller got %d bytes, %v", len(resp.Body()), err)
+				t.Errorf("a normal caller got %d bytes, error %v", len(resp.Body()), err)
 			}
 		})
 	}
 	callers.Wait()
-	// The callers' own ends are in this process too: a few KB each.
+	// The callers' ends of the connections are in this process too: a few KB each.
 	if used := inUse() - before; used > 2*bound {
-		t.Errorf("%d bytes are in use, of a bound of %d", used, bound)
+		t.Errorf("%d bytes are in use with a bound of %d", used, bound)
 	}
 	if held := m.Status().Held; held > bound {
-		t.Errorf("%d bytes are held, of a bound of %d", held, bound)
+		t.Errorf("%d bytes are reserved with a bound of %d", held, bound)
 	}
 }
 
-// TestAnswerEndsWithItsCallersTime checks that what a caller has not taken when its time
-// is over is not kept for it, however long the pace would allow.
-func TestAnswerEndsWithItsCallersTime(t *testing.T) {
+// TestResponseIsCutAtDeadline checks that data that a caller has not read at its deadline is
+// dropped, even if the minimum rate would allow more time.
+func TestResponseIsCutAtDeadline(t *testing.T) {
 	m := NewMemory(8<<20, metrics.NewRegistry())
 	r := metrics.NewRegistry()
 	s, address := listen(t, handlerFunc(func(_ context.Context, _ *fasthttp.Request, a *ResponseWriter) {
 		a.SetDeadline(time.Now().Add(time.Second))
-		whole(a, strings.Repeat("x", 200_000))
-	}), WithMemory(m), WithSocketBuffer(8<<10), WithMinRate(MinRate{Rate: 1, Window: 100 * patience}), WithRegistry(r))
-	conn := lazy(t, address)
+		writeText(a, strings.Repeat("x", 200_000))
+	}), WithMemory(m), WithSocketBuffer(8<<10), WithMinRate(MinRate{Rate: 1, Window: 100 * testTimeout}), WithRegistry(r))
+	conn := dialSmallWindow(t, address)
 	_, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-	await(t, "the answer is held", func() bool { return m.Status().Causes["lag"] > 0 })
+	await(t, "the response is buffered", func() bool { return m.Status().Causes["lag"] > 0 })
 	await(t, "the connection ends", func() bool { return s.Conns() == 0 })
 	if n := metrics.GetOrRegisterCounter(`callers.slow{side="reads"}`, r).Count(); n != 0 || m.Status().Held != 0 {
-		t.Errorf("%d callers were counted as too slow, at rest: %+v", n, m.Status())
+		t.Errorf("%d callers were counted as too slow, memory afterwards: %+v", n, m.Status())
 	}
 	var resp fasthttp.Response
 	if err := resp.Read(bufio.NewReader(conn)); err == nil || isTimeout(err) {
-		t.Errorf("the cut answer looks whole: %v", err)
+		t.Errorf("the cut response looks complete: %v", err)
 	}
 }
 
-// TestPressedReaderIsCutSooner checks that a caller who reads nothing is cut long before
-// its window ends where the account gives its send buffer no more, so that its server need not
-// wait; and that one who reads is not.
-func TestPressedReaderIsCutSooner(t *testing.T) {
+// TestSlowReaderWithoutMemoryIsCutSooner checks that a caller that reads nothing is disconnected
+// long before its window ends if no memory can be reserved for its send buffer, so that its
+// backend server is not blocked, and that a caller that reads is not disconnected.
+func TestSlowReaderWithoutMemoryIsCutSooner(t *testing.T) {
 	done := make(chan error, 1)
 	m := NewMemory(512<<10, metrics.NewRegistry())
-	s, address := listen(t, streamOf(2000, 700, done), WithMemory(m), WithSocketBuffer(8<<10), WithMinRate(MinRate{Rate: 4 << 10, Window: 100 * patience}))
+	s, address := listen(t, streamOf(2000, 700, done), WithMemory(m), WithSocketBuffer(8<<10), WithMinRate(MinRate{Rate: 4 << 10, Window: 100 * testTimeout}))
 	for _, reads := range []bool{false, true} {
-		conn := lazy(t, address)
+		conn := dialSmallWindow(t, address)
 		_, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 		if reads {
 			if status, body := read(t, bufio.NewReader(conn)); status != 200 || len(body) != 2000*700 {
-				t.Errorf("one who reads got %d and %d bytes", status, len(body))
+				t.Errorf("a caller that reads got status %d and %d bytes", status, len(body))
 			}
 		}
 		select {
 		case err := <-done:
-			if errors.Is(err, errSlow) == reads {
+			if errors.Is(err, errTooSlow) == reads {
 				t.Errorf("the caller reads: %v, its handler ended with %v", reads, err)
 			}
-		case <-time.After(patience):
-			t.Fatal("the handler waits for its caller")
+		case <-time.After(testTimeout):
+			t.Fatal("the handler is blocked by its caller")
 		}
 		_ = conn.Close()
 		await(t, "the connection ends", func() bool { return s.Conns() == 0 })
 		if held := m.Status().Held; held != 0 {
-			t.Errorf("at rest %d bytes are held", held)
+			t.Errorf("%d bytes are reserved after the connection ended", held)
 		}
 	}
 }
 
-// TestCrowdIsRefused checks that a connection beyond the bound is closed unread where all
-// others have requests under way, and that there is room again behind them; and the same
-// by memory.
-func TestCrowdIsRefused(t *testing.T) {
+// TestConnectionsBeyondLimitAreRefused checks that a connection beyond the limit is closed unread if
+// all others have requests in progress, and that these are still served, with a limit on
+// connections and with one on memory.
+func TestConnectionsBeyondLimitAreRefused(t *testing.T) {
 	for name, option := range map[string]Option{
 		"descriptors": WithMaxConnections(2),
 		"memory":      WithMemory(NewMemory(4*connectionBytes, metrics.NewRegistry())),
@@ -563,7 +563,7 @@
 			begun <- struct{}{}
 			<-release
 			a.CloseConnection()
-			whole(a, "done")
+			writeText(a, "done")
 		}), option, WithRegistry(r))
 		var conns []net.Conn
 		for range 2 {
@@ -573,15 +573,15 @@
 			conns = append(conns, conn)
 		}
 		if _, err := dial(t, address).Read(make([]byte, 1)); err == nil || isTimeout(err) {
-			t.Errorf("%s: a third connection got %v", name, err)
+			t.Errorf("%s: read from a third connection: %v", name, err)
 		}
 		if n := metrics.GetOrRegisterCounter("connections.refused", r).Count(); n != 1 {
-			t.Errorf("%s: %d connections were counted as refused", name, n)
+			t.Errorf("%s: %d connections were counted as refused, want 1", name, n)
 		}
 		close(release)
 		for _, conn := range conns {
 			if status, _ := read(t, bufio.NewReader(conn)); status != 200 {
-				t.Errorf("%s: one under way got %d", name, status)
+				t.Errorf("%s: a request in progress got status %d", name, status)
 			}
 		}
 	}
--- a/transport/caller/pace.go
+++ b/transport/caller/pace.go
@@ -6,59 +6,58 @@
 	"github.com/weldstream/weldstream/internal/tcp"
 )
 
-// MinRate is the least rate that callers are held to while they send a body or take an
-// answer: bytes over a window, so that a pause is allowed and a byte now and then is
-// not enough.
+// MinRate is the minimum rate at which callers must send a body or read a response. It is
+// checked over a window, so that pauses are allowed but a trickle of bytes is not.
 type MinRate struct {
-	Rate   int           // Rate is in bytes a second; 0 asks for one byte in each window.
-	Window time.Duration // Window is the time over which the rate holds.
+	Rate   int           // Rate is in bytes per second; 0 requires one byte per window.
+	Window time.Duration // Window is the time over which the rate is checked.
 }
 
-// DefaultMinRate is far below what any caller needs who means to go on: the slowest links
-// in use carry ten times the rate. The window is longer than a caller pauses who waits
-// for its disk or for a lost packet to be repeated several times.
+// DefaultMinRate is far below the rate of any cooperative caller: the slowest links in use carry
+// ten times as much. The window is longer than the pause of a caller that waits for its disk or
+// for several retransmissions of a lost packet.
 var DefaultMinRate = MinRate{Rate: defaultRate, Window: defaultWindow}
 
 const (
-	defaultRate   = 1 << 10 // in bytes a second
+	defaultRate   = 1 << 10 // in bytes per second
 	defaultWindow = 15 * time.Second
 )
 
-// need is how many bytes each window has to bring.
-func (p MinRate) need() int { return max(1, int(float64(p.Rate)*p.Window.Seconds())) }
+// minBytes is the number of bytes that must be transferred in each window.
+func (p MinRate) minBytes() int { return max(1, int(float64(p.Rate)*p.Window.Seconds())) }
 
-// window is one direction of a connection, held to a pace.
-type window struct {
-	need int
-	time time.Duration
-	end  time.Time
-	got  int
+// rateWindow checks the minimum rate of one direction of a connection.
+type rateWindow struct {
+	minBytes    int
+	length      time.Duration
+	end         time.Time
+	transferred int
 
-	queued int // queued are the bytes that the kernel kept at its begin; for answers.
+	queued int // queued is the kernel's send queue in bytes at the start of the window; for responses.
 }
 
-// begin starts the first window.
-func (w *window) begin(p MinRate, now time.Time) {
-	*w = window{need: p.need(), time: p.Window, end: now.Add(p.Window)}
+// start starts the first window.
+func (w *rateWindow) start(p MinRate, now time.Time) {
+	*w = rateWindow{minBytes: p.minBytes(), length: p.Window, end: now.Add(p.Window)}
 }
 
-// restartIfFrozen starts the window anew if the process was frozen at its end, and reports
-// whether it was: such a window says nothing of the caller.
-func (w *window) restartIfFrozen(now time.Time) bool {
+// restartIfFrozen restarts the window if the process was suspended when it ended, and reports
+// whether it did: such a window says nothing about the caller.
+func (w *rateWindow) restartIfFrozen(now time.Time) bool {
 	if !tcp.Late(w.end, now) {
 		return false
 	}
-	w.got, w.end = 0, now.Add(w.time)
+	w.transferred, w.end = 0, now.Add(w.length)
 	return true
 }
 
-// add counts bytes, and reports whether they filled the window, so that the next one
-// has begun.
-func (w *window) add(n int, now func() time.Time) bool {
-	w.got += n
-	if w.got < w.need {
+// add counts transferred bytes. It reports whether they reached the minimum, in which case the
+// next window has started.
+func (w *rateWindow) add(n int, now func() time.Time) bool {
+	w.transferred += n
+	if w.transferred < w.minBytes {
 		return false
 	}
-	w.got, w.end = 0, now().Add(w.time)
+	w.transferred, w.end = 0, now().Add(w.length)
 	return true
 }
--- a/transport/caller/piece_test.go
+++ b/transport/caller/piece_test.go
@@ -9,9 +9,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// BenchmarkPiece tells what it costs to pass a piece of a stream on to a caller that
-// keeps up.
-func BenchmarkPiece(b *testing.B) {
+// BenchmarkWriteChunk measures the cost of writing a chunk of a stream to a caller that keeps up.
+func BenchmarkWriteChunk(b *testing.B) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/transport/caller/queued_linux.go
+++ b/transport/caller/queued_linux.go
@@ -2,9 +2,9 @@
 
 import "golang.org/x/sys/unix"
 
-// queued returns how many bytes the kernel keeps that the caller has not acknowledged;
-// false where that is not known.
-func (w *nonblocking) queued() (bytes int, known bool) {
+// queued returns the number of bytes in the kernel's send queue that the caller has not
+// acknowledged, and whether that number is known.
+func (w *nonblockingWriter) queued() (bytes int, known bool) {
 	if w.raw == nil {
 		return 0, false
 	}
--- a/transport/caller/queued_other.go
+++ b/transport/caller/queued_other.go
@@ -2,5 +2,5 @@
 
 package caller
 
-// queued tells nothing: what the kernel takes stands for what the caller takes.
+// queued returns no value: bytes accepted by the kernel count as received by the caller.
 func (*nonblocking) queued() (bytes int, known bool) { return 0, false }
--- a/transport/caller/send_buffer.go
+++ b/transport/caller/send_buffer.go
@@ -11,52 +11,53 @@
 )
 
 const (
-	// blockBytes are taken from the account at a time: most pieces of a stream
-	// are a few hundred bytes, and need not each ask for room.
+	// blockBytes is the size of a reservation: most chunks of a stream are a few hundred bytes
+	// and need no reservation each.
 	blockBytes = 4 << 10
-	// maxBlocks bounds what waits of one answer, in blocks: 256 KB are the events of several
-	// thousand tokens, more than nearly all answers have.
+	// maxBlocks bounds the buffered blocks of one response: 256 KB hold the events of several
+	// thousand tokens, more than nearly all responses have.
 	maxBlocks = 64
 )
 
-// errLate ends an answer whose caller waits for it no longer.
-var errLate = eris.New("the caller's time is over")
+// errDeadlinePassed ends a response whose caller no longer waits for it.
+var errDeadlinePassed = eris.New("the caller's deadline passed")
 
-// errSlow ends an answer whose caller takes less of it than the pace asks for.
-var errSlow = eris.New("the caller takes its answer too slowly")
+// errTooSlow ends a response that the caller reads below the minimum rate.
+var errTooSlow = eris.New("the caller reads the response below the minimum rate")
 
-// sendBuffer writes answers to a caller and decouples the server from a slow one. What the
-// kernel takes without waiting is written directly; the rest waits in blocks, which a
-// goroutine writes and ends with the last. So the server is read at its own pace, and a
-// caller that keeps up costs neither copy nor goroutine. A full buffer is backpressure:
-// Write waits, and the server is read as fast as the caller reads.
+// sendBuffer writes responses to a caller and decouples the backend server from a slow caller.
+// Data that the kernel accepts without blocking is written directly. The rest is buffered in
+// blocks, which a goroutine writes; it ends after the last block. The server's response is thus
+// read at the server's rate, and a caller that keeps up costs neither a copy nor a goroutine. A
+// full buffer applies backpressure: Write blocks, and the server's response is read as fast as
+// the caller reads.
 type sendBuffer struct {
-	conn   net.Conn
-	memory *Memory
-	hold   *memory.Hold
-	pace   MinRate
-	slow   func() // slow is called when the caller is cut for its rate.
-	socket *nonblocking
-	until  time.Time // until is how long the caller waits for the answer under way; zero where that is not known.
+	conn     net.Conn
+	memory   *Memory
+	hold     *memory.Hold
+	minRate  MinRate
+	onSlow   func() // onSlow is called when the caller is disconnected for its rate.
+	socket   *nonblockingWriter
+	deadline time.Time // deadline is when the caller stops waiting for the current response; zero if unknown.
 
-	mu       sync.Mutex // mu guards all below.
-	changed  sync.Cond  // changed is broadcast when a block was written, or none will be.
-	blocks   [][]byte   // blocks wait, the first of them longest.
-	written  int        // written counts the blocks that were written.
-	taken    int        // taken are the blocks in the account, one that is being written included.
-	draining bool       // draining says that the goroutine runs.
-	err      error      // err is why nothing is written any more.
+	mu             sync.Mutex // mu guards all below.
+	changed        sync.Cond  // changed is broadcast when a block was written or no more will be.
+	blocks         [][]byte   // blocks are the buffered blocks in order.
+	writtenBlocks  int        // writtenBlocks counts the blocks that were written.
+	reservedBlocks int        // reservedBlocks counts the blocks with reserved memory, including one being written.
+	draining       bool       // draining says that the drain goroutine is running.
+	err            error      // err is the reason why nothing more is written.
 }
 
-// newSendBuffer returns a buffer whose blocks are taken from an account for a hold.
+// newSendBuffer returns a buffer that reserves its blocks from m and charges them to h.
 func newSendBuffer(conn net.Conn, m *Memory, h *memory.Hold, p MinRate, slow func()) *sendBuffer {
-	s := &sendBuffer{conn: conn, memory: m, hold: h, pace: p, slow: slow, socket: newNonblocking(conn)}
+	s := &sendBuffer{conn: conn, memory: m, hold: h, minRate: p, onSlow: slow, socket: newNonblockingWriter(conn)}
 	s.changed.L = &s.mu
 	return s
 }
 
-// Write implements io.Writer. It waits only where the buffer is full or the account
-// has no room: then the server is read as fast as the caller takes it.
+// Write implements io.Writer. It blocks only if the buffer is full or no memory can be reserved;
+// the server's response is then read as fast as the caller reads.
 func (s *sendBuffer) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +74,7 @@
 		done = n
 	}
 	for done < len(p) {
-		n, err := s.buffer(p[done:])
+		n, err := s.enqueue(p[done:])
 		if err != nil {
 			return done, err
 		}
@@ -82,9 +83,9 @@
 	return done, nil
 }
 
-// buffer puts the front of p into the blocks, and returns how much; 0 after a wait for
-// room. It needs s.mu.
-func (s *sendBuffer) buffer(p []byte) (int, error) {
+// enqueue appends a prefix of p to the blocks and returns its length, which is 0 after waiting
+// for space. The caller must hold s.mu.
+func (s *sendBuffer) enqueue(p []byte) (int, error) {
 	if s.err != nil {
 		return 0, s.err
 	}
@@ -95,9 +96,9 @@
 			return room, nil
 		}
 	}
-	full := s.taken >= maxBlocks
+	full := s.reservedBlocks >= maxBlocks
 	if !full && s.memory.Reserve(s.hold, memory.Lag, blockBytes).Granted {
-		s.taken++
+		s.reservedBlocks++
 		n := min(blockBytes, len(p))
 		s.blocks = append(s.blocks, append(make([]byte, 0, blockBytes), p[:n]...))
 		s.startDrain()
@@ -111,51 +112,51 @@
 		s.waitForBlock()
 		return 0, nil
 	}
-	return s.direct(p)
+	return s.writeDirect(p)
 }
 
-// paceWhenFull is the pace while the account has no room: the same rate, over a window no
-// longer than a block takes at it. The server waits for the caller meanwhile, and a slow
-// one is not to occupy it for as long as a whole window.
-func (s *sendBuffer) paceWhenFull() MinRate {
-	p := s.pace
+// minRateWhenFull returns the minimum rate while no memory can be reserved: the same rate over a
+// window no longer than a block takes at that rate. The server waits for the caller meanwhile
+// and must not be blocked by a slow one for a full window.
+func (s *sendBuffer) minRateWhenFull() MinRate {
+	p := s.minRate
 	if p.Rate > 0 {
 		p.Window = min(p.Window, blockBytes*time.Second/time.Duration(p.Rate))
 	}
 	return p
 }
 
-// waitForBlock waits until a block was written, and cuts the caller if that takes longer
-// than it may. It needs s.mu.
+// waitForBlock waits until a block was written and disconnects the caller if that takes longer
+// than the minimum rate allows. The caller must hold s.mu.
 func (s *sendBuffer) waitForBlock() {
-	before, waits := s.written, true
-	w := s.window(s.paceWhenFull())
+	before, waiting := s.writtenBlocks, true
+	w := s.newWindow(s.minRateWhenFull())
 	var timer *time.Timer
-	timer = time.AfterFunc(w.time, func() {
+	timer = time.AfterFunc(w.length, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if !waits || s.written != before || s.err != nil {
+		if !waiting || s.writtenBlocks != before || s.err != nil {
 			return
 		}
-		if w.restartIfFrozen(time.Now()) || s.acknowledged(&w) {
-			timer.Reset(w.time)
+		if w.restartIfFrozen(time.Now()) || s.restartIfAcknowledged(&w) {
+			timer.Reset(w.length)
 			return
 		}
-		s.err = errSlow
-		s.slow()
-		_ = s.conn.Close() // The write that waits ends with it.
+		s.err = errTooSlow
+		s.onSlow()
+		_ = s.conn.Close() // This ends the blocked write.
 	})
 	s.changed.Wait()
-	waits = false
+	waiting = false
 	timer.Stop()
 }
 
-// direct writes p while nothing is buffered and the account has no room for a block. It
-// needs s.mu, and lets go of it meanwhile.
-func (s *sendBuffer) direct(p []byte) (int, error) {
-	w := s.window(s.paceWhenFull())
+// writeDirect writes p if nothing is buffered and no memory can be reserved for a block. The
+// caller must hold s.mu, which is unlocked during the write.
+func (s *sendBuffer) writeDirect(p []byte) (int, error) {
+	w := s.newWindow(s.minRateWhenFull())
 	s.mu.Unlock()
-	err := s.write(p, &w)
+	err := s.writeAtMinRate(p, &w)
 	s.mu.Lock()
 	if err != nil {
 		s.err = err
@@ -164,7 +165,8 @@
 	return len(p), nil
 }
 
-// startDrain starts the goroutine that writes the blocks, unless it runs. It needs s.mu.
+// startDrain starts the goroutine that writes the blocks unless it is running. The caller must
+// hold s.mu.
 func (s *sendBuffer) startDrain() {
 	if s.draining {
 		return
@@ -173,22 +175,22 @@
 	go s.drain()
 }
 
-// drain writes blocks until none is left.
+// drain writes blocks until none are left.
 func (s *sendBuffer) drain() {
-	w := s.window(s.pace)
+	w := s.newWindow(s.minRate)
 	for {
-		block := s.next()
+		block := s.nextBlock()
 		if block == nil {
 			return
 		}
-		err := s.write(block, &w)
+		err := s.writeAtMinRate(block, &w)
 		s.memory.Release(s.hold, memory.Lag, blockBytes)
 		s.blockDone(err)
 	}
 }
 
-// next returns the block to be written now; nil, behind the last.
-func (s *sendBuffer) next() []byte {
+// nextBlock returns the next block to write, or nil if there is none.
+func (s *sendBuffer) nextBlock() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.blocks) == 0 {
@@ -202,49 +204,49 @@
 	return block
 }
 
-// blockDone notes what became of a block. After an error no other is written.
+// blockDone records that a block was written. After an error, the remaining blocks are dropped.
 func (s *sendBuffer) blockDone(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.taken--
-	s.written++
+	s.reservedBlocks--
+	s.writtenBlocks++
 	if err != nil {
 		if s.err == nil {
 			s.err = err
 		}
 		s.memory.Release(s.hold, memory.Lag, len(s.blocks)*blockBytes)
-		s.taken -= len(s.blocks)
+		s.reservedBlocks -= len(s.blocks)
 		s.blocks = nil
 	}
 	s.changed.Broadcast()
 }
 
-// window begins a window of a pace.
-func (s *sendBuffer) window(p MinRate) window {
-	var w window
-	w.begin(p, time.Now())
+// newWindow starts a window of a minimum rate.
+func (s *sendBuffer) newWindow(p MinRate) rateWindow {
+	var w rateWindow
+	w.start(p, time.Now())
 	w.queued, _ = s.socket.queued()
 	return w
 }
 
-// acknowledged reports whether the caller has acknowledged what a window asks for, and begins the
-// next one then. A kernel makes room in steps of a third of what it keeps, up to 40 KB,
-// for which a caller well above the pace takes longer than a window.
-func (s *sendBuffer) acknowledged(w *window) bool {
+// restartIfAcknowledged reports whether the caller has acknowledged the minimum of a window, and
+// starts the next window in that case. A kernel frees its send buffer in steps of a third of its
+// size, up to 40 KB, for which a caller well above the minimum rate may need longer than a window.
+func (s *sendBuffer) restartIfAcknowledged(w *rateWindow) bool {
 	queued, known := s.socket.queued()
-	if !known || w.queued+w.got-queued < w.need {
+	if !known || w.queued+w.transferred-queued < w.minBytes {
 		return false
 	}
-	w.got, w.end, w.queued = 0, time.Now().Add(w.time), queued
+	w.transferred, w.end, w.queued = 0, time.Now().Add(w.length), queued
 	return true
 }
 
-// write writes p, as long as each window brings what the pace asks for.
-func (s *sendBuffer) write(p []byte, w *window) error {
+// writeAtMinRate writes p and fails if a window ends below the minimum rate.
+func (s *sendBuffer) writeAtMinRate(p []byte, w *rateWindow) error {
 	for len(p) > 0 {
-		end, last := w.end, !s.until.IsZero() && s.until.Before(w.end)
+		end, last := w.end, !s.deadline.IsZero() && s.deadline.Before(w.end)
 		if last {
-			end = s.until
+			end = s.deadline
 		}
 		if err := s.conn.SetWriteDeadline(end); err != nil {
 			return err
@@ -259,17 +261,17 @@
 			return err
 		}
 		if err != nil && last {
-			return errLate
+			return errDeadlinePassed
 		}
-		if err != nil && !next && !w.restartIfFrozen(time.Now()) && !s.acknowledged(w) {
-			s.slow()
-			return errSlow
+		if err != nil && !next && !w.restartIfFrozen(time.Now()) && !s.restartIfAcknowledged(w) {
+			s.onSlow()
+			return errTooSlow
 		}
 	}
-	return s.conn.SetWriteDeadline(time.Time{}) // A write without a wait looks at it too.
+	return s.conn.SetWriteDeadline(time.Time{}) // Nonblocking writes check the deadline too.
 }
 
-// awaitWritten returns when all is written, or nothing more will be.
+// awaitWritten returns when everything is written, or nothing more will be.
 func (s *sendBuffer) awaitWritten() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/transport/caller/steady_linux_test.go
+++ b/transport/caller/steady_linux_test.go
@@ -12,12 +12,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestSteadyReaderIsNotCut checks that a caller who takes its answer at four times the
-// pace is not cut, though its kernel tells of room only in steps that are longer than
-// a window: with room in the send buffer, and while the account gives no more.
+// TestSteadyReaderIsNotCut checks that a caller that reads at four times the minimum rate is not
+// disconnected although its kernel opens the receive window in steps that take longer than a
+// rate window: with memory for the send buffer, and without.
 func TestSteadyReaderIsNotCut(t *testing.T) {
 	const rate, size = 4 << 10, 150_000
-	usualPackets := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
+	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
 			_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_MAXSEG, 1460)
 			_ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 8<<10)
@@ -29,7 +29,7 @@
 			done := make(chan error, 1)
 			_, address := listen(t, streamOf(size/500, 500, done), WithMemory(NewMemory(bound, metrics.NewRegistry())), WithSocketBuffer(32<<10),
 				WithMinRate(MinRate{Rate: rate, Window: time.Second}))
-			conn, err := usualPackets.Dial("tcp", address)
+			conn, err := dialer.Dial("tcp", address)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -39,7 +39,7 @@
 			for got := 0; got < size; {
 				n, err := io.ReadFull(conn, buf)
 				if got += n; err != nil {
-					t.Fatalf("cut after %d bytes: %v, the handler ended with %v", got, err, <-done)
+					t.Fatalf("disconnected after %d bytes: %v, the handler ended with %v", got, err, <-done)
 				}
 				time.Sleep(20 * time.Millisecond) // This is the caller's rate.
 			}
