--- a/coordination/fleet/experiment_test.go
+++ b/coordination/fleet/experiment_test.go
@@ -12,45 +12,45 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// This file plays a day's first six hours on a small, seeded market: four
-// failure domains, prices that wander, starts that are refused for a while,
-// domains whose reclaimable instances are all taken back on 30 s of notice, and
-// one that fails without any. The table is in testdata/experiment.golden and in
-// docs/design/0009-fleet.md.
+// This experiment simulates the first six hours of a day on a small, seeded market:
+// four failure domains with random-walk prices, orders that are refused for a while,
+// domains that reclaim all their reclaimable instances with 30 s notice, and one
+// domain that fails without notice. The table is in testdata/experiment.golden and
+// in docs/design/0009-fleet.md.
 
 const (
 	marketStep    = 5 * time.Second
 	marketSpan    = 6 * time.Hour
 	marketDomains = 4
 	marketSlots   = 8
-	bootSteps     = 12   // a minute from the order to the first report
+	bootSteps     = 12   // one minute from the order to the first report
 	loadSteps     = 6    // half a minute to load weights
 	noticeSteps   = 6    // from the notice to the reclaim
-	lossAt        = 2160 // the third hour: a domain fails
+	lossAt        = 2160 // a domain fails after three hours
 	lossLasts     = 180
-	answerTokens  = 3000 // tokens of a request whose cache is lost, prompt and answer
+	answerTokens  = 3000 // prompt and answer tokens recomputed for a request whose KV cache is lost
 )
 
-// box is an instance of the fake market.
-type box struct {
+// marketInstance is an instance of the simulated market.
+type marketInstance struct {
 	Instance
-	bootAt  int // bootAt is the step at which it reports.
-	loadAt  int // loadAt is the step at which its weights are loaded; 0 before it loads.
-	goneAt  int // goneAt is the step at which it is reclaimed; 0 for never.
-	running float64
+	bootAt    int // bootAt is the step of its first report.
+	loadAt    int // loadAt is the step at which its weights are loaded; 0 if loading has not started.
+	reclaimAt int // reclaimAt is the step at which it is reclaimed; 0 if it is not.
+	running   float64
 }
 
 type market struct {
-	rnd     *rand.Rand
-	step    int
-	boxes   []*box
-	price   [marketDomains]float64
-	shut    [marketDomains]int // shut is until when reclaimable starts are refused.
-	down    [marketDomains]int // down is until when nothing starts.
-	nextID  int
-	score   marketScore
-	windows []float64 // windows are the parts served, by ten minutes.
-	asked   []float64
+	rnd          *rand.Rand
+	step         int
+	instances    []*marketInstance
+	price        [marketDomains]float64
+	refusesUntil [marketDomains]int // refusesUntil is until when reclaimable orders are refused.
+	downUntil    [marketDomains]int // downUntil is until when all orders are refused.
+	nextID       int
+	score        marketScore
+	served       []float64 // served are the slots served, by ten-minute window.
+	demanded     []float64
 }
 
 type marketScore struct {
@@ -64,7 +64,7 @@
 		m.price[d] = 0.30 + 0.05*float64(d)
 	}
 	n := int(marketSpan / (10 * time.Minute))
-	m.windows, m.asked = make([]float64, n), make([]float64, n)
+	m.served, m.demanded = make([]float64, n), make([]float64, n)
 	return m
 }
 
@@ -72,43 +72,43 @@
 
 func domainName(d int) string { return fmt.Sprint("zone-", d) }
 
-// wanted is the demand in slots: a quiet night, the morning's docket, the day.
-func (m *market) wanted() float64 {
+// demand returns the demand in slots: low at night, with a morning peak.
+func (m *market) demand() float64 {
 	h := (time.Duration(m.step) * marketStep).Hours()
 	morning := (h - 2.5) / 0.8
 	w := 20 + 44*math.Exp(-morning*morning) + 3*math.Sin(h*9)
 	return max(4, w)
 }
 
-// change moves prices and closes and opens domains.
+// change moves prices, closes offers, reclaims instances and fails a domain.
 func (m *market) change() {
 	for d := range marketDomains {
 		m.price[d] = min(0.7, max(0.2, m.price[d]+0.004*m.rnd.NormFloat64()))
 		if m.rnd.Float64() < marketStep.Minutes()/30 {
-			m.shut[d] = max(m.shut[d], m.step+int(m.rnd.ExpFloat64()*60))
+			m.refusesUntil[d] = max(m.refusesUntil[d], m.step+int(m.rnd.ExpFloat64()*60))
 		}
 		if m.rnd.Float64() < marketStep.Hours()/2 {
 			m.reclaim(d)
 		}
 	}
 	if m.step == lossAt {
-		m.lose(m.rnd.IntN(marketDomains))
+		m.failDomain(m.rnd.IntN(marketDomains))
 	}
 }
 
 func (m *market) reclaim(d int) {
-	m.shut[d] = m.step + 120
-	for _, b := range m.boxes {
-		if b.Domain == domainName(d) && b.Market == Reclaimable && b.goneAt == 0 {
-			b.goneAt, b.Leaving = m.step+noticeSteps, true
+	m.refusesUntil[d] = m.step + 120
+	for _, b := range m.instances {
+		if b.Domain == domainName(d) && b.Market == Reclaimable && b.reclaimAt == 0 {
+			b.reclaimAt, b.Leaving = m.step+noticeSteps, true
 		}
 	}
 }
 
-// lose takes a domain without notice: what ran there is computed again.
-func (m *market) lose(d int) {
-	m.down[d], m.shut[d] = m.step+lossLasts, m.step+lossLasts
-	m.boxes = slices.DeleteFunc(m.boxes, func(b *box) bool {
+// failDomain fails a domain without notice: its requests are recomputed.
+func (m *market) failDomain(d int) {
+	m.downUntil[d], m.refusesUntil[d] = m.step+lossLasts, m.step+lossLasts
+	m.instances = slices.DeleteFunc(m.instances, func(b *marketInstance) bool {
 		if b.Domain == domainName(d) {
 			m.score.tokens += b.running * answerTokens
 		}
@@ -127,25 +127,25 @@
 }
 
 // start buys an instance unless the market refuses.
-func (m *market) start(domain string, how Market) *box {
+func (m *market) start(domain string, how Market) *marketInstance {
 	d := int(domain[len(domain)-1] - '0')
-	refused := m.step < m.down[d] || (how == Reclaimable && m.step < m.shut[d]) || (how == OnDemand && m.rnd.IntN(20) == 0)
+	refused := m.step < m.downUntil[d] || (how == Reclaimable && m.step < m.refusesUntil[d]) || (how == OnDemand && m.rnd.IntN(20) == 0)
 	if refused {
 		m.score.refusals++
 		return nil
 	}
 	m.score.starts++
 	m.nextID++
-	b := &box{bootAt: m.step + bootSteps}
+	b := &marketInstance{bootAt: m.step + bootSteps}
 	b.ID, b.Domain, b.Class, b.Market = fmt.Sprintf("i%04d", m.nextID), domain, "gpu", how
-	m.boxes = append(m.boxes, b)
+	m.instances = append(m.instances, b)
 	return b
 }
 
-// serve advances the instances by one step and adds up what was served.
+// serve advances the instances by one step and adds up the served demand.
 func (m *market) serve() {
-	var ready []*box
-	for _, b := range m.boxes {
+	var ready []*marketInstance
+	for _, b := range m.instances {
 		b.Ready = m.step >= b.bootAt
 		if b.loadAt > 0 && m.step >= b.loadAt {
 			b.Models = []string{"m"}
@@ -159,25 +159,25 @@
 			ready = append(ready, b)
 		}
 	}
-	wanted := m.wanted()
+	wanted := m.demand()
 	capacity := float64(len(ready) * marketSlots)
 	served := min(wanted, capacity)
 	for _, b := range ready {
 		b.running = served / float64(len(ready))
 		b.Running = int(b.running)
 	}
-	m.depart(wanted, capacity)
+	m.drain(wanted, capacity)
 	m.score.served += served * marketStep.Hours()
 	m.score.wanted += wanted * marketStep.Hours()
-	m.windows[m.step/120] += served
-	m.asked[m.step/120] += wanted
+	m.served[m.step/120] += served
+	m.demanded[m.step/120] += wanted
 }
 
-// depart has leaving instances move what they run to where there is room; what
-// they still have when they are taken is computed again.
-func (m *market) depart(wanted, capacity float64) {
+// drain moves the requests of leaving instances to spare capacity. Those still there
+// when an instance is reclaimed are recomputed.
+func (m *market) drain(wanted, capacity float64) {
 	room := max(0, capacity-wanted)
-	m.boxes = slices.DeleteFunc(m.boxes, func(b *box) bool {
+	m.instances = slices.DeleteFunc(m.instances, func(b *marketInstance) bool {
 		if !b.Leaving {
 			return false
 		}
@@ -185,7 +185,7 @@
 		b.running -= moved
 		b.Running = int(math.Ceil(b.running))
 		room -= moved
-		if b.goneAt > 0 && m.step >= b.goneAt {
+		if b.reclaimAt > 0 && m.step >= b.reclaimAt {
 			m.score.tokens += b.running * answerTokens
 			return true
 		}
@@ -193,34 +193,35 @@
 	})
 }
 
-// way runs the fleet.
-type way func(m *market) func()
+// strategy returns the function that manages the fleet of a market in each step.
+type strategy func(m *market) func()
 
-// planned runs the planner. What it is told of the market may be changed.
-func planned(cfg Config, see func([]Offer) []Offer, as func(Market) Market) way {
+// plannerStrategy runs the planner. The offers it sees and the markets it buys on can
+// be mapped to others.
+func plannerStrategy(cfg Config, mapOffers func([]Offer) []Offer, mapMarket func(Market) Market) strategy {
 	return func(m *market) func() {
 		p := New(cfg)
 		return func() {
-			v := ViewMsg{Now: marketTime(m.step), Offers: see(m.offers()), Classes: []Class{{Name: "gpu", Slots: marketSlots, Models: []string{"m"}}}}
-			for _, b := range m.boxes {
+			v := ViewMsg{Now: marketTime(m.step), Offers: mapOffers(m.offers()), Classes: []Class{{Name: "gpu", Slots: marketSlots, Models: []string{"m"}}}}
+			for _, b := range m.instances {
 				in := b.Instance
-				if as(Reclaimable) == OnDemand {
-					in.Market = Reclaimable // As the offers are shown.
+				if mapMarket(Reclaimable) == OnDemand {
+					in.Market = Reclaimable // Consistent with the mapped offers.
 				}
 				v.Instances = append(v.Instances, in)
 			}
-			v.Needs = []Need{{Model: "m", Slots: int(math.Ceil(m.wanted())), Floor: 16}}
+			v.Needs = []Need{{Model: "m", Slots: int(math.Ceil(m.demand())), Floor: 16}}
 			for _, cmd := range p.Update(v) {
-				m.carryOut(p, cmd, as)
+				m.execute(p, cmd, mapMarket)
 			}
 		}
 	}
 }
 
-func (m *market) carryOut(p *Planner, cmd Cmd, as func(Market) Market) {
+func (m *market) execute(p *Planner, cmd Cmd, mapMarket func(Market) Market) {
 	switch cmd := cmd.(type) {
 	case StartCmd:
-		if b := m.start(cmd.Domain, as(cmd.Market)); b != nil {
+		if b := m.start(cmd.Domain, mapMarket(cmd.Market)); b != nil {
 			p.Update(StartedMsg{Order: cmd.Order, ID: b.ID, Now: marketTime(m.step)})
 			return
 		}
@@ -234,12 +235,12 @@
 			b.Leaving = true
 		}
 	case GiveBackCmd:
-		m.boxes = slices.DeleteFunc(m.boxes, func(b *box) bool { return b.ID == cmd.ID })
+		m.instances = slices.DeleteFunc(m.instances, func(b *marketInstance) bool { return b.ID == cmd.ID })
 	}
 }
 
-func (m *market) find(id string) *box {
-	for _, b := range m.boxes {
+func (m *market) find(id string) *marketInstance {
+	for _, b := range m.instances {
 		if b.ID == id {
 			return b
 		}
@@ -247,14 +248,14 @@
 	return nil
 }
 
-// cheapestOnly keeps the need and its headroom in the domain that is the
-// cheapest at the moment, and gives back what has been too many for a while.
+// cheapestOnly buys the demand plus headroom in the currently cheapest domain and
+// gives back instances that have been surplus for a while.
 func cheapestOnly(m *market) func() {
 	surplus := 0
 	return func() {
-		target := int(math.Ceil(m.wanted() * 1.15 / marketSlots))
+		target := int(math.Ceil(m.demand() * 1.15 / marketSlots))
 		have := 0
-		for _, b := range m.boxes {
+		for _, b := range m.instances {
 			if !b.Leaving {
 				have++
 			}
@@ -276,8 +277,8 @@
 		if surplus++; have <= target {
 			surplus = 0
 		}
-		if surplus > 60 && len(m.boxes) > 0 {
-			m.boxes = m.boxes[1:]
+		if surplus > 60 && len(m.instances) > 0 {
+			m.instances = m.instances[1:]
 			surplus = 0
 		}
 	}
@@ -286,7 +287,7 @@
 func keepOffers(o []Offer) []Offer { return o }
 func keepMarket(m Market) Market   { return m }
 
-// onDemandOnly shows the planner on-demand offers in place of the others.
+// onDemandOnly replaces the reclaimable offers by the on-demand ones.
 func onDemandOnly(offers []Offer) []Offer {
 	var out []Offer
 	for _, o := range offers {
@@ -298,10 +299,10 @@
 	return out
 }
 
-// play runs a way over one seed.
-func play(seed uint64, w way) *market {
+// simulate runs a strategy with one seed.
+func simulate(seed uint64, s strategy) *market {
 	m := newMarket(seed)
-	act := w(m)
+	act := s(m)
 	for m.step = 0; m.step < int(marketSpan/marketStep); m.step++ {
 		m.change()
 		act()
@@ -310,22 +311,22 @@
 	return m
 }
 
-// worst is the least part served in any ten minutes, after the first twenty.
+// worst returns the lowest percentage of demand served in any ten-minute window after
+// the first twenty minutes.
 func (m *market) worst() float64 {
 	worst := 1.0
-	for i := 2; i < len(m.windows); i++ {
-		worst = min(worst, m.windows[i]/m.asked[i])
+	for i := 2; i < len(m.served); i++ {
+		worst = min(worst, m.served[i]/m.demanded[i])
 	}
 	return 100 * worst
 }
 
-func spread(list []float64) string {
+func medianAndRange(list []float64) string {
 	slices.Sort(list)
 	return fmt.Sprintf("%.1f (%.1f-%.1f)", list[len(list)/2], list[0], list[len(list)-1])
 }
 
-// TestExperiment prints the table and compares it with the one that the docs
-// quote.
+// TestExperiment compares purchase strategies. Its table is quoted in the docs.
 func TestExperiment(t *testing.T) {
 	const seeds = 15
 	with, without := DefaultConfig(), DefaultConfig()
@@ -333,17 +334,17 @@
 	var out strings.Builder
 	out.WriteString("| way | cost an hour | cost of a slot-hour served | within target % | worst ten minutes % | tokens again, thousands | starts | refused |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n")
 	for _, w := range []struct {
-		name string
-		way  way
+		name     string
+		strategy strategy
 	}{
-		{"all on demand", planned(without, onDemandOnly, func(Market) Market { return OnDemand })},
+		{"all on demand", plannerStrategy(without, onDemandOnly, func(Market) Market { return OnDemand })},
 		{"reclaimable, cheapest domain", cheapestOnly},
-		{"planner without on demand", planned(without, keepOffers, keepMarket)},
-		{"planner", planned(with, keepOffers, keepMarket)},
+		{"planner without on demand", plannerStrategy(without, keepOffers, keepMarket)},
+		{"planner", plannerStrategy(with, keepOffers, keepMarket)},
 	} {
 		var cost, each, within, worst, tokens, starts, refused []float64
 		for seed := range uint64(seeds) {
-			m := play(seed, w.way)
+			m := simulate(seed, w.strategy)
 			cost = append(cost, m.score.cost/marketSpan.Hours())
 			each = append(each, 100*m.score.cost/m.score.served)
 			within = append(within, 100*m.score.served/m.score.wanted)
@@ -354,7 +355,7 @@
 		}
 		fmt.Fprintf(&out, "| %s |", w.name)
 		for _, list := range [][]float64{cost, each, within, worst, tokens, starts, refused} {
-			fmt.Fprintf(&out, " %s |", spread(list))
+			fmt.Fprintf(&out, " %s |", medianAndRange(list))
 		}
 		out.WriteString("\n")
 	}
--- a/coordination/fleet/fleet_test.go
+++ b/coordination/fleet/fleet_test.go
@@ -10,9 +10,9 @@
 	_ "github.com/weldstream/weldstream/internal/testseed" // Fixes the seed.
 )
 
-var began = time.Unix(1_000_000, 0)
+var startTime = time.Unix(1_000_000, 0)
 
-var gpu = []Class{{Name: "gpu", Slots: 8, Models: []string{"m", "n"}}, {Name: "small", Slots: 2, Models: []string{"m"}}}
+var classes = []Class{{Name: "gpu", Slots: 8, Models: []string{"m", "n"}}, {Name: "small", Slots: 2, Models: []string{"m"}}}
 
 func readyConfig() Config {
 	cfg := DefaultConfig()
@@ -20,24 +20,24 @@
 	return cfg
 }
 
-// fakeFleet carries a planner's orders out and checks each of them.
+// fakeFleet executes a planner's commands and checks each of them.
 type fakeFleet struct {
-	t      *rapid.T
-	p      *Planner
-	now    time.Time
-	list   []Instance
-	closed map[offerKey]time.Time
-	shut   map[offerKey]time.Time // shut is until when offers were closed before the round.
-	needs  []Need
-	offers []Offer
-	next   int
+	t        *rapid.T
+	p        *Planner
+	now      time.Time
+	list     []Instance
+	closed   map[offerKey]time.Time
+	backoffs map[offerKey]time.Time // backoffs is until when offers were closed by a backoff before the round.
+	needs    []Need
+	offers   []Offer
+	next     int
 }
 
 func (f *fakeFleet) view() ViewMsg {
-	return ViewMsg{Now: f.now, Instances: append([]Instance(nil), f.list...), Offers: f.offers, Needs: f.needs, Classes: gpu}
+	return ViewMsg{Now: f.now, Instances: append([]Instance(nil), f.list...), Offers: f.offers, Needs: f.needs, Classes: classes}
 }
 
-// slots adds up a model's instances that do not leave, by domain.
+// slots returns the slots of a model's instances that are not leaving, by domain.
 func (f *fakeFleet) slots(model string) map[string]int {
 	slots := map[string]int{}
 	for _, in := range f.list {
@@ -48,24 +48,24 @@
 	return slots
 }
 
-func (f *fakeFleet) carryOut(cmds []Cmd) {
+func (f *fakeFleet) execute(cmds []Cmd) {
 	for _, cmd := range cmds {
 		switch cmd := cmd.(type) {
 		case StartCmd:
 			f.start(cmd)
 		case LoadCmd:
-			f.each(cmd.ID, func(in *Instance) { in.Models = []string{cmd.Model} })
+			f.update(cmd.ID, func(in *Instance) { in.Models = []string{cmd.Model} })
 		case DrainCmd:
-			f.each(cmd.ID, func(in *Instance) { in.Leaving, in.Running = true, 0 })
+			f.update(cmd.ID, func(in *Instance) { in.Leaving, in.Running = true, 0 })
 			for _, n := range f.needs {
-				if got := f.slots(n.Model); f.model(cmd.ID) == n.Model && n.Slots > 0 && !survives(got, n.Slots) && survives(withBack(got, f.list, cmd.ID), n.Slots) {
-					f.t.Fatalf("%s was given up, and %v does not bear a loss at a need of %d: %+v", cmd.ID, got, n.Slots, f.list)
+				if got := f.slots(n.Model); f.model(cmd.ID) == n.Model && n.Slots > 0 && !survivesDomainLoss(got, n.Slots) && survivesDomainLoss(withInstance(got, f.list, cmd.ID), n.Slots) {
+					f.t.Fatalf("%s was drained, but %v does not survive a domain loss at a need of %d: %+v", cmd.ID, got, n.Slots, f.list)
 				}
 			}
 		case GiveBackCmd:
-			f.each(cmd.ID, func(in *Instance) {
+			f.update(cmd.ID, func(in *Instance) {
 				if !in.Leaving || in.Running > 0 {
-					f.t.Fatalf("%+v was given back at work", *in)
+					f.t.Fatalf("%+v was given back before it was drained", *in)
 				}
 			})
 			f.remove(cmd.ID)
@@ -73,7 +73,7 @@
 	}
 }
 
-// model is what an instance has loaded.
+// model returns the model that an instance has loaded.
 func (f *fakeFleet) model(id string) string {
 	for _, in := range f.list {
 		if in.ID == id && len(in.Models) > 0 {
@@ -83,27 +83,27 @@
 	return ""
 }
 
-// withBack is what there was before an instance was given up.
-func withBack(slots map[string]int, list []Instance, id string) map[string]int {
-	back := map[string]int{}
+// withInstance returns the slots including those of a drained instance.
+func withInstance(slots map[string]int, list []Instance, id string) map[string]int {
+	all := map[string]int{}
 	for d, n := range slots {
-		back[d] = n
+		all[d] = n
 	}
 	for _, in := range list {
 		if in.ID == id {
-			back[in.Domain] += map[string]int{"gpu": 8, "small": 2}[in.Class]
+			all[in.Domain] += map[string]int{"gpu": 8, "small": 2}[in.Class]
 		}
 	}
-	return back
+	return all
 }
 
 func (f *fakeFleet) start(cmd StartCmd) {
 	key := offerKey{cmd.Domain, cmd.Class, cmd.Market}
-	if f.now.Before(f.shut[key]) {
-		f.t.Fatalf("%v is asked for though it refused just now", key)
+	if f.now.Before(f.backoffs[key]) {
+		f.t.Fatalf("%v was ordered during its backoff", key)
 	}
 	if f.now.Before(f.closed[key]) {
-		f.carryOut(f.p.Update(RefusedMsg{Order: cmd.Order, Now: f.now}))
+		f.execute(f.p.Update(RefusedMsg{Order: cmd.Order, Now: f.now}))
 		return
 	}
 	f.next++
@@ -112,7 +112,7 @@
 	f.p.Update(StartedMsg{Order: cmd.Order, ID: in.ID, Now: f.now})
 }
 
-func (f *fakeFleet) each(id string, do func(*Instance)) {
+func (f *fakeFleet) update(id string, do func(*Instance)) {
 	for i := range f.list {
 		if f.list[i].ID == id {
 			do(&f.list[i])
@@ -131,9 +131,9 @@
 }
 
 func newFakeFleet(t *rapid.T) *fakeFleet {
-	f := &fakeFleet{t: t, p: New(readyConfig()), now: began, closed: map[offerKey]time.Time{}}
+	f := &fakeFleet{t: t, p: New(readyConfig()), now: startTime, closed: map[offerKey]time.Time{}}
 	for d := range 4 {
-		for _, class := range gpu {
+		for _, class := range classes {
 			price := float64(rapid.IntRange(1, 9).Draw(t, "price"))
 			f.offers = append(f.offers,
 				Offer{Domain: fmt.Sprint("zone-", d), Class: class.Name, Market: Reclaimable, Hourly: price},
@@ -144,10 +144,10 @@
 	return f
 }
 
-// TestPlanner plays needs, refusals, reclaims and time at random. Whenever
-// nothing is refused for a while, the fleet comes to bear the loss of any
-// domain, without an on-demand instance, and once the need has fallen it is
-// not much larger than that takes.
+// TestPlanner runs the planner with random demand, refusals and reclaims. Once
+// nothing is refused for a while, the fleet must survive the loss of any one
+// domain without on-demand instances, and must not be much larger than that
+// requires.
 func TestPlanner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFakeFleet(t)
@@ -183,11 +183,11 @@
 	for i := range f.list {
 		f.list[i].Ready = true
 	}
-	f.shut = map[offerKey]time.Time{}
+	f.backoffs = map[offerKey]time.Time{}
 	for key, c := range f.p.backoffs {
-		f.shut[key] = c.until
+		f.backoffs[key] = c.until
 	}
-	f.carryOut(f.p.Update(f.view()))
+	f.execute(f.p.Update(f.view()))
 }
 
 func (f *fakeFleet) settle(t *rapid.T) {
@@ -198,34 +198,35 @@
 	for _, n := range f.needs {
 		got := f.slots(n.Model)
 		need := max(n.Floor, n.Slots)
-		if need > 0 && !survives(got, need) {
-			t.Fatalf("%s needs %d and has %v", n.Model, need, got)
+		if need > 0 && !survivesDomainLoss(got, need) {
+			t.Fatalf("model %s needs %d slots, but %v does not survive a domain loss", n.Model, need, got)
 		}
 		total := 0
 		for _, k := range got {
 			total += k
 		}
 		if most := 3*need + 32; total > most {
-			t.Fatalf("%s needs %d and still has %v", n.Model, need, got)
+			t.Fatalf("model %s needs %d slots and still has %v", n.Model, need, got)
 		}
 	}
 	for _, in := range f.list {
 		if in.Market == OnDemand && !in.Leaving {
-			t.Fatalf("%s is still on demand, though nothing is refused: %+v, needs %+v", in.ID, f.list, f.needs)
+			t.Fatalf("on-demand instance %s is kept although nothing is refused: %+v, needs %+v", in.ID, f.list, f.needs)
 		}
 	}
 }
 
-// TestOnDemandCoversTheNeedOnly refuses every reclaimable start.
-func TestOnDemandCoversTheNeedOnly(t *testing.T) {
+// TestOnDemandCoversOnlyTheNeed refuses every reclaimable order: on-demand instances
+// are bought for the need, but not for the reserve.
+func TestOnDemandCoversOnlyTheNeed(t *testing.T) {
 	p := New(readyConfig())
-	v := ViewMsg{Now: began, Classes: gpu[:1], Needs: []Need{{Model: "m", Slots: 20}}}
+	v := ViewMsg{Now: startTime, Classes: classes[:1], Needs: []Need{{Model: "m", Slots: 20}}}
 	for d := range 3 {
 		v.Offers = append(v.Offers, Offer{Domain: fmt.Sprint("zone-", d), Class: "gpu", Market: Reclaimable, Hourly: 1}, Offer{Domain: fmt.Sprint("zone-", d), Class: "gpu", Market: OnDemand, Hourly: 3})
 	}
 	bought := 0
 	for round := range 4 {
-		v.Now = began.Add(time.Duration(round) * time.Second)
+		v.Now = startTime.Add(time.Duration(round) * time.Second)
 		for _, cmd := range p.Update(v) {
 			start := cmd.(StartCmd)
 			if start.Market == Reclaimable {
@@ -240,25 +241,25 @@
 	}
 }
 
-// TestNewLeaderLooksOn gives a planner a fleet that lacks everything: it buys
-// nothing until the list can show what its predecessor bought.
-func TestNewLeaderLooksOn(t *testing.T) {
+// TestNewLeaderObservesFirst checks that a new leader with an empty fleet buys
+// nothing until the list can show the orders of its predecessor.
+func TestNewLeaderObservesFirst(t *testing.T) {
 	p := New(DefaultConfig())
-	v := ViewMsg{Now: began, Classes: gpu[:1], Needs: []Need{{Model: "m", Slots: 20}}, Offers: []Offer{{Domain: "a", Class: "gpu", Market: Reclaimable}, {Domain: "b", Class: "gpu", Market: Reclaimable}}}
+	v := ViewMsg{Now: startTime, Classes: classes[:1], Needs: []Need{{Model: "m", Slots: 20}}, Offers: []Offer{{Domain: "a", Class: "gpu", Market: Reclaimable}, {Domain: "b", Class: "gpu", Market: Reclaimable}}}
 	if cmds := p.Update(v); len(cmds) > 0 {
-		t.Errorf("ordered %v at first sight", cmds)
+		t.Errorf("ordered %v before the settling time", cmds)
 	}
-	v.Now = began.Add(DefaultConfig().Settle)
+	v.Now = startTime.Add(DefaultConfig().Settle)
 	if cmds := p.Update(v); len(cmds) == 0 {
-		t.Error("ordered nothing after looking on")
+		t.Error("ordered nothing after the settling time")
 	}
 }
 
-// TestTurn has one model with too many idle instances and another that lacks
-// some: they are turned instead of bought.
-func TestTurn(t *testing.T) {
+// TestReassign checks that idle surplus instances of one model are reassigned to a
+// model that lacks capacity, instead of buying new ones.
+func TestReassign(t *testing.T) {
 	p := New(readyConfig())
-	v := ViewMsg{Now: began, Classes: gpu[:1], Needs: []Need{{Model: "m", Slots: 6}, {Model: "n", Slots: 6}}}
+	v := ViewMsg{Now: startTime, Classes: classes[:1], Needs: []Need{{Model: "m", Slots: 6}, {Model: "n", Slots: 6}}}
 	for i := range 8 {
 		v.Instances = append(v.Instances, Instance{ID: fmt.Sprint("i", i), Domain: fmt.Sprint("zone-", i%4), Class: "gpu", Market: Reclaimable, Models: []string{"m"}, Ready: true})
 	}
@@ -268,23 +269,24 @@
 		case LoadCmd:
 			loads++
 			if cmd.Model != "n" {
-				t.Errorf("%+v", cmd)
+				t.Errorf("loaded another model than n: %+v", cmd)
 			}
 		case StartCmd:
 			t.Errorf("bought %+v", cmd)
 		}
 	}
 	if loads < 2 {
-		t.Errorf("%d instances were turned, want 2 at the least", loads)
+		t.Errorf("%d instances were reassigned, want at least 2", loads)
 	}
 }
 
-// TestOnDemandGoesFirst has reclaimable instances that bear a loss beside
-// on-demand ones of the same price: those go, and nothing is bought for them.
-// It once gave a reclaimable one back, bought another, and went on so for ever.
-func TestOnDemandGoesFirst(t *testing.T) {
+// TestOnDemandIsDrainedFirst has reclaimable instances that survive a domain loss and
+// on-demand ones of the same price: an on-demand one is drained and nothing is bought.
+// It guards against a loop in which the planner gave a reclaimable instance back and
+// bought another one for ever.
+func TestOnDemandIsDrainedFirst(t *testing.T) {
 	p := New(readyConfig())
-	v := ViewMsg{Now: began, Classes: gpu[:1], Needs: []Need{{Model: "m", Slots: 14}}}
+	v := ViewMsg{Now: startTime, Classes: classes[:1], Needs: []Need{{Model: "m", Slots: 14}}}
 	for i, domain := range []string{"a", "a", "a", "b", "b", "b", "b", "c"} {
 		in := Instance{ID: fmt.Sprint("i", i), Domain: domain, Class: "gpu", Market: Reclaimable, Hourly: 1, Models: []string{"m"}, Ready: true}
 		if i >= 6 {
@@ -294,9 +296,9 @@
 	}
 	v.Offers = []Offer{{Domain: "a", Class: "gpu", Market: Reclaimable, Hourly: 1}, {Domain: "b", Class: "gpu", Market: Reclaimable, Hourly: 1}}
 	if cmds := p.Update(v); len(cmds) > 0 {
-		t.Errorf("ordered %+v at first sight", cmds)
+		t.Errorf("ordered %+v before the surplus time", cmds)
 	}
-	v.Now = began.Add(DefaultConfig().Surplus)
+	v.Now = startTime.Add(DefaultConfig().Surplus)
 	cmds := p.Update(v)
 	if len(cmds) != 1 || cmds[0] != (DrainCmd{ID: "i6"}) {
 		t.Errorf("ordered %+v, want the first on-demand instance drained", cmds)
--- a/coordination/fleet/message.go
+++ b/coordination/fleet/message.go
@@ -2,56 +2,57 @@
 
 import "time"
 
-// Offer is what the platform sells in one failure domain.
+// Offer is an instance class for sale in one failure domain.
 type Offer struct {
 	Domain string
 	Class  string
 	Market Market
-	Hourly float64 // Hourly is the price an hour, in the platform's currency.
+	Hourly float64 // Hourly is the price per hour, in the platform's currency.
 }
 
-// Market tells the two ways of buying an instance apart.
+// Market is the way in which an instance is bought.
 type Market string
 
 // The markets.
 const (
-	// Reclaimable instances are cheap, and may be taken back on short notice.
+	// Reclaimable instances are cheap, but the platform may reclaim them on short
+	// notice.
 	Reclaimable Market = "reclaimable"
-	// OnDemand instances stay until they are given back.
+	// OnDemand instances run until they are given back.
 	OnDemand Market = "on_demand"
 )
 
-// Instance is one engine, ready or on its way.
+// Instance is one engine, ready or starting.
 type Instance struct {
 	ID      string
 	Domain  string
 	Class   string
 	Market  Market
 	Hourly  float64
-	Models  []string // Models are what it has loaded; empty for one that is fresh.
-	Ready   bool     // Ready says that it reports its load.
+	Models  []string // Models are the loaded models; empty for a new instance.
+	Ready   bool     // Ready is set when it reports its load.
 	Leaving bool
-	Running int // Running are the requests that it has.
+	Running int // Running is the number of requests that it runs or queues.
 }
 
-// Class is a kind of instance that may be bought.
+// Class is a class of instances that can be bought.
 type Class struct {
 	Name   string
-	Slots  int      // Slots are the requests that one runs within the latency target.
-	Models []string // Models are those that it can serve.
+	Slots  int      // Slots is the number of concurrent requests that one instance runs within the latency target.
+	Models []string // Models are the models that it can serve.
 }
 
-// Need is what one model is asked for now.
+// Need is the current demand for one model.
 type Need struct {
 	Model string
-	Slots int // Slots are the requests that run or wait.
-	Floor int // Floor is what is kept at the least.
+	Slots int // Slots is the number of requests that run or wait.
+	Floor int // Floor is the minimum number of slots to keep.
 }
 
 // Msg is a message to [Planner.Update].
 type Msg interface{ msg() }
 
-// ViewMsg is what the leader sees now.
+// ViewMsg is the leader's current view of instances, offers and demand.
 type ViewMsg struct {
 	Now       time.Time
 	Instances []Instance
@@ -60,15 +61,15 @@
 	Classes   []Class
 }
 
-// StartedMsg tells that the platform started an instance.
+// StartedMsg reports that the platform started an instance.
 type StartedMsg struct {
 	Order uint64
 	ID    string
 	Now   time.Time
 }
 
-// RefusedMsg tells that the platform did not. Lost says that its answer was
-// lost, so that the instance may come up all the same.
+// RefusedMsg reports that the platform did not start an instance. Lost is set when
+// its answer was lost, so that the instance may start nevertheless.
 type RefusedMsg struct {
 	Order uint64
 	Lost  bool
@@ -84,24 +85,24 @@
 
 // StartCmd buys an instance for a model.
 type StartCmd struct {
-	Order  uint64 // Order names the purchase, so that a second send buys nothing.
+	Order  uint64 // Order identifies the purchase, which makes a resend idempotent.
 	Domain string
 	Class  string
 	Market Market
 	Model  string
 }
 
-// LoadCmd has an instance load a model's weights.
+// LoadCmd asks an instance to load a model's weights.
 type LoadCmd struct {
 	ID      string
 	Model   string
-	Replace bool // Turn says that the instance gives up what it has loaded.
+	Replace bool // Replace is set when the instance has to unload its current model.
 }
 
-// DrainCmd has an instance get no new work, and its requests moved.
+// DrainCmd stops sending new work to an instance and moves its requests away.
 type DrainCmd struct{ ID string }
 
-// GiveBackCmd gives an instance back that has nothing left to do.
+// GiveBackCmd returns a drained instance to the platform.
 type GiveBackCmd struct{ ID string }
 
 func (StartCmd) cmd()    {}
--- a/coordination/fleet/shrink.go
+++ b/coordination/fleet/shrink.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// shrink drains one instance of a model that has been too many for a while:
-// on-demand ones first, and then the dearest.
-func (p *Planner) shrink(m ViewMsg, g *held, need int) []Cmd {
-	slices.SortFunc(g.instances, func(a, b Instance) int {
+// shrink drains one instance of a model once it has been surplus for a while:
+// on-demand instances first, then the most expensive.
+func (p *Planner) shrink(m ViewMsg, have *capacity, need int) []Cmd {
+	slices.SortFunc(have.instances, func(a, b Instance) int {
 		return cmp.Or(onDemandFirst(a, b), cmp.Compare(b.Hourly, a.Hourly), cmp.Compare(a.Running, b.Running), cmp.Compare(a.ID, b.ID))
 	})
 	chosen := ""
-	for _, in := range g.instances {
-		if chosen != "" || !p.spare(g, in, need) {
-			delete(p.surplus, in.ID)
+	for _, in := range have.instances {
+		if chosen != "" || !p.canSpare(have, in, need) {
+			delete(p.surplusSince, in.ID)
 			continue
 		}
 		chosen = in.ID
@@ -22,14 +22,14 @@
 	if chosen == "" {
 		return nil
 	}
-	if since, ok := p.surplus[chosen]; !ok {
-		p.surplus[chosen] = m.Now
+	if since, ok := p.surplusSince[chosen]; !ok {
+		p.surplusSince[chosen] = m.Now
 		return nil
 	} else if m.Now.Sub(since) < p.cfg.Surplus {
 		return nil
 	}
-	delete(p.surplus, chosen)
-	p.draining[chosen] = m.Now
+	delete(p.surplusSince, chosen)
+	p.drainingSince[chosen] = m.Now
 	return []Cmd{DrainCmd{ID: chosen}}
 }
 
@@ -43,39 +43,40 @@
 	return cmp.Compare(rank(a.Market), rank(b.Market))
 }
 
-// spare reports whether the model can do without an instance: the others still
-// bear the loss of any domain. For a reclaimable one only the others that are
-// not on demand count, since it was bought for that; an on-demand one can also go
-// when everything is in its domain anyway and the others cover the need. Only what
-// is ready counts, so that nothing goes before its replacement works.
-func (p *Planner) spare(g *held, in Instance, need int) bool {
-	total, all, lasting := 0, map[string]int{}, map[string]int{}
-	for _, o := range g.instances {
-		if o.ID == in.ID || !o.Ready || !slices.Contains(o.Models, g.model) {
+// canSpare reports whether the model can spare an instance, that is, whether the
+// others still survive the loss of any one domain. For a reclaimable instance only
+// the other reclaimable ones count, since it was bought to survive such a loss; an
+// on-demand instance can also be spared if all others are in its domain and cover
+// the need. Only ready instances count, so that none is given back before its
+// replacement works.
+func (p *Planner) canSpare(have *capacity, in Instance, need int) bool {
+	total, all, reclaimable := 0, map[string]int{}, map[string]int{}
+	for _, o := range have.instances {
+		if o.ID == in.ID || !o.Ready || !slices.Contains(o.Models, have.model) {
 			continue
 		}
-		slots := g.class[o.Class].Slots
+		slots := have.class[o.Class].Slots
 		total += slots
 		all[o.Domain] += slots
 		if o.Market != OnDemand {
-			lasting[o.Domain] += slots
+			reclaimable[o.Domain] += slots
 		}
 	}
 	if in.Market != OnDemand {
-		return survives(lasting, need)
+		return survivesDomainLoss(reclaimable, need)
 	}
-	if survives(all, need) {
+	if survivesDomainLoss(all, need) {
 		return true
 	}
 	return total >= need && all[in.Domain] == total
 }
 
-// giveBack gives back what was drained and has nothing left to do.
+// giveBack gives back drained instances that run no more requests.
 func (p *Planner) giveBack(m ViewMsg) []Cmd {
 	var cmds []Cmd
 	for i := range m.Instances {
 		in := &m.Instances[i]
-		since, ok := p.draining[in.ID]
+		since, ok := p.drainingSince[in.ID]
 		if ok && in.Leaving && in.Running == 0 && m.Now.Sub(since) >= p.cfg.Drain {
 			cmds = append(cmds, GiveBackCmd{ID: in.ID})
 		}
@@ -83,84 +84,86 @@
 	return cmds
 }
 
-// loads has instances load what they were bought for or turned to. Only so
-// many load at once; the model that lacks the largest part goes first.
-func (p *Planner) loads(m ViewMsg) []Cmd {
+// planLoads returns the commands that load the models that instances were bought for
+// or reassigned to, at most MaxLoads of them, for the models with the largest
+// shortfall first.
+func (p *Planner) planLoads(m ViewMsg) []Cmd {
 	var waiting []LoadCmd
 	for i := range m.Instances {
 		in := &m.Instances[i]
-		model := p.models[in.ID]
+		model := p.assigned[in.ID]
 		if in.Ready && !in.Leaving && model != "" && !slices.Contains(in.Models, model) {
 			waiting = append(waiting, LoadCmd{ID: in.ID, Model: model, Replace: len(in.Models) > 0})
 		}
 	}
-	lack := p.lacks(m)
+	shortfall := p.shortfalls(m)
 	slices.SortStableFunc(waiting, func(a, b LoadCmd) int {
-		return cmp.Or(cmp.Compare(lack[b.Model], lack[a.Model]), cmp.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(shortfall[b.Model], shortfall[a.Model]), cmp.Compare(a.ID, b.ID))
 	})
 	var cmds []Cmd
-	for _, w := range waiting[:min(len(waiting), p.cfg.Loads)] {
+	for _, w := range waiting[:min(len(waiting), p.cfg.MaxLoads)] {
 		cmds = append(cmds, w)
 	}
 	return cmds
 }
 
-// lacks is, for each model, the part of its need that nothing ready covers.
-func (p *Planner) lacks(m ViewMsg) map[string]float64 {
-	lack := map[string]float64{}
+// shortfalls returns, for each model, the fraction of its demand that ready
+// instances do not cover.
+func (p *Planner) shortfalls(m ViewMsg) map[string]float64 {
+	shortfall := map[string]float64{}
 	for _, n := range m.Needs {
-		g := p.gather(m, n.Model)
+		have := p.capacityOf(m, n.Model)
 		ready := 0
-		for _, in := range g.instances {
+		for _, in := range have.instances {
 			if in.Ready && slices.Contains(in.Models, n.Model) {
-				ready += g.class[in.Class].Slots
+				ready += have.class[in.Class].Slots
 			}
 		}
-		lack[n.Model] = float64(n.Slots-ready) / float64(max(1, n.Slots))
+		shortfall[n.Model] = float64(n.Slots-ready) / float64(max(1, n.Slots))
 	}
-	return lack
+	return shortfall
 }
 
-// adopt gives an instance that came up without a model, and without an order
-// that this leader knows, to the model that lacks most.
+// adopt assigns instances that started without a model and without an order known
+// to this leader to the model with the largest shortfall.
 func (p *Planner) adopt(m ViewMsg) {
-	lack := p.lacks(m)
+	shortfall := p.shortfalls(m)
 	for i := range m.Instances {
 		in := &m.Instances[i]
-		if !in.Ready || in.Leaving || len(in.Models) > 0 || p.models[in.ID] != "" {
+		if !in.Ready || in.Leaving || len(in.Models) > 0 || p.assigned[in.ID] != "" {
 			continue
 		}
 		best := ""
 		for _, n := range m.Needs {
-			if p.fits(m, in, n.Model) && (best == "" || lack[n.Model] > lack[best]) {
+			if p.canServe(m, in, n.Model) && (best == "" || shortfall[n.Model] > shortfall[best]) {
 				best = n.Model
 			}
 		}
 		if best != "" {
-			p.models[in.ID] = best
+			p.assigned[in.ID] = best
 		}
 	}
 }
 
-func (p *Planner) fits(m ViewMsg, in *Instance, model string) bool {
+func (p *Planner) canServe(m ViewMsg, in *Instance, model string) bool {
 	return slices.ContainsFunc(m.Classes, func(c Class) bool {
 		return c.Name == in.Class && slices.Contains(c.Models, model)
 	})
 }
 
-// turn gives a model that lacks instances those that another one can spare and
-// that run nothing: that is faster than buying, and costs nothing.
-func (p *Planner) turn(m ViewMsg, model string, needs map[string]int) {
+// reassign assigns idle instances that other models can spare to a model that lacks
+// capacity: that is faster than buying and costs nothing.
+func (p *Planner) reassign(m ViewMsg, model string, needs map[string]int) {
 	for _, other := range m.Needs {
 		if other.Model == model {
 			continue
 		}
-		for _, in := range p.gather(m, other.Model).instances {
-			if survives(p.gather(m, model).slots, needs[model]) {
+		for _, in := range p.capacityOf(m, other.Model).instances {
+			if survivesDomainLoss(p.capacityOf(m, model).slots, needs[model]) {
 				return
 			}
-			if in.Running == 0 && in.Ready && p.fits(m, &in, model) && p.spare(p.gather(m, other.Model), in, needs[other.Model]) {
-				p.models[in.ID] = model
+			if in.Running == 0 && in.Ready && p.canServe(m, &in, model) && p.canSpare(p.capacityOf(m, other.Model), in, needs[other.Model]) {
+				p.assigned[in.ID] = model
 			}
 		}
 	}
