--- a/coordination/order/order.go
+++ b/coordination/order/order.go
@@ -1,9 +1,9 @@
-// Package order decides which orders the leader gives to backend servers.
+// Package order decides which orders the leader sends to backend servers.
 //
-// [Plan] compares what the operators declare with what the servers report and
-// returns what is missing. It keeps no state: an order that was lost shows in
-// the next report, and is planned again. Orders are such that a second one does
-// no harm.
+// [Plan] compares the configuration with the servers' reports and returns orders
+// for what is missing. It keeps no state: if an order is lost, the next report
+// shows that its effect is missing, and it is planned again. Orders are
+// idempotent.
 package order
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/weldstream/weldstream/state"
 )
 
-// Order is one order for one server. Its fence is set when it is sent.
+// Order is an order for one server. Its fencing token is set when it is sent.
 type Order struct {
 	Server  string
 	Address string
@@ -22,10 +22,10 @@
 	Name    string
 }
 
-// Plan returns the orders that are due, at most most of them, since the weight
-// store that the servers load from is rate-limited. Adapters that the fewest
-// servers hold come first.
-func Plan(ix *state.Index, v *state.View, most int) []Order {
+// Plan returns up to limit orders that are due; the limit exists because the weight
+// store from which the servers load is rate-limited. Adapters loaded on the fewest
+// servers come first.
+func Plan(ix *state.Index, v *state.View, limit int) []Order {
 	if ix == nil {
 		return nil
 	}
@@ -35,7 +35,7 @@
 		orders = append(orders, missing(ix, &v.Servers[i])...)
 	}
 	slices.SortStableFunc(orders, func(a, b Order) int { return cmp.Compare(holders[a.Name], holders[b.Name]) })
-	return orders[:min(most, len(orders))]
+	return orders[:min(limit, len(orders))]
 }
 
 func countHolders(v *state.View) map[string]int {
@@ -48,8 +48,9 @@
 	return holders
 }
 
-// missing lists the declared adapters that an engine lacks, of models that it
-// holds. A server that leaves, or has not reported, gets no order.
+// missing returns orders for the configured adapters that an engine has not loaded,
+// for the models that it has loaded. A server that is leaving, missed its latest
+// report or has not reported yet gets no order.
 func missing(ix *state.Index, s *state.Server) []Order {
 	if s.Kind != protocol.InstanceEngine || s.Leaving || s.ReportAt.IsZero() || s.Missed > 0 {
 		return nil
--- a/coordination/order/order_test.go
+++ b/coordination/order/order_test.go
@@ -10,8 +10,9 @@
 	"github.com/weldstream/weldstream/state"
 )
 
-// TestPlan orders what is declared and lacking, the rarest first, and nothing
-// from a server that leaves, is silent, or has not reported.
+// TestPlan checks that missing adapters are ordered, those on the fewest servers
+// first, and that a server that is leaving, missed its latest report or has not
+// reported yet gets no order.
 func TestPlan(t *testing.T) {
 	ix := state.NewIndex(protocol.Revision{Number: 1, Config: &protocol.Config{
 		Models:   []protocol.Model{{Name: "m"}},
