--- a/coordination/poll/poll.go
+++ b/coordination/poll/poll.go
@@ -1,14 +1,14 @@
-// Package poll decides which backend servers an instance asks for their load.
+// Package poll decides which backend servers an instance polls for their load.
 //
-// Asking all of them all the time grows with the servers, and so does passing
-// their reports on: 600 reports a second are some 7 kB/s into each instance and
-// as much out of it, over the whole bound for control. But an instance needs to
-// know few of them well. At the size to design for it sends 5 requests a second
-// to 600 servers, and what it must know is how loaded the servers are that it
-// sends to. So it asks, with a bounded number of reads a second, first the
-// servers that it used since their last report, and with what is left the rest,
-// the oldest report first. Reports that have grown old tell nothing about the
-// load; state.Pool takes them for the mean of the others.
+// Polling all servers continuously, and relaying their reports, costs traffic in
+// proportion to their number: 600 reports per second are about 7 kB/s into each
+// instance and as much out of it, more than the entire limit for control traffic.
+// But an instance needs current reports from only a few of them. At the design
+// size it sends 5 requests per second to 600 servers, and has to know the load of
+// those it sends to. It therefore polls a limited number of servers per second:
+// first those used since their last report, then the others, least recently polled
+// first. Stale reports say nothing about the load; state.Pool substitutes the mean
+// of the others for them.
 package poll
 
 import (
@@ -18,37 +18,37 @@
 	"github.com/weldstream/weldstream/state"
 )
 
-// usedPart is the part of a round that servers in use may take up, so that the
-// others are always reached in the end.
-const usedPart = 0.75
+// usedFraction is the largest fraction of a round that servers in use take up if
+// other servers are waiting, so that those are eventually polled.
+const usedFraction = 0.75
 
-// Plan returns the positions in v.Servers of those to ask in one round, at most
-// most of them.
-func Plan(v *state.View, most int) []int {
+// Plan returns the indices in v.Servers of up to limit servers to poll in one round.
+func Plan(v *state.View, limit int) []int {
 	all := make([]int, len(v.Servers))
 	for i := range all {
 		all[i] = i
 	}
-	if len(all) <= most {
+	if len(all) <= limit {
 		return all
 	}
-	var used, rest []int
+	var used, unused []int
 	for i := range v.Servers {
 		if v.Servers[i].ReportDue() {
 			used = append(used, i)
 			continue
 		}
-		rest = append(rest, i)
+		unused = append(unused, i)
 	}
-	oldest(v, used)
-	oldest(v, rest)
-	n := min(len(used), max(1, int(usedPart*float64(most))))
-	n = max(n, min(len(used), most-len(rest)))
-	return append(used[:n:n], rest[:min(len(rest), most-n)]...)
+	sortByLastPoll(v, used)
+	sortByLastPoll(v, unused)
+	n := min(len(used), max(1, int(usedFraction*float64(limit))))
+	n = max(n, min(len(used), limit-len(unused)))
+	return append(used[:n:n], unused[:min(len(unused), limit-n)]...)
 }
 
-// oldest sorts by the age of the last question, the oldest first.
-func oldest(v *state.View, list []int) {
+// sortByLastPoll sorts servers by the time of their last poll, least recently polled
+// first.
+func sortByLastPoll(v *state.View, list []int) {
 	slices.SortStableFunc(list, func(a, b int) int {
 		return cmp.Or(v.Servers[a].AskedAt.Compare(v.Servers[b].AskedAt), cmp.Compare(a, b))
 	})
