--- a/coordination/group/api.go
+++ b/coordination/group/api.go
@@ -174,6 +174,6 @@
 		return err
 	}
 	g.start()
-	g.log.Info().Uint64("group", group).Bool("founder", founders != nil).Msg("belongs to a group")
+	g.log.Info().Uint64("group", group).Bool("founder", founders != nil).Msg("replica assigned to a group")
 	return nil
 }
--- a/coordination/group/apply.go
+++ b/coordination/group/apply.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		// Decoding fails in the same way on every replica, so ignoring the entry keeps
 		// their states equal.
-		g.log.Error().Err(err).Uint64("index", e.Index).Msg("an entry cannot be read")
+		g.log.Error().Err(err).Uint64("index", e.Index).Msg("cannot decode a committed entry; ignoring it")
 		return protocol.Result{}
 	}
 	return g.machine.Apply(c)
--- a/coordination/group/group.go
+++ b/coordination/group/group.go
@@ -206,7 +206,7 @@
 func (g *Group) open(name string) (err error) {
 	g.folder, g.loaded, err = wal.Open(g.dir, name)
 	if errors.Is(err, wal.ErrDamaged) && g.cfg.Rejoin {
-		g.log.Error().Err(err).Msg("the data folder is damaged: it is set aside, and the replica joins anew")
+		g.log.Error().Err(err).Msg("data folder is damaged; moving it aside and rejoining the group as a learner")
 		if err := wal.SetAside(g.dir); err != nil {
 			return err
 		}
@@ -222,7 +222,7 @@
 // restoreLoaded restores the state from the snapshot in the data folder.
 func (g *Group) restoreLoaded() error {
 	if g.loaded.Torn > 0 {
-		g.log.Warn().Int64("bytes", g.loaded.Torn).Msg("a torn write was cut off the log")
+		g.log.Warn().Int64("bytes", g.loaded.Torn).Msg("truncated an incomplete write at the end of the log")
 	}
 	g.applied = g.loaded.Snapshot.Index
 	if g.loaded.Data == nil {
@@ -408,7 +408,7 @@
 func (g *Group) failDisk(err error) {
 	g.failed, g.failedAt = true, g.now()
 	g.pending, g.afterSync = nil, nil
-	g.log.Error().Err(err).Msg("the disk failed: this replica votes no more until its folder could be opened anew")
+	g.log.Error().Err(err).Msg("disk write failed; this replica does not vote until its data folder is reopened")
 	g.update(replicate.DiskFailedMsg{})
 	g.pending, g.afterSync = nil, nil
 	g.failAll(ErrDisk)
--- a/coordination/group/place.go
+++ b/coordination/group/place.go
@@ -50,7 +50,7 @@
 // handoverDone logs the outcome of a handover and answers its request.
 func (g *Group) handoverDone(cmd replicate.HandoverCmd) {
 	if cmd.Err != nil {
-		g.log.Warn().Err(cmd.Err).Msg("leadership was not handed over")
+		g.log.Warn().Err(cmd.Err).Msg("leadership handover failed")
 	} else {
 		g.meters.handovers.Inc(1)
 		g.log.Info().Str("to", cmd.To.Name).Msg("leadership handed over")
@@ -63,7 +63,7 @@
 	all, _ := g.replica.Trips() // The times of rounds include disk syncs, which do not depend on distance.
 	g.meters.moves.Inc(1)
 	g.log.Info().Str("to", cmd.Move.To).Dur("before", cmd.Move.Before).Dur("after", cmd.Move.After).
-		Any("round_trips", all).Msg("leadership moves to where a quorum is nearer")
+		Any("round_trips", all).Msg("moving leadership to shorten the quorum round trip")
 }
 
 // measureElection measures the time from this replica's first campaign until it knows a
--- a/coordination/group/reopen.go
+++ b/coordination/group/reopen.go
@@ -22,21 +22,21 @@
 	_ = g.folder.Close() // No writes follow, so an error does not matter.
 	folder, loaded, err := wal.Open(g.dir, g.id.Name)
 	if err != nil {
-		g.log.Warn().Err(err).Msg("the data folder cannot be opened yet")
+		g.log.Warn().Err(err).Msg("cannot reopen the data folder; will retry")
 		return
 	}
 	if folder.ID() != g.id {
-		g.log.Error().Msg("the data folder is another one: this replica votes no more until it is restarted")
+		g.log.Error().Msg("the data folder holds another replica's identity; this replica does not vote until it is restarted")
 		_ = folder.Close()
 		return
 	}
 	g.folder, g.loaded = folder, loaded
 	g.machine, g.applied = state.NewMachine(), 0
 	if err := g.restoreLoaded(); err != nil {
-		g.log.Error().Err(err).Msg("the snapshot cannot be read")
+		g.log.Error().Err(err).Msg("cannot restore the snapshot")
 		return
 	}
 	g.failed = false
 	g.start()
-	g.log.Info().Msg("the data folder is open again")
+	g.log.Info().Msg("data folder reopened")
 }
--- a/coordination/group/snapshot.go
+++ b/coordination/group/snapshot.go
@@ -71,7 +71,7 @@
 	go func() {
 		meta, data, ok, err := folder.ReadSnapshot()
 		if err != nil || !ok {
-			g.log.Warn().Err(err).Msg("no snapshot to send")
+			g.log.Warn().Err(err).Msg("no readable snapshot to send")
 			return
 		}
 		g.sender.Send(group, replicate.Message{
--- a/coordination/group/space.go
+++ b/coordination/group/space.go
@@ -21,7 +21,7 @@
 	free, err := g.folder.FreeSpace()
 	full := err == nil && free < g.cfg.Reserve
 	if full != g.full {
-		g.log.Warn().Bool("full", full).Uint64("free", free).Msg("free space on the disk")
+		g.log.Warn().Bool("full", full).Uint64("free", free).Msg("free disk space crossed the reserve")
 	}
 	g.full = full
 }
