--- a/cmd/weldstreamd/gateway.go
+++ b/cmd/weldstreamd/gateway.go
@@ -86,25 +86,25 @@
 	n := r.settings
 	g := &gateway{roleRun: r}
 	g.forward = forward.New(forward.Config{
-		Name:        n.Name,
-		Domain:      n.Domain,
-		Topology:    n.Topology(),
-		Revoke:      n.Bounds.Revoke,
-		RetryRatio:  n.Bounds.RetryRatio,
-		RetryExtra:  n.Bounds.RetryExtra,
-		RetryWindow: n.Bounds.RetryWindow,
-		QuotaWindow: n.Bounds.QuotaWindow,
-		UsageWindow: n.Bounds.UsageWindow,
-		UsageDue:    n.Bounds.UsageDue,
-		NoCopies:    !n.Prompts.Copies,
-		MoveAhead:   n.Prompts.MoveAhead,
-		Socket:      n.Memory.SocketKB << 10,
-		Connections: n.ServerConnections(),
-	}, platform.Dialect{}, forward.WithLogger(r.log), forward.WithRegistry(r.registry), forward.WithSyncNow(func() { g.client.SyncNow() }), forward.WithLimitsNow(func() { g.client.LimitsNow() }),
-		forward.WithQuotaNow(func() { g.client.QuotaNow() }),
+		Name:                n.Name,
+		Domain:              n.Domain,
+		Topology:            n.Topology(),
+		KeyRevocationBound:  n.Bounds.Revoke,
+		RetryRatio:          n.Bounds.RetryRatio,
+		RetryExtra:          n.Bounds.RetryExtra,
+		RetryWindow:         n.Bounds.RetryWindow,
+		QuotaWindow:         n.Bounds.QuotaWindow,
+		UsageWindow:         n.Bounds.UsageWindow,
+		UsageReportDelay:    n.Bounds.UsageDue,
+		DisablePromptCopies: !n.Prompts.Copies,
+		MoveLead:            n.Prompts.MoveAhead,
+		SocketBuffer:        n.Memory.SocketKB << 10,
+		MaxConnections:      n.ServerConnections(),
+	}, platform.Dialect{}, forward.WithLogger(r.log), forward.WithRegistry(r.registry), forward.WithSyncTrigger(func() { g.client.SyncNow() }), forward.WithLimitsTrigger(func() { g.client.LimitsNow() }),
+		forward.WithQuotaTrigger(func() { g.client.QuotaNow() }),
 		forward.WithMover(mover(n)),
 		forward.WithReporter(platform.Reporter{}),
-		forward.WithPlace(func(m protocol.PlaceMsg) (protocol.PlaceReply, bool) { return g.client.Place(m) }))
+		forward.WithPlacer(func(m protocol.PlaceMsg) (protocol.PlaceReply, bool) { return g.client.Place(m) }))
 	g.server = caller.NewServer(g.forward, g.callerOptions()...)
 	seeds, err := r.peersOfSeeds(n)
 	if err != nil {
@@ -215,9 +215,9 @@
 	AgeMS       int64  `json:"age_ms"` // AgeMS is since Number was known to be the newest; -1 for never.
 	Connections int    `json:"connections"`
 
-	Ways    []forward.Way     `json:"ways"`             // Ways are what was seen by distance to the servers.
-	Prompts forward.Dump      `json:"prompt_memory"`    // Prompts are what is known of what servers have read.
-	Memory  *caller.MemoryRow `json:"memory,omitempty"` // Memory is what is held for callers.
+	Ways    []forward.DistanceStats  `json:"ways"`             // Ways are what was seen by distance to the servers.
+	Prompts forward.PromptMemoryDump `json:"prompt_memory"`    // Prompts are what is known of what servers have read.
+	Memory  *caller.MemoryRow        `json:"memory,omitempty"` // Memory is what is held for callers.
 
 	Held int `json:"held_requests"` // Held are the requests that are kept from servers.
 
@@ -227,7 +227,7 @@
 }
 
 func (g *gateway) dump() any {
-	d := gatewayDump{Name: g.settings.Name, Domain: g.settings.Domain, Region: g.forward.Region(), Ready: g.ready(), Number: g.forward.Number(), AgeMS: -1, Connections: g.server.Conns(), Ways: g.forward.Ways(), Prompts: g.forward.DumpMemory(), Memory: g.memory.Row(), InFlight: g.forward.InFlight(), Held: g.forward.Held(), Limited: g.forward.LimitedServers()}
+	d := gatewayDump{Name: g.settings.Name, Domain: g.settings.Domain, Region: g.forward.Region(), Ready: g.ready(), Number: g.forward.Number(), AgeMS: -1, Connections: g.server.Conns(), Ways: g.forward.StatsByDistance(), Prompts: g.forward.DumpMemory(), Memory: g.memory.Row(), InFlight: g.forward.InFlight(), Held: g.forward.Held(), Limited: g.forward.LimitedServers()}
 	if age, ok := g.forward.Age(); ok {
 		d.AgeMS = age.Milliseconds()
 	}
--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -180,14 +180,14 @@
 	x.out.Reset()
 	x.resp.Reset()
 	x.g.dialect.Attempt(x.out, x.in, Attempt{
-		Server:    t.server.ID,
-		Workspace: x.workspaceName(),
-		Remaining: max(time.Millisecond, x.left()-backMargin),
-		Priority:  x.priority(),
-		CopyFrom:  copyFrom,
-		GoOn:      x.copyName(),
-		Weights:   x.copyWeights(),
-		LastEvent: x.events.last,
+		Server:       t.server.ID,
+		Workspace:    x.workspaceName(),
+		Remaining:    max(time.Millisecond, x.left()-backMargin),
+		Priority:     x.priority(),
+		CopyFrom:     copyFrom,
+		ContinueFrom: x.copyName(),
+		Weights:      x.copyWeights(),
+		LastEvent:    x.events.last,
 	})
 	early, err := t.conn.Exchange(x.out, x.resp, clock.Steady(x.deadline).Add(time.Second))
 	t.early = early
@@ -302,7 +302,7 @@
 		return x.failed(protocol.MayHaveRun, true, "the answer belongs to another request")
 	}
 	if !t.reply.Foreign {
-		x.heard(t.server, &t.reply.Says)
+		x.heard(t.server, &t.reply.Feedback)
 	}
 	if t.reply.NotRun {
 		return t.turnedAway(stop)
@@ -356,7 +356,7 @@
 		return
 	}
 	t.untrack() // From here on the connection may be another request's.
-	t.x.g.pool.Put(t.server.ID, t.conn, t.reply.Keeps)
+	t.x.g.pool.Put(t.server.ID, t.conn, t.reply.IdleTimeout)
 }
 
 // whole relays an answer that is read to its end before a byte of it is passed
--- a/transport/forward/copy.go
+++ b/transport/forward/copy.go
@@ -23,7 +23,7 @@
 // planCopy notes that a server is sent the prompt, and returns the address of a server
 // that it is to copy shared parts of it from, or none.
 func (x *exchange) planCopy(at *place.Server) (from string) {
-	if x.g.cfg.NoCopies || x.copyRate() <= 0 || len(x.chain) == 0 || x.continuation != nil {
+	if x.g.cfg.DisablePromptCopies || x.copyRate() <= 0 || len(x.chain) == 0 || x.continuation != nil {
 		return ""
 	}
 	g := x.g
--- a/transport/forward/copy_test.go
+++ b/transport/forward/copy_test.go
@@ -32,7 +32,7 @@
 		}, false},
 		"switched off": {func(w *world, x *exchange) {
 			w.g.prompts.holders.Record("b", x.chain, past)
-			w.g.cfg.NoCopies = true
+			w.g.cfg.DisablePromptCopies = true
 		}, false},
 		"turned away": {func(w *world, x *exchange) {
 			other := sharing(w)
--- a/transport/forward/dump.go
+++ b/transport/forward/dump.go
@@ -1,7 +1,7 @@
 package forward
 
-// Dump is what a gateway tells of prompt memory on request.
-type Dump struct {
+// PromptMemoryDump is what a gateway tells of prompt memory on request.
+type PromptMemoryDump struct {
 	Links int       `json:"links"` // Links are the parts of prompts whose holders are remembered.
 	Moves []MoveRow `json:"moves"` // Moves are the answers that are being moved.
 }
@@ -17,8 +17,8 @@
 }
 
 // DumpMemory returns what is known of prompt memory.
-func (g *Gateway) DumpMemory() Dump {
-	d := Dump{Moves: []MoveRow{}}
+func (g *Gateway) DumpMemory() PromptMemoryDump {
+	d := PromptMemoryDump{Moves: []MoveRow{}}
 	g.mu.Lock()
 	d.Links = g.prompts.holders.Len()
 	g.mu.Unlock()
--- a/transport/forward/exchange.go
+++ b/transport/forward/exchange.go
@@ -262,7 +262,7 @@
 // promptCopyRate is copyRate for the shared parts of prompts; 0 where the settings switch
 // their copies off.
 func (x *exchange) promptCopyRate() float64 {
-	if x.g.cfg.NoCopies {
+	if x.g.cfg.DisablePromptCopies {
 		return 0
 	}
 	return x.copyRate()
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -43,20 +43,20 @@
 
 // Config bounds a gateway.
 type Config struct {
-	Name        string             // Name is the gateway's among all instances.
-	Domain      string             // Domain is its failure domain.
-	Topology    *topology.Topology // Topology tells the regions of the domains; nil where all lie in one.
-	Revoke      time.Duration      // Revoke is within what a key that was taken away is refused; 0 sets no bound.
-	RetryRatio  float64            // RetryRatio is the part of the requests of a window that all gateways may send again.
-	RetryExtra  float64            // RetryExtra are retries in a window besides, of all gateways.
-	RetryWindow time.Duration
-	QuotaWindow time.Duration // QuotaWindow is the window in which quotas are bounded.
-	UsageWindow time.Duration // UsageWindow is the length of a window of usage reports.
-	UsageDue    time.Duration // UsageDue is how long after a window its report is due.
-	NoCopies    bool          // NoCopies has no server copy shared parts of prompts from another one.
-	MoveAhead   time.Duration // MoveAhead is how long before the end of a leaving server its answers are moved; 0 for as soon as it is known.
-	Connections int           // Connections bounds those to all servers together; 0 sets no bound.
-	Socket      int           // Socket is what the kernel may keep of a server's connection each way, in bytes; 0 leaves it to the kernel.
+	Name                string             // Name is the gateway's among all instances.
+	Domain              string             // Domain is its failure domain.
+	Topology            *topology.Topology // Topology tells the regions of the domains; nil where all lie in one.
+	KeyRevocationBound  time.Duration      // Revoke is within what a key that was taken away is refused; 0 sets no bound.
+	RetryRatio          float64            // RetryRatio is the part of the requests of a window that all gateways may send again.
+	RetryExtra          float64            // RetryExtra are retries in a window besides, of all gateways.
+	RetryWindow         time.Duration
+	QuotaWindow         time.Duration // QuotaWindow is the window in which quotas are bounded.
+	UsageWindow         time.Duration // UsageWindow is the length of a window of usage reports.
+	UsageReportDelay    time.Duration // UsageDue is how long after a window its report is due.
+	DisablePromptCopies bool          // NoCopies has no server copy shared parts of prompts from another one.
+	MoveLead            time.Duration // MoveAhead is how long before the end of a leaving server its answers are moved; 0 for as soon as it is known.
+	MaxConnections      int           // Connections bounds those to all servers together; 0 sets no bound.
+	SocketBuffer        int           // Socket is what the kernel may keep of a server's connection each way, in bytes; 0 leaves it to the kernel.
 }
 
 // Gateway forwards requests.
@@ -115,16 +115,16 @@
 // WithRegistry sets the registry of the gateway's meters.
 func WithRegistry(r metrics.Registry) Option { return func(g *Gateway) { g.meters = newMeters(r) } }
 
-// WithSyncNow sets what has the control role asked at once.
-func WithSyncNow(f func()) Option { return func(g *Gateway) { g.syncNow = f } }
+// WithSyncTrigger sets what has the control role asked at once.
+func WithSyncTrigger(f func()) Option { return func(g *Gateway) { g.syncNow = f } }
 
-// WithQuotaNow sets what has the leader asked at once for parts of quotas; without it they
+// WithQuotaTrigger sets what has the leader asked at once for parts of quotas; without it they
 // are asked for with the other questions.
-func WithQuotaNow(f func()) Option { return func(g *Gateway) { g.quotaNow = f } }
+func WithQuotaTrigger(f func()) Option { return func(g *Gateway) { g.quotaNow = f } }
 
-// WithPlace sets what finds a server for a long prompt; without it the gateway
+// WithPlacer sets what finds a server for a long prompt; without it the gateway
 // chooses by itself.
-func WithPlace(f func(protocol.PlaceMsg) (protocol.PlaceReply, bool)) Option {
+func WithPlacer(f func(protocol.PlaceMsg) (protocol.PlaceReply, bool)) Option {
 	return func(g *Gateway) { g.place = f }
 }
 
@@ -138,7 +138,7 @@
 		cfg:         cfg,
 		dialect:     d,
 		log:         zerolog.Nop(),
-		pool:        backend.NewPool(dialTime, backend.WithSocket(cfg.Socket), backend.WithConnections(cfg.Connections)),
+		pool:        backend.NewPool(dialTime, backend.WithSocket(cfg.SocketBuffer), backend.WithConnections(cfg.MaxConnections)),
 		syncNow:     func() {},
 		limitsNow:   func() {},
 		place:       func(protocol.PlaceMsg) (protocol.PlaceReply, bool) { return protocol.PlaceReply{}, false },
@@ -149,7 +149,7 @@
 		news:        make(chan struct{}),
 		shares:      map[string]*retry.Share{},
 		quarantined: quarantined{gate: quarantine.NewFilter(cfg.Name, now)},
-		counter:     usage.NewCounter(cfg.UsageWindow, cfg.UsageDue),
+		counter:     usage.NewCounter(cfg.UsageWindow, cfg.UsageReportDelay),
 		pressure:    map[string]*pressure{},
 	}
 	g.gateways.Store(1)
@@ -322,11 +322,11 @@
 
 // fresh reports whether the catalog was confirmed recently enough for keys to be trusted.
 func (g *Gateway) fresh() bool {
-	if g.cfg.Revoke == 0 {
+	if g.cfg.KeyRevocationBound == 0 {
 		return true
 	}
 	age, ok := g.Age()
-	return ok && age < g.cfg.Revoke-g.cfg.Revoke/revokePart
+	return ok && age < g.cfg.KeyRevocationBound-g.cfg.KeyRevocationBound/revokePart
 }
 
 // Ready reports whether the gateway can serve.
--- a/transport/forward/forward_test.go
+++ b/transport/forward/forward_test.go
@@ -54,14 +54,14 @@
 	if a.Weights != "" {
 		out.Header.Set("Only-Weights", a.Weights)
 	}
-	if a.GoOn != "" {
-		out.Header.Set("Go-On", a.GoOn)
+	if a.ContinueFrom != "" {
+		out.Header.Set("Go-On", a.ContinueFrom)
 	}
 	out.SetBodyRaw(in.Body())
 }
 
 func (plain) Reply(h *fasthttp.ResponseHeader) Reply {
-	return Reply{ID: string(h.Peek("Id")), NotRun: len(h.Peek("Not-Run")) > 0, Foreign: len(h.Peek("Foreign")) > 0, Weights: string(h.Peek("Weights")), Close: h.ConnectionClose(), Says: says(h)}
+	return Reply{ID: string(h.Peek("Id")), NotRun: len(h.Peek("Not-Run")) > 0, Foreign: len(h.Peek("Foreign")) > 0, Weights: string(h.Peek("Weights")), Close: h.ConnectionClose(), Feedback: says(h)}
 }
 
 // says reads what a server says of itself.
@@ -110,7 +110,7 @@
 
 func newWorld(t *testing.T, opts ...caller.Option) *world {
 	t.Helper()
-	w := &world{t: t, g: New(Config{Name: "g", Domain: "a", Revoke: time.Hour, RetryRatio: 1, RetryExtra: 100, RetryWindow: time.Second, UsageWindow: time.Second, UsageDue: time.Second}, plain{})}
+	w := &world{t: t, g: New(Config{Name: "g", Domain: "a", KeyRevocationBound: time.Hour, RetryRatio: 1, RetryExtra: 100, RetryWindow: time.Second, UsageWindow: time.Second, UsageReportDelay: time.Second}, plain{})}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -387,7 +387,7 @@
 	if got := w.ask("Key: other"); got.status != 401 {
 		t.Errorf("with another key: %+v", got)
 	}
-	w.g.cfg.Revoke = time.Nanosecond
+	w.g.cfg.KeyRevocationBound = time.Nanosecond
 	if got := w.ask("Key: k"); got.status != 503 || got.verdict != "not-run" {
 		t.Errorf("unsure: %+v", got)
 	}
@@ -503,7 +503,7 @@
 // configuration is judged by that one, not by the one that it found.
 func TestKeyTakenWhileItWaits(t *testing.T) {
 	w := newWorld(t)
-	w.g.cfg.Revoke = time.Hour
+	w.g.cfg.KeyRevocationBound = time.Hour
 	w.g.confirmed.Store(0) // Not sure of its configuration yet.
 	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}})
 	w.backend("a", good)
@@ -530,7 +530,7 @@
 	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}, Rate: 10, Burst: 10})
 	a := w.backend("a", good)
 	w.g.syncNow = func() {
-		w.g.cfg.Revoke = time.Nanosecond // The confirmation is too old from here on.
+		w.g.cfg.KeyRevocationBound = time.Nanosecond // The confirmation is too old from here on.
 		m := w.g.Report(1)
 		w.g.Reported(&m, &protocol.SyncReply{Term: 1, Grants: []protocol.QuotaGrant{{Workspace: "w", Units: 1, Lasts: time.Minute}}}, clock.Now())
 	}
--- a/transport/forward/limiting.go
+++ b/transport/forward/limiting.go
@@ -22,8 +22,8 @@
 	backSpread = 0.5
 )
 
-// WithLimitsNow sets what has the leader asked for permits at once.
-func WithLimitsNow(f func()) Option { return func(g *Gateway) { g.limitsNow = f } }
+// WithLimitsTrigger sets what has the leader asked for permits at once.
+func WithLimitsTrigger(f func()) Option { return func(g *Gateway) { g.limitsNow = f } }
 
 // takePermit takes a permit for the request to a server, and asks the leader for one until a
 // time where the server limits its requests. Without one, wait is when there may be one.
--- a/transport/forward/move_call.go
+++ b/transport/forward/move_call.go
@@ -13,21 +13,21 @@
 
 // Mover translates the calls by which the memory of a running answer is moved.
 type Mover interface {
-	// Copy makes out the call that has a server copy a run's memory to another one.
-	Copy(out *fasthttp.Request, c CopyCall)
-	// Copied reads the answer, whose body is given.
-	Copied(status int, body []byte) CopyReply
-	// Free makes out the call that drops a copy at both its ends.
-	Free(out *fasthttp.Request, handle string)
-	// Name names a copy of a source for the request that goes on from it.
-	Name(source, handle string) string
+	// CopyRequest makes out the call that has a server copy a run's memory to another one.
+	CopyRequest(out *fasthttp.Request, c CopyCall)
+	// ReadCopyReply reads the answer, whose body is given.
+	ReadCopyReply(status int, body []byte) CopyReply
+	// FreeRequest makes out the call that drops a copy at both its ends.
+	FreeRequest(out *fasthttp.Request, handle string)
+	// CopyName names a copy of a source for the request that goes on from it.
+	CopyName(source, handle string) string
 }
 
 // CopyCall asks for a copy of a run.
 type CopyCall struct {
-	Request string // Request is the run's identity.
-	Target  string // Target is the address of the server that takes the copy.
-	Last    bool   // Last has the run stopped first.
+	Request   string // Request is the run's identity.
+	Target    string // Target is the address of the server that takes the copy.
+	StopFirst bool   // Last has the run stopped first.
 }
 
 // CopyReply is the answer.
@@ -40,13 +40,13 @@
 func (r *running) copy(target *place.Server, last bool) CopyReply {
 	out := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(out)
-	r.g.moves.mover.Copy(out, CopyCall{Request: r.call.ID, Target: target.Address, Last: last})
+	r.g.moves.mover.CopyRequest(out, CopyCall{Request: r.call.ID, Target: target.Address, StopFirst: last})
 	r.g.forcePermit(r.server.ID) // Without the move its answer is cut.
 	began := time.Now()
 	status, body, err := r.g.ask(r.server, out, began.Add(copyTime))
 	var reply CopyReply
 	if err == nil {
-		reply = r.g.moves.mover.Copied(status, body)
+		reply = r.g.moves.mover.ReadCopyReply(status, body)
 	}
 	r.g.meters.moveCopy.UpdateSince(began)
 	r.log.Info().Err(err).Str("server", r.server.ID).Str("target", target.ID).Bool("last", last).Int("status", status).Str("handle", reply.Handle).
@@ -71,7 +71,7 @@
 	}
 	out := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(out)
-	r.g.moves.mover.Free(out, handle)
+	r.g.moves.mover.FreeRequest(out, handle)
 	r.g.forcePermit(s.ID)
 	status, _, err := r.g.ask(s, out, time.Now().Add(copyTime))
 	r.log.Info().Err(err).Str("server", s.ID).Str("handle", handle).Int("status", status).Msg("move: copy released")
--- a/transport/forward/move_continue.go
+++ b/transport/forward/move_continue.go
@@ -111,7 +111,7 @@
 	if x.continuation == nil {
 		return ""
 	}
-	return x.g.moves.mover.Name(x.continuation.run.server.Address, x.continuation.handle)
+	return x.g.moves.mover.CopyName(x.continuation.run.server.Address, x.continuation.handle)
 }
 
 // copyWeights is the version of the weights that alone may go on from the copy: memory
--- a/transport/forward/move_leaving.go
+++ b/transport/forward/move_leaving.go
@@ -88,8 +88,8 @@
 func (g *Gateway) moveRuns(s *place.Server, n notice) {
 	m, until := &g.moves, n.end
 	g.log.Info().Str("server", s.ID).Int64("left", clock.Until(until).Milliseconds()).Msg("server leaves, its runs are moved")
-	if g.cfg.MoveAhead > 0 {
-		time.Sleep(min(clock.Until(until)-g.cfg.MoveAhead, moveLatest))
+	if g.cfg.MoveLead > 0 {
+		time.Sleep(min(clock.Until(until)-g.cfg.MoveLead, moveLatest))
 	}
 	underWay, done := 0, make(chan bool, moveAtOnce)
 	for m.keepsMoving(s.ID, until.Add(moveGrace), g.stays(s.ID)) {
--- a/transport/forward/move_test.go
+++ b/transport/forward/move_test.go
@@ -22,25 +22,25 @@
 // plainMover speaks of moves in plain words.
 type plainMover struct{}
 
-func (plainMover) Copy(out *fasthttp.Request, c CopyCall) {
+func (plainMover) CopyRequest(out *fasthttp.Request, c CopyCall) {
 	out.SetRequestURI("/copy")
 	out.Header.SetHost("h")
 	out.Header.SetMethod("POST")
-	out.SetBodyString(fmt.Sprint(c.Target, " ", c.Last))
+	out.SetBodyString(fmt.Sprint(c.Target, " ", c.StopFirst))
 }
 
-func (plainMover) Copied(status int, body []byte) CopyReply {
+func (plainMover) ReadCopyReply(status int, body []byte) CopyReply {
 	outcomes := map[int]move.Outcome{200: move.Copied, 404: move.NoRun, 409: move.Busy, 503: move.NoRoom}
 	return CopyReply{Outcome: outcomes[status], Handle: string(body)}
 }
 
-func (plainMover) Free(out *fasthttp.Request, handle string) {
+func (plainMover) FreeRequest(out *fasthttp.Request, handle string) {
 	out.SetRequestURI("/free/" + handle)
 	out.Header.SetHost("h")
 	out.Header.SetMethod("DELETE")
 }
 
-func (plainMover) Name(source, handle string) string { return source + "/" + handle }
+func (plainMover) CopyName(source, handle string) string { return source + "/" + handle }
 
 // moveFaults say what goes wrong in a move.
 type moveFaults struct {
@@ -476,8 +476,8 @@
 // namingMover has the fake server see which run a copy is for.
 type namingMover struct{ plainMover }
 
-func (namingMover) Copy(out *fasthttp.Request, c CopyCall) {
-	plainMover{}.Copy(out, c)
+func (namingMover) CopyRequest(out *fasthttp.Request, c CopyCall) {
+	plainMover{}.CopyRequest(out, c)
 	out.SetBodyString(c.Request)
 }
 
--- a/transport/forward/notice.go
+++ b/transport/forward/notice.go
@@ -25,10 +25,10 @@
 
 // Reporter translates the question by which a server tells its own state.
 type Reporter interface {
-	// Question makes out the question.
-	Question(out *fasthttp.Request)
-	// Read reads the answer, whose body is given. It is false for one that tells no state.
-	Read(status int, body []byte) (ServerState, bool)
+	// StateRequest makes out the question.
+	StateRequest(out *fasthttp.Request)
+	// ReadState reads the answer, whose body is given. It is false for one that tells no state.
+	ReadState(status int, body []byte) (ServerState, bool)
 }
 
 // ServerState is what a server tells of itself.
@@ -86,14 +86,14 @@
 	}
 	out := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(out)
-	g.moves.reporter.Question(out)
+	g.moves.reporter.StateRequest(out)
 	g.meters.asked.Inc(1)
 	status, body, err := g.ask(s, out, time.Now().Add(noticeTime))
 	if err != nil {
 		g.log.Debug().Err(err).Str("server", s.ID).Msg("a server did not tell its state")
 		return // It is asked again in the next round.
 	}
-	state, ok := g.moves.reporter.Read(status, body)
+	state, ok := g.moves.reporter.ReadState(status, body)
 	if !ok || !state.Leaving || state.Left <= 0 || !sameStart(s.ID, state.Start) {
 		return
 	}
--- a/transport/forward/notice_test.go
+++ b/transport/forward/notice_test.go
@@ -18,12 +18,12 @@
 // plainReporter speaks of a server's state in plain words: "stays", or how long it runs.
 type plainReporter struct{}
 
-func (plainReporter) Question(out *fasthttp.Request) {
+func (plainReporter) StateRequest(out *fasthttp.Request) {
 	out.SetRequestURI("/state")
 	out.Header.SetHost("h")
 }
 
-func (plainReporter) Read(status int, body []byte) (ServerState, bool) {
+func (plainReporter) ReadState(status int, body []byte) (ServerState, bool) {
 	left, err := time.ParseDuration(string(body))
 	if status != 200 || (err != nil && string(body) != "stays") {
 		return ServerState{}, false
--- a/transport/forward/regions.go
+++ b/transport/forward/regions.go
@@ -117,8 +117,8 @@
 	return g.cfg.Topology.Distance(g.cfg.Domain, s.Domain)
 }
 
-// Way is what a gateway has seen of servers at one distance, as dumps show it.
-type Way struct {
+// DistanceStats is what a gateway has seen of servers at one distance, as dumps show it.
+type DistanceStats struct {
 	Distance string `json:"distance"`
 	TripUS   int64  `json:"trip_us"` // TripUS is the shortest round trip; 0 where none was seen often enough.
 	Attempts int64  `json:"attempts"`
@@ -127,11 +127,11 @@
 	Answers  int64  `json:"answer_bytes"`
 }
 
-// Ways returns what the gateway has seen by distance, the nearest first.
-func (g *Gateway) Ways() []Way {
-	m, ways := g.meters.distances, make([]Way, len(distances))
+// StatsByDistance returns what the gateway has seen by distance, the nearest first.
+func (g *Gateway) StatsByDistance() []DistanceStats {
+	m, ways := g.meters.distances, make([]DistanceStats, len(distances))
 	for i, d := range distances {
-		ways[i] = Way{
+		ways[i] = DistanceStats{
 			Distance: d.String(),
 			TripUS:   m.trips[d].Load(),
 			Attempts: m.attempts[d].Count(),
--- a/transport/forward/regions_test.go
+++ b/transport/forward/regions_test.go
@@ -201,8 +201,8 @@
 	if n := counted(t, r, `servers.connects.failed{distance="other region"}`); n != 1 {
 		t.Errorf("%d connects across failed, want 1", n)
 	}
-	want := []Way{{Distance: "same domain", TripUS: 1000}, {Distance: "same region", TripUS: 40_000}, {Distance: "other region", TripUS: 16_000, Failed: 1}}
-	if ways := w.g.Ways(); !slices.Equal(ways, want) {
+	want := []DistanceStats{{Distance: "same domain", TripUS: 1000}, {Distance: "same region", TripUS: 40_000}, {Distance: "other region", TripUS: 16_000, Failed: 1}}
+	if ways := w.g.StatsByDistance(); !slices.Equal(ways, want) {
 		t.Errorf("seen %+v, want %+v", ways, want)
 	}
 }
--- a/transport/forward/stream_test.go
+++ b/transport/forward/stream_test.go
@@ -40,7 +40,7 @@
 			_, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(event), event)
 		}
 	}()
-	g := New(Config{Name: "g", Domain: "a", Revoke: time.Hour, RetryWindow: time.Second, UsageWindow: time.Second, UsageDue: time.Second}, plain{})
+	g := New(Config{Name: "g", Domain: "a", KeyRevocationBound: time.Hour, RetryWindow: time.Second, UsageWindow: time.Second, UsageReportDelay: time.Second}, plain{})
 	g.Confirm(clock.Now(), 1)
 	g.SetServers([]protocol.Instance{{ID: "a", Service: "s", Address: server.Addr().String(), Domain: "a", Slots: 4}})
 	g.Install(&protocol.Catalog{Number: 1, Services: []protocol.ServiceSpec{{Name: "s"}}, Routes: []protocol.PathRoute{{
--- a/transport/forward/suspend_test.go
+++ b/transport/forward/suspend_test.go
@@ -29,7 +29,7 @@
 	if got := w.ask("Key: k", "Remaining: 100"); got.status != 200 {
 		t.Fatalf("got %+v", got)
 	}
-	suspend(t, w.g.cfg.Revoke)
+	suspend(t, w.g.cfg.KeyRevocationBound)
 	if got := w.ask("Key: k", "Remaining: 100"); got.status != 503 || got.verdict != "not-run" {
 		t.Errorf("behind a suspension got %+v", got)
 	}
