--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -16,41 +16,43 @@
 )
 
 const (
-	// backMargin is kept of the deadline for the way back.
-	backMargin = 5 * time.Millisecond
-	// maxAnswer bounds an answer that is read whole.
-	maxAnswer = 16 << 20
-	// maxSkipped bounds the answers of other requests that are passed over.
-	maxSkipped = 4
+	// returnMargin is the part of the deadline reserved for sending the answer back.
+	returnMargin = 5 * time.Millisecond
+	// maxAnswerBytes bounds an answer that is buffered as a whole.
+	maxAnswerBytes = 16 << 20
+	// maxSkippedAnswers bounds how many answers to other requests are skipped on a
+	// connection.
+	maxSkippedAnswers = 4
 )
 
-// try is one attempt at one server.
-type try struct {
-	x       *exchange
-	server  *place.Server
-	conn    *backend.Conn
-	reply   Reply
-	early   bool
-	read    bool     // read says that the server has read the prompt.
-	running *running // running is nil where the answer cannot be moved.
-	extra   bool     // extra says that the connection delivered what was not asked for.
+// serverAttempt is one attempt to send a request to one server.
+type serverAttempt struct {
+	x           *exchange
+	server      *place.Server
+	conn        *backend.Conn
+	reply       Reply
+	earlyAnswer bool
+	prefillDone bool       // prefillDone reports that the server has read the prompt.
+	activeRun   *activeRun // activeRun is nil if the answer cannot be moved.
+	unsolicited bool       // unsolicited reports that the connection delivered data that was not requested.
 
-	began    time.Time // began is when the request was sent.
-	first    time.Time // first is when the first events came; zero before.
-	last     time.Time // last is when the latest events came.
-	pieces   int       // pieces are how often events came.
-	observed bool      // observed says that the answer was counted for a roll-out.
-	left     bool      // left says that the request has left the server.
-	done     bool      // done says that its answer was read to its end.
-	crashes  int       // crashes are how often the server had crashed when the request was sent.
+	sentAt        time.Time // sentAt is when the request was sent.
+	firstEventAt  time.Time // firstEventAt is when the first events arrived; zero before that.
+	lastEventAt   time.Time // lastEventAt is when the latest events arrived.
+	eventReads    int       // eventReads is the number of reads that delivered events.
+	observed      bool      // observed reports that the answer was counted for a rollout.
+	released      bool      // released reports that the server has finished with the request.
+	complete      bool      // complete reports that the answer was read to its end.
+	crashesAtSend int       // crashesAtSend is the server's crash count when the request was sent.
 }
 
-// attempt sends the request to a server. It returns nil when the request is
-// answered, errAgain when another attempt is to follow.
+// attempt sends the request to a server. It returns nil if the request was answered, and
+// errRetry if another attempt is to follow.
 func (x *exchange) attempt() *protocol.Refusal {
-	x.ended()
-	// Each send passes here: the first one, resends, runs that are moved, trials of a version.
-	if refusal := x.refusedHeld(false); refusal != nil {
+	x.reportPlacementEnd()
+	// Every send passes this check: the first attempt, retries, moved runs and rollout
+	// trials.
+	if refusal := x.quarantineRefusal(false); refusal != nil {
 		return x.afterEarlierAttempts(refusal)
 	}
 	server, refusal := x.choose()
@@ -59,63 +61,63 @@
 	}
 	x.server = server.ID
 	if x.continuation == nil {
-		x.avoid = append(x.avoid, server.ID) // A moved run may come back to where it was.
+		x.tried = append(x.tried, server.ID) // A moved run may return to its source.
 	}
 	conn, refusal := x.connect(server)
 	if refusal != nil {
 		return refusal
 	}
-	if refusal := x.refusedHeld(true); refusal != nil { // Another one was tried meanwhile.
+	if refusal := x.quarantineRefusal(true); refusal != nil { // Another send of the same request took the trial in the meantime.
 		conn.Close()
 		return x.afterEarlierAttempts(refusal)
 	}
-	if x.g.words.resting(server.ID) { // It asked for rest while the connection was made.
+	if x.g.feedback.backingOff(server.ID) { // The server asked for backoff while the connection was established.
 		conn.Close()
-		return x.turnedBack()
+		return x.placeAgain()
 	}
-	x.noteAttempt(server, conn)
-	x.sentTo(server)
-	x.g.noteSent(server.ID)
-	t := &try{x: x, server: server, conn: conn, began: time.Now()}
+	x.recordAttempt(server, conn)
+	x.countTrialSend(server)
+	x.g.recordSent(server.ID)
+	t := &serverAttempt{x: x, server: server, conn: conn, sentAt: time.Now()}
 	return t.run()
 }
 
-// connect returns a connection to a server that the request may be sent over, or why
-// there is none.
+// connect returns a connection to a server over which the request may be sent, or the reason
+// why there is none.
 func (x *exchange) connect(server *place.Server) (*backend.Conn, *protocol.Refusal) {
 	conn, err := x.g.pool.Get(server.ID, server.Address, clock.Steady(x.deadline))
 	if errors.Is(err, backend.ErrFull) {
-		return nil, x.noConnection()
+		return nil, x.refuseNoConnection()
 	}
 	if err != nil {
-		x.g.noteConnect(server, 0, true)
+		x.g.recordConnect(server, 0, true)
 		x.distrust(server, true)
-		return nil, x.failed(protocol.NotRun, false, "the server cannot be reached: "+err.Error())
+		return nil, x.afterFailure(protocol.NotRun, false, "the server cannot be reached: "+err.Error())
 	}
-	// A moved run was let in when it began, and is the same one.
-	if x.workspace != nil && !x.route.Open && x.continuation == nil && !x.g.fresh() {
+	// A moved run was authorized when it started, and is still the same run.
+	if x.workspace != nil && !x.route.Open && x.continuation == nil && !x.g.catalogFresh() {
 		conn.Close()
 		return nil, x.afterEarlierAttempts(staleCatalog())
 	}
 	if !conn.Used() {
-		x.g.noteConnect(server, conn.ConnectTime(), false)
+		x.g.recordConnect(server, conn.ConnectTime(), false)
 	}
 	return conn, nil
 }
 
-// noteAttempt counts and logs an attempt that is about to be sent.
-func (x *exchange) noteAttempt(server *place.Server, conn *backend.Conn) {
+// recordAttempt counts and logs an attempt that is about to be sent.
+func (x *exchange) recordAttempt(server *place.Server, conn *backend.Conn) {
 	distance := x.g.distance(server)
 	conn.Count(&x.g.meters.distances.bytes[distance])
 	x.g.meters.distances.attempts[distance].Inc(1)
 	x.log.Info().Str("server", server.ID).Str("domain", server.Domain).Str("region", x.g.cfg.Topology.Region(server.Domain)).
-		Stringer("distance", distance).Int("outstanding", server.Stats.Outstanding()).Bool("placed", x.placed.Server != "").
+		Stringer("distance", distance).Int("outstanding", server.Stats.Outstanding()).Bool("placed", x.placement.Server != "").
 		Uint8("lane", uint8(x.lane)).Int("sent", x.state.Sent).Bool("kept", conn.Used()).
-		Int64("left", x.left().Milliseconds()).Dur("waited", clock.Since(x.start)).Str("go_on", x.copyName()).Msg("attempt")
+		Int64("left", x.timeLeft().Milliseconds()).Dur("waited", clock.Since(x.start)).Str("go_on", x.continuationName()).Msg("attempt")
 }
 
-// afterEarlierAttempts returns a refusal to send the request once more. If an earlier
-// attempt may have run, the refusal must not say not-run.
+// afterEarlierAttempts returns the refusal for a request that is not sent again. If an
+// earlier attempt may have run, the refusal must not claim that the request has not run.
 func (x *exchange) afterEarlierAttempts(refusal *protocol.Refusal) *protocol.Refusal {
 	if !x.state.MayHaveRun {
 		return refusal
@@ -123,34 +125,34 @@
 	return refusal.WithVerdict(protocol.MayHaveRun).WithStatus(protocol.StatusBadGateway)
 }
 
-// distrust notes a failure that speaks against a server.
+// distrust records a failure that counts against a server.
 func (x *exchange) distrust(s *place.Server, hard bool) {
 	if s.Stats.RequestFailed(hard, clock.Now()) {
 		x.log.Warn().Str("server", s.ID).Bool("hard", hard).Int("outstanding", s.Stats.Outstanding()).Msg("server distrusted")
 	}
 }
 
-// trust notes an answer that speaks for a server.
+// trust records a successful answer, which counts in a server's favor.
 func (x *exchange) trust(s *place.Server) {
 	if s.Stats.RequestSucceeded() {
 		x.log.Info().Str("server", s.ID).Msg("server trusted again")
 	}
 }
 
-// failed decides what follows an attempt without an answer that counts.
-func (x *exchange) failed(v protocol.Verdict, reached bool, reason string) *protocol.Refusal {
-	if x.gone.Err() != nil {
+// afterFailure decides what follows a failed attempt: a retry or a refusal.
+func (x *exchange) afterFailure(v protocol.Verdict, reached bool, reason string) *protocol.Refusal {
+	if x.callerCtx.Err() != nil {
 		return callerGone().WithVerdict(v)
 	}
-	if x.movedFailed(v) {
-		return errAgain
+	if x.retryContinuation(v) {
+		return errRetry
 	}
 	next, refusal := resend.Next(x.state, resend.FailedMsg{
 		Verdict:  v,
 		Reached:  reached,
 		Reason:   reason,
-		Budget:   func() bool { return x.g.retries(x.service) },
-		TimeLeft: x.left(),
+		Budget:   func() bool { return x.g.spendRetry(x.service) },
+		TimeLeft: x.timeLeft(),
 		Target:   x.route.Target,
 	})
 	x.state = next
@@ -159,21 +161,21 @@
 	if refusal != nil {
 		return refusal
 	}
-	x.g.meters.resent.Inc(1)
-	return errAgain
+	x.g.meters.retried.Inc(1)
+	return errRetry
 }
 
-func (t *try) run() *protocol.Refusal {
+func (t *serverAttempt) run() *protocol.Refusal {
 	x := t.x
 	x.g.meters.attempts.Inc(1)
 	t.server.Stats.RequestStarted()
-	t.server.Stats.PrefillStarted(x.size)
-	x.takesSlot(t.server.Width())
-	t.beginBytes()
+	t.server.Stats.PrefillStarted(x.relativeSize)
+	x.slotTaken(t.server.Width())
+	t.addBodyInFlight()
 	stop := context.AfterFunc(x.ctx, t.conn.Close)
 	defer func() {
 		stop()
-		t.leave()
+		t.release()
 	}()
 	copyFrom := x.planCopy(t.server)
 	t.track()
@@ -182,54 +184,54 @@
 	x.g.dialect.Attempt(x.out, x.in, Attempt{
 		Server:       t.server.ID,
 		Workspace:    x.workspaceName(),
-		Remaining:    max(time.Millisecond, x.left()-backMargin),
+		Remaining:    max(time.Millisecond, x.timeLeft()-returnMargin),
 		Priority:     x.priority(),
 		CopyFrom:     copyFrom,
-		ContinueFrom: x.copyName(),
-		Weights:      x.copyWeights(),
+		ContinueFrom: x.continuationName(),
+		Weights:      x.continuationWeights(),
 		LastEvent:    x.events.last,
 	})
 	early, err := t.conn.Exchange(x.out, x.resp, clock.Steady(x.deadline).Add(time.Second))
-	t.early = early
+	t.earlyAnswer = early
 	for skipped := 0; err == nil; skipped++ {
 		t.reply = x.g.dialect.Reply(&x.resp.Header)
-		if t.reply.ID == "" || t.reply.ID == x.call.ID || skipped == maxSkipped {
+		if t.reply.ID == "" || t.reply.ID == x.call.ID || skipped == maxSkippedAnswers {
 			break
 		}
-		err = t.skip()
+		err = t.skipAnswer()
 	}
-	if err != nil && t.continuesElsewhere() {
+	if err != nil && t.startContinuation() {
 		t.conn.Close()
-		return errAgain
+		return errRetry
 	}
 	if err != nil {
-		return t.lost(err)
+		return t.answerLost(err)
 	}
-	return t.answered(stop)
+	return t.handleAnswer(stop)
 }
 
-// leave notes once that the server has done with the request: its caller may take the
-// rest of the answer for much longer.
-func (t *try) leave() {
-	if t.left {
+// release records once that the server has finished with the request. The caller may take
+// much longer to read the rest of the answer.
+func (t *serverAttempt) release() {
+	if t.released {
 		return
 	}
-	t.left = true
+	t.released = true
 	t.untrack()
-	t.hasRead()
+	t.markPrefillDone()
 	t.server.Stats.RequestEnded()
-	t.x.givesBack(time.Since(t.began), t.server.Width())
-	t.endBytes()
+	t.x.slotReleased(time.Since(t.sentAt), t.server.Width())
+	t.removeBodyInFlight()
 }
 
-// hasRead notes once that the server need not read the prompt any more.
-func (t *try) hasRead() {
-	if !t.read {
-		t.read = true
-		if t.running != nil {
-			t.running.begun.Store(true)
+// markPrefillDone records once that the server no longer has to read the prompt.
+func (t *serverAttempt) markPrefillDone() {
+	if !t.prefillDone {
+		t.prefillDone = true
+		if t.activeRun != nil {
+			t.activeRun.begun.Store(true)
 		}
-		t.server.Stats.PrefillDone(t.x.size)
+		t.server.Stats.PrefillDone(t.x.relativeSize)
 	}
 }
 
@@ -247,9 +249,9 @@
 	return x.route.Priority
 }
 
-// skip passes over an answer that belongs to another request.
-func (t *try) skip() error {
-	t.extra = true
+// skipAnswer discards an answer that belongs to another request.
+func (t *serverAttempt) skipAnswer() error {
+	t.unsolicited = true
 	body, err := t.conn.Body(t.x.resp)
 	if err != nil {
 		return err
@@ -261,36 +263,36 @@
 	return t.conn.Head(t.x.resp)
 }
 
-// lost ends an attempt whose answer did not come.
-func (t *try) lost(err error) *protocol.Refusal {
+// answerLost ends an attempt whose answer did not arrive.
+func (t *serverAttempt) answerLost(err error) *protocol.Refusal {
 	t.conn.Close()
-	if t.x.gone.Err() != nil {
-		t.callerLeft(time.Now())
+	if t.x.callerCtx.Err() != nil {
+		t.observeCallerGone(time.Now())
 		return callerGone().WithVerdict(protocol.MayHaveRun)
 	}
 	if t.conn.Wrote() {
-		t.failedAnswer()
+		t.observeFailure()
 	}
 	if t.x.ctx.Err() != nil {
-		return t.x.failed(protocol.MayHaveRun, true, "the deadline passed before the answer")
+		return t.x.afterFailure(protocol.MayHaveRun, true, "the deadline passed before the answer")
 	}
 	if !t.conn.Wrote() {
 		t.x.distrust(t.server, true)
-		return t.x.failed(protocol.NotRun, false, "nothing could be sent: "+err.Error())
+		return t.x.afterFailure(protocol.NotRun, false, "the request could not be sent: "+err.Error())
 	}
 	if t.conn.Sent() {
-		// The server read all of it and most likely ran it: of the requests whose answers
-		// are lost, only those that a crash catches before they begin did not run.
-		t.x.count()
+		// The server read the whole request and most likely ran it. Of the requests whose
+		// answers are lost, only those that a crash hits before they start did not run.
+		t.x.countUsage()
 	}
-	t.crashed(err)
-	t.brokeOff(err)
+	t.recordBodyCrash(err)
+	t.recordBrokenConnection(err)
 	t.x.distrust(t.server, false)
-	return t.x.failed(protocol.MayHaveRun, true, "the answer did not come: "+err.Error())
+	return t.x.afterFailure(protocol.MayHaveRun, true, "no answer from the server: "+err.Error())
 }
 
-// answered goes on with the head of an answer.
-func (t *try) answered(stop func() bool) *protocol.Refusal {
+// handleAnswer processes the head of an answer.
+func (t *serverAttempt) handleAnswer(stop func() bool) *protocol.Refusal {
 	x, status := t.x, t.x.resp.StatusCode()
 	if t.reply.Load.Known {
 		t.server.Stats.SetReportedLoad(t.reply.Load.Requests, clock.Now())
@@ -298,70 +300,70 @@
 	x.pace = t.reply.Load.Pace
 	if t.reply.ID != "" && t.reply.ID != x.call.ID {
 		t.conn.Close()
-		t.failedAnswer()
-		return x.failed(protocol.MayHaveRun, true, "the answer belongs to another request")
+		t.observeFailure()
+		return x.afterFailure(protocol.MayHaveRun, true, "the answer belongs to another request")
 	}
 	if !t.reply.Foreign {
-		x.heard(t.server, &t.reply.Feedback)
+		x.applyFeedback(t.server, &t.reply.Feedback)
 	}
 	if t.reply.NotRun {
-		return t.turnedAway(stop)
+		return t.handleNotRun(stop)
 	}
-	if !x.sameWeights(t.reply.Weights) {
+	if !x.weightsMatch(t.reply.Weights) {
 		t.conn.Close()
-		t.failedAnswer()
-		return x.failed(protocol.MayHaveRun, true, "the server goes on with other weights")
+		t.observeFailure()
+		return x.afterFailure(protocol.MayHaveRun, true, "the server continues with a different weight version")
 	}
-	x.movedTaken(status)
-	t.noteWeights(t.reply.Weights)
-	x.notePromptRead(t.server, true)
-	x.count()
+	x.continuationAccepted(status)
+	t.recordWeights(t.reply.Weights)
+	x.recordPrefill(t.server, true)
+	x.countUsage()
 	if x.route.Kind == protocol.RouteStream && status >= 200 && status < 300 {
-		return t.stream(stop)
+		return t.relayStream(stop)
 	}
-	return t.whole(stop)
+	return t.relayWhole(stop)
 }
 
-// count counts the request among those that began to run, once however often it is
-// sent.
-func (x *exchange) count() {
-	if !x.counted {
-		x.counted = true
-		x.g.count(x.workspaceName())
+// countUsage counts the request as one that started to run, once regardless of how often it
+// is sent.
+func (x *exchange) countUsage() {
+	if !x.usageCounted {
+		x.usageCounted = true
+		x.g.countUsage(x.workspaceName())
 	}
 }
 
-// turnedAway goes on after a server proved that it did not run the request.
-func (t *try) turnedAway(stop func() bool) *protocol.Refusal {
+// handleNotRun continues after the server proved that it did not run the request.
+func (t *serverAttempt) handleNotRun(stop func() bool) *protocol.Refusal {
 	status := t.x.resp.StatusCode()
-	t.x.notePromptRead(t.server, false)
-	if t.reply.Foreign && t.x.continuation == nil { // Of a moved run it may say that the weights are others.
+	t.x.recordPrefill(t.server, false)
+	if t.reply.Foreign && t.x.continuation == nil { // For a moved run, this status may also mean that the weights differ.
 		t.x.distrust(t.server, true)
 	}
 	body, err := t.conn.Body(t.x.resp)
 	if err == nil {
-		_, err = io.Copy(io.Discard, io.LimitReader(body, maxAnswer))
+		_, err = io.Copy(io.Discard, io.LimitReader(body, maxAnswerBytes))
 	}
-	t.finish(err == nil, stop)
-	return t.x.failed(protocol.NotRun, true, "the server turned the request away with status "+fasthttp.StatusMessage(status))
+	t.closeOrReuse(err == nil, stop)
+	return t.x.afterFailure(protocol.NotRun, true, "the server rejected the request without running it, status "+fasthttp.StatusMessage(status))
 }
 
-// finish keeps the connection if its answer was read to its end and nothing
-// speaks against it.
-func (t *try) finish(whole bool, stop func() bool) {
-	t.done = whole
-	defer t.leave() // Behind the connection's return, so that the next request finds it.
-	if !whole || t.early || t.extra || t.reply.Close || !stop() {
+// closeOrReuse returns the connection to the pool if its answer was read to the end and the
+// connection is still usable, and closes it otherwise.
+func (t *serverAttempt) closeOrReuse(readToEnd bool, stop func() bool) {
+	t.complete = readToEnd
+	defer t.release() // Runs after the connection is returned to the pool, so that the next request finds it.
+	if !readToEnd || t.earlyAnswer || t.unsolicited || t.reply.Close || !stop() {
 		t.conn.Close()
 		return
 	}
-	t.untrack() // From here on the connection may be another request's.
+	t.untrack() // From here on, another request may use the connection.
 	t.x.g.pool.Put(t.server.ID, t.conn, t.reply.IdleTimeout)
 }
 
-// whole relays an answer that is read to its end before a byte of it is passed
-// on, so that one that breaks off can still become a refusal.
-func (t *try) whole(stop func() bool) *protocol.Refusal {
+// relayWhole reads an answer to its end before passing any of it on, so that a truncated
+// answer can still become a refusal.
+func (t *serverAttempt) relayWhole(stop func() bool) *protocol.Refusal {
 	x, status := t.x, t.x.resp.StatusCode()
 	body, err := t.conn.Body(x.resp)
 	defer x.answer.Free()
@@ -369,38 +371,38 @@
 	if err == nil {
 		data, err = x.readWhole(body, x.resp.Header.ContentLength())
 	}
-	if errors.Is(err, errNoRoom) {
-		return t.noRoomForAnswer()
+	if errors.Is(err, errOutOfMemory) {
+		return t.refuseForAnswerMemory()
 	}
 	if err != nil {
-		return t.lost(err)
+		return t.answerLost(err)
 	}
-	t.finish(true, stop)
-	x.endedWell()
+	t.closeOrReuse(true, stop)
+	x.recordSuccess()
 	failure := status >= 500
 	if failure {
 		t.x.distrust(t.server, false)
-		t.failedAnswer()
+		t.observeFailure()
 	} else {
 		t.x.trust(t.server)
-		t.observe(t.times(time.Now()))
+		t.observe(t.answerTimes(time.Now()))
 	}
-	if x.headed {
-		return x.failed(protocol.MayHaveRun, true, "an answer that had begun got no events any more, but status "+fasthttp.StatusMessage(status))
+	if x.headWritten {
+		return x.afterFailure(protocol.MayHaveRun, true, "the stream had started, but the next server answered with status "+fasthttp.StatusMessage(status))
 	}
-	if promises(status) || t.reply.Encoded || (failure && x.state.Repeatable) {
-		if refusal := x.failed(protocol.MayHaveRun, true, "the server failed with status "+fasthttp.StatusMessage(status)); refusal == errAgain || promises(status) || t.reply.Encoded {
+	if impliesNotRun(status) || t.reply.Encoded || (failure && x.state.Repeatable) {
+		if refusal := x.afterFailure(protocol.MayHaveRun, true, "the server failed with status "+fasthttp.StatusMessage(status)); refusal == errRetry || impliesNotRun(status) || t.reply.Encoded {
 			return refusal
 		}
 	}
-	return x.pass(data)
+	return x.sendWhole(data)
 }
 
-var errTooLarge = errors.New("the answer is too large")
+var errTooLarge = errors.New("answer exceeds the size limit")
 
-// promises reports whether a status tells a caller that its request has not run,
-// which only proof from the server may say.
-func promises(status int) bool {
+// impliesNotRun reports whether a status tells the caller that its request has not run. Only
+// proof from the server justifies such a status.
+func impliesNotRun(status int) bool {
 	switch status {
 	case fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable, fasthttp.StatusRequestTimeout, fasthttp.StatusMisdirectedRequest:
 		return true
@@ -408,25 +410,25 @@
 	return false
 }
 
-// pass writes a whole answer to the caller.
-func (x *exchange) pass(data []byte) *protocol.Refusal {
+// sendWhole writes a complete answer to the caller.
+func (x *exchange) sendWhole(data []byte) *protocol.Refusal {
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	x.g.dialect.Answer(resp, x.resp)
 	resp.SetBodyRaw(data)
-	x.first = clock.Since(x.start)
-	x.note()
+	x.firstByte = clock.Since(x.start)
+	x.recordAnswered()
 	if err := x.answer.Whole(resp); err != nil {
 		x.log.Info().Err(err).Msg("answer not taken")
 	}
 	return nil
 }
 
-// note logs the end of an answered request.
-func (x *exchange) note() {
+// recordAnswered counts and logs an answered request.
+func (x *exchange) recordAnswered() {
 	x.g.meters.answered.Inc(1)
-	x.g.meters.end(outcome{x.routeName(), x.workspaceName(), protocol.Ran})
-	x.g.meters.first.Update(x.first)
+	x.g.meters.countOutcome(outcome{x.routeName(), x.workspaceName(), protocol.Ran})
+	x.g.meters.firstByte.Update(x.firstByte)
 	x.log.Info().Str("outcome", "answered").Str("server", x.server).Int("status", x.resp.StatusCode()).Int("resent", x.state.Sent).
-		Uint64("number", x.index.Number).Int("tokens", x.call.PromptTokens).Float64("pace", float64(x.pace)).Dur("first", x.first).Dur("gap", x.gap).Dur("after", clock.Since(x.start)).Msg("request")
+		Uint64("number", x.index.Number).Int("tokens", x.call.PromptTokens).Float64("pace", float64(x.pace)).Dur("first", x.firstByte).Dur("gap", x.maxGap).Dur("after", clock.Since(x.start)).Msg("request")
 }
--- a/transport/forward/copy.go
+++ b/transport/forward/copy.go
@@ -8,22 +8,23 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// promptMemory is what a gateway knows of where the shared parts of prompts lie.
-type promptMemory struct {
+// promptLocations is what a gateway knows about which servers hold which shared parts of
+// prompts.
+type promptLocations struct {
 	holders    *place.Holders
-	unreported []protocol.Prefill // unreported are readings that the leader does not know of.
-	term       uint64             // term is of the leader whose log of readings is followed,
-	position   uint64             // and position is up to where.
+	unreported []protocol.Prefill // unreported are prefills that the leader has not been told about.
+	term       uint64             // term is the term of the leader whose prefill log is followed.
+	position   uint64             // position is the position in that log up to which entries are known.
 }
 
-// leastCopied is the least number of tokens that are worth a copy from another server:
-// the prefill of fewer takes about as long as asking for them.
-const leastCopied = 64
+// minCopiedTokens is the smallest number of tokens worth copying from another server: for
+// fewer, the prefill takes about as long as requesting the copy.
+const minCopiedTokens = 64
 
-// planCopy notes that a server is sent the prompt, and returns the address of a server
-// that it is to copy shared parts of it from, or none.
+// planCopy records that a server is sent the prompt, and returns the address of the server
+// from which it is to copy shared parts, or an empty string.
 func (x *exchange) planCopy(at *place.Server) (from string) {
-	if x.g.cfg.DisablePromptCopies || x.copyRate() <= 0 || len(x.chain) == 0 || x.continuation != nil {
+	if x.g.cfg.DisablePromptCopies || x.copyRate() <= 0 || len(x.promptChain) == 0 || x.continuation != nil {
 		return ""
 	}
 	g := x.g
@@ -32,15 +33,16 @@
 	now := clock.Now()
 	from = x.copyFrom(at, now)
 	if from != "" {
-		g.meters.copies.Inc(1)
+		g.meters.promptCopies.Inc(1)
 	}
-	x.newLinks = g.prompts.holders.Record(at.ID, x.chain, now)
+	x.newLinks = g.prompts.holders.Record(at.ID, x.promptChain, now)
 	return from
 }
 
-// notePromptRead notes whether the server has read what it was sent. If so the leader is told
-// of what is news, unless it placed the prompt; if not the server is not known to hold it.
-func (x *exchange) notePromptRead(at *place.Server, read bool) {
+// recordPrefill records whether the server has read the prompt that it was sent. If it has,
+// the leader is told of the new parts, unless the leader placed the prompt itself. If not,
+// the server is no longer recorded as holding them.
+func (x *exchange) recordPrefill(at *place.Server, read bool) {
 	if len(x.newLinks) == 0 {
 		return
 	}
@@ -50,45 +52,46 @@
 	switch {
 	case !read:
 		g.prompts.holders.Forget(at.ID, x.newLinks)
-	case x.placed.Server == "":
+	case x.placement.Server == "":
 		g.prompts.unreported = append(g.prompts.unreported, protocol.Prefill{Server: at.ID, Links: x.newLinks})
 	}
 	x.newLinks = nil
 }
 
-// copyFrom finds whom to copy from: the holder that the leader named, or, for a prompt
-// that was placed here, the best one that is known here. It needs g.mu.
+// copyFrom returns the address of the server to copy from: the holder named by the leader or,
+// for a prompt placed locally, the best holder known to this gateway. The caller must hold
+// g.mu.
 func (x *exchange) copyFrom(at *place.Server, now time.Time) string {
 	view := x.g.view.Load()
 	may := func(s *place.Server) bool {
 		return s.ID != at.ID && s.Service == at.Service && s.Version == at.Version && !s.Stats.Suspect(now)
 	}
-	if x.placed.Server != "" {
-		if holder := view.Find(x.placed.Holder); holder != nil && may(holder) {
+	if x.placement.Server != "" {
+		if holder := view.Find(x.placement.Holder); holder != nil && may(holder) {
 			return holder.Address
 		}
 		return ""
 	}
 	holders := x.g.prompts.holders
-	holder, tokens := holders.Find(view, x.chain, at.Domain, may, now)
-	if tokens < holders.HeldTokens(at.ID, x.chain, now)+leastCopied {
+	holder, tokens := holders.Find(view, x.promptChain, at.Domain, may, now)
+	if tokens < holders.HeldTokens(at.ID, x.promptChain, now)+minCopiedTokens {
 		return ""
 	}
 	return view.Find(holder).Address
 }
 
-// reportReadings tells the leader of a term what it does not know, and up to where its
-// log is known here. It needs g.mu.
-func (g *Gateway) reportReadings(term uint64, m *protocol.SyncMsg) {
+// reportPrefills adds to a report the prefills that the leader of a term does not know of,
+// and the position up to which its log is known. The caller must hold g.mu.
+func (g *Gateway) reportPrefills(term uint64, m *protocol.SyncMsg) {
 	if g.prompts.term != term {
 		g.prompts.term, g.prompts.position = term, 0
 	}
 	m.Readings, m.ReadingsAt = g.prompts.unreported, g.prompts.position
-	g.prompts.unreported = nil // What is lost with the message is a hint less.
+	g.prompts.unreported = nil // These are only hints, so losing them with the message does no harm.
 }
 
-// takeReadings takes what the leader of a term tells of its log. It needs g.mu.
-func (g *Gateway) takeReadings(reply *protocol.SyncReply, now time.Time) {
+// applyPrefills applies the entries of the leader's prefill log. The caller must hold g.mu.
+func (g *Gateway) applyPrefills(reply *protocol.SyncReply, now time.Time) {
 	if reply.ReadingsAt == 0 {
 		return
 	}
--- a/transport/forward/crash.go
+++ b/transport/forward/crash.go
@@ -13,108 +13,111 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// crashes are servers whose connections broke, until it is known what that was.
-type crashes struct {
-	mu     sync.Mutex // mu guards all below.
-	broken quarantine.BrokenConnections
-	open   map[string]openEnd // open are the servers that answered a connect behind that.
+// brokenConnections tracks servers whose connections broke until the cause is known.
+type brokenConnections struct {
+	mu         sync.Mutex // mu guards the fields below.
+	broken     quarantine.BrokenConnections
+	unresolved map[string]unresolvedBreak // unresolved are the servers that accepted a connection after the break.
 }
 
-// openEnd are the requests at a server whose connections broke and which answered a
-// connect: it was not at fault, or has started again since.
-type openEnd struct {
+// unresolvedBreak holds the requests at a server whose connections broke, but which then
+// accepted a connection: either it was not at fault, or it has already restarted.
+type unresolvedBreak struct {
 	at   time.Time
 	runs []protocol.ObservedRun
 }
 
-// openKept is for how long it is left open which it was: the platform lists a new start
-// within some seconds.
-const openKept = 10 * time.Second
+// unresolvedTTL is how long a break stays unresolved: the platform lists a new incarnation
+// within a few seconds.
+const unresolvedTTL = 10 * time.Second
 
-// leave leaves open what the requests at a server have to do with its broken connections.
-func (c *crashes) leave(server string, runs []protocol.ObservedRun) {
+// addUnresolved keeps the requests at a server until it is known whether the server
+// restarted.
+func (c *brokenConnections) addUnresolved(server string, runs []protocol.ObservedRun) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.open == nil {
-		c.open = map[string]openEnd{}
+	if c.unresolved == nil {
+		c.unresolved = map[string]unresolvedBreak{}
 	}
 	now := clock.Now()
-	for id, o := range c.open {
-		if now.Sub(o.at) > openKept {
-			delete(c.open, id)
+	for id, o := range c.unresolved {
+		if now.Sub(o.at) > unresolvedTTL {
+			delete(c.unresolved, id)
 		}
 	}
-	c.open[server] = openEnd{at: now, runs: runs}
+	c.unresolved[server] = unresolvedBreak{at: now, runs: runs}
 }
 
-// unsolved returns the requests that were at a start of a server when its connections
-// broke, and forgets them.
-func (c *crashes) unsolved(server string) []protocol.ObservedRun {
+// takeUnresolved removes and returns the requests that were at an incarnation of a server
+// when its connections broke.
+func (c *brokenConnections) takeUnresolved(server string) []protocol.ObservedRun {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	o := c.open[server]
-	delete(c.open, server)
-	if clock.Now().Sub(o.at) > openKept {
+	o := c.unresolved[server]
+	delete(c.unresolved, server)
+	if clock.Now().Sub(o.at) > unresolvedTTL {
 		return nil
 	}
 	return o.runs
 }
 
-// brokeOff notes that the server's connection ended under the request. A server that
-// leaves ends requests for that reason, which says nothing about them; nor does a
-// connection that was closed here, as the server had started again behind a cut.
-func (t *try) brokeOff(err error) {
+// recordBrokenConnection records that the server's connection broke while it had the request.
+// Two causes say nothing about the request and are ignored: the server is leaving, or the
+// gateway closed the connection itself because the server had restarted behind a network
+// partition.
+func (t *serverAttempt) recordBrokenConnection(err error) {
 	if !isCrash(err) || !t.conn.Sent() || t.x.g.leaving(t.server.ID) {
 		return
 	}
 	g, fingerprint := t.x.g, t.x.fingerprint()
 	g.crashes.mu.Lock()
-	first := g.crashes.broken.Add(t.server.ID, fingerprint, t.began)
+	first := g.crashes.broken.Add(t.server.ID, fingerprint, t.sentAt)
 	g.crashes.mu.Unlock()
 	if first {
-		go g.probe(t.server) // It ends within GatherBroken and the limit of a connect.
+		go g.probeBroken(t.server) // It ends within BrokenConnectionWindow plus the connect timeout.
 	}
 }
 
-// leaving reports whether a server is listed as one that leaves.
+// leaving reports whether a server is listed as leaving.
 func (g *Gateway) leaving(id string) bool {
 	s := g.view.Load().Find(id)
 	return s != nil && s.Leaving
 }
 
-// probe finds out whether a server whose connections broke has ended. Only then do the
-// requests there come into question: connections are reset for many other reasons.
-func (g *Gateway) probe(s *place.Server) {
-	broke := time.Now()
+// probeBroken finds out whether a server whose connections broke has terminated. Only then
+// are the requests at it suspects: connections are reset for many other reasons.
+func (g *Gateway) probeBroken(s *place.Server) {
+	brokenAt := time.Now()
 	pause.For(context.Background(), quarantine.BrokenConnectionWindow)
-	presence := tcp.Probe(s.Address, dialTime)
+	presence := tcp.Probe(s.Address, dialTimeout)
 	g.crashes.mu.Lock()
-	runs, names := g.crashes.broken.Take(s.ID, broke)
+	runs, names := g.crashes.broken.Take(s.ID, brokenAt)
 	g.crashes.mu.Unlock()
 	switch presence {
 	case tcp.PresenceEnded:
-		g.meters.serversEnded.Inc(1)
-		g.sawEnd(s.ID, runs)
+		g.meters.serversCrashed.Inc(1)
+		g.recordCrash(s.ID, runs)
 	case tcp.PresenceUp:
-		g.crashes.leave(s.ID, runs)
+		g.crashes.addUnresolved(s.ID, runs)
 	}
 	g.log.Warn().Str("server", s.ID).Str("service", s.Service).Stringer("presence", presence).Int("runs", len(runs)).Strs("fingerprints", names).Msg("connections of a server broke")
 }
 
-// fingerprint returns the request's fingerprint.
+// fingerprint returns the request's fingerprint, computed on first use.
 func (x *exchange) fingerprint() protocol.Fingerprint {
-	if x.print == nil {
-		f := x.request().Fingerprint()
-		x.print = &f
+	if x.cachedFingerprint == nil {
+		f := x.quarantineRequest().Fingerprint()
+		x.cachedFingerprint = &f
 	}
-	return *x.print
+	return *x.cachedFingerprint
 }
 
-// request returns what the request has in common with one that is sent again.
-func (x *exchange) request() *quarantine.Request {
-	who := x.workspaceName()
-	if who == "" {
-		who = x.call.Secret
+// quarantineRequest returns the parts of the request that stay the same when it is sent
+// again.
+func (x *exchange) quarantineRequest() *quarantine.Request {
+	caller := x.workspaceName()
+	if caller == "" {
+		caller = x.call.Secret
 	}
-	return &quarantine.Request{Caller: who, Host: x.call.Host, Path: string(x.in.Header.RequestURI()), Body: x.in.Body()}
+	return &quarantine.Request{Caller: caller, Host: x.call.Host, Path: string(x.in.Header.RequestURI()), Body: x.in.Body()}
 }
--- a/transport/forward/crash_test.go
+++ b/transport/forward/crash_test.go
@@ -12,10 +12,10 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// find waits for a line with a message.
-func (l lines) find(t *testing.T, message string) map[string]any {
+// await waits for a log line with the given message.
+func (l logLines) await(t *testing.T, message string) map[string]any {
 	t.Helper()
-	end := time.After(patience)
+	end := time.After(testTimeout)
 	for {
 		select {
 		case line := <-l:
@@ -24,26 +24,26 @@
 				return fields
 			}
 		case <-end:
-			t.Fatalf("no line says %q", message)
+			t.Fatalf("no log line %q", message)
 		}
 	}
 }
 
-// TestServerThatEndedIsTold checks what a gateway tells of a server whose connection broke
-// under a request: whether its port refuses, and the request's fingerprint, which does not
-// depend on the request's id.
-func TestServerThatEndedIsTold(t *testing.T) {
+// TestBrokenConnectionIsLogged checks the log line for a server whose connection broke while
+// it had a request: whether its port refuses connections, and the request's fingerprint,
+// which does not depend on the request ID.
+func TestBrokenConnectionIsLogged(t *testing.T) {
 	for name, c := range map[string]struct {
 		ends bool
 		want string
 	}{
-		"the server ends":         {true, "ended"},
+		"the server crashes":      {true, "ended"},
 		"the connection is reset": {false, "up"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var prints []any
 			for _, id := range []string{"1", "2"} {
-				w, log := newWorld(t), make(lines, 100)
+				w, log := newTestGateway(t), make(logLines, 100)
 				w.g.log = zerolog.New(log)
 				w.install(protocol.PathRoute{Attempts: 1})
 				var ln net.Listener
@@ -55,14 +55,14 @@
 				})
 				ln = b.listener
 				w.ask("Attempt: " + id)
-				line := log.find(t, "connections of a server broke")
+				line := log.await(t, "connections of a server broke")
 				if line["presence"] != c.want || line["runs"] != float64(1) {
-					t.Errorf("told %v; want presence %s", line, c.want)
+					t.Errorf("logged %v; want presence %s", line, c.want)
 				}
 				prints = append(prints, line["fingerprints"].([]any)[0])
 			}
 			if prints[0] != prints[1] {
-				t.Errorf("two sends of one request have the fingerprints %v", prints)
+				t.Errorf("two sends of one request have different fingerprints: %v", prints)
 			}
 		})
 	}
--- a/transport/forward/dialect.go
+++ b/transport/forward/dialect.go
@@ -8,43 +8,43 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Dialect is what differs between the protocols that callers and backend
-// servers speak. It translates and decides nothing.
+// Dialect translates between the protocols of callers and backend servers. It makes no
+// decisions.
 type Dialect interface {
-	// Call reads what a request says of itself.
+	// Call reads the request's properties from its headers.
 	Call(req *fasthttp.Request) protocol.Call
-	// Attempt makes out the request of one attempt at in; method, path and body
-	// stay as they are.
+	// Attempt builds the request for one attempt from the caller's request in. Method, path
+	// and body stay unchanged.
 	Attempt(out, in *fasthttp.Request, a Attempt)
-	// Reply reads what a server's answer says beside its body.
+	// Reply reads the metadata of a server's answer.
 	Reply(h *fasthttp.ResponseHeader) Reply
-	// Answer makes out the head of a server's answer as the caller gets it.
+	// Answer builds the head of the caller's answer from the server's answer in.
 	Answer(out, in *fasthttp.Response)
-	// Refuse makes out a refusal of the request with an identity.
+	// Refuse builds the answer that refuses the request with the given ID.
 	Refuse(out *fasthttp.Response, id string, r *protocol.Refusal)
 }
 
-// Attempt is one sending of a request to a server.
+// Attempt describes one attempt to send a request to a server.
 type Attempt struct {
-	Server       string        // Server is the one that alone may run it.
-	Workspace    string        // Workspace is the caller's; empty without one.
-	Remaining    time.Duration // Remaining is how long the answer is waited for.
-	Priority     int           // Priority is the rank, 0 first; -1 says none.
+	Server       string        // Server is the only server that may run the request.
+	Workspace    string        // Workspace is the caller's workspace; empty if it has none.
+	Remaining    time.Duration // Remaining is the time left to answer.
+	Priority     int           // Priority is the priority, 0 being the highest; -1 if unset.
 	CopyFrom     string        // CopyFrom is the address of a server that holds a part of the prompt; empty for none.
-	ContinueFrom string        // GoOn names the copy of a run that the server goes on from; empty for none.
-	Weights      string        // Weights is the only version of a model's weights that may go on with the answer; empty for any.
-	LastEvent    string        // LastEvent is the event behind which a stream goes on.
+	ContinueFrom string        // ContinueFrom names the copy of a run from which the server continues; empty for none.
+	Weights      string        // Weights is the only version of the model's weights that may continue the answer; empty for any.
+	LastEvent    string        // LastEvent is the ID of the event after which the stream continues.
 }
 
-// Reply is what an answer says beside its body.
+// Reply is the metadata of a server's answer.
 type Reply struct {
-	ID          string // ID names the request that the answer belongs to.
-	NotRun      bool   // NotRun says that the server proved not to have run it.
-	Foreign     bool   // Foreign says that another server has the address.
+	ID          string // ID identifies the request that the answer belongs to.
+	NotRun      bool   // NotRun reports that the server proved that it did not run the request.
+	Foreign     bool   // Foreign reports that the address now belongs to another server.
 	Load        protocol.ReportedLoad
-	IdleTimeout time.Duration // Keeps is how long the connection may rest; 0 where it is not said.
-	Close       bool          // Close says that the server ends the connection.
-	Weights     string        // Weights is the version of the model's weights that makes the answer; empty where it is not said.
-	Encoded     bool          // Encoded says that the body is not what the server made.
+	IdleTimeout time.Duration // IdleTimeout is how long the server keeps the connection idle; 0 if unknown.
+	Close       bool          // Close reports that the server closes the connection.
+	Weights     string        // Weights is the version of the model's weights that produces the answer; empty if unknown.
+	Encoded     bool          // Encoded reports that the body was transformed after the server produced it.
 	Feedback    protocol.ServerFeedback
 }
--- a/transport/forward/dump.go
+++ b/transport/forward/dump.go
@@ -1,12 +1,12 @@
 package forward
 
-// PromptMemoryDump is what a gateway tells of prompt memory on request.
+// PromptMemoryDump is the diagnostic view of prompt memory in a gateway.
 type PromptMemoryDump struct {
-	Links int       `json:"links"` // Links are the parts of prompts whose holders are remembered.
-	Moves []MoveRow `json:"moves"` // Moves are the answers that are being moved.
+	Links int       `json:"links"` // Links is the number of prompt parts whose holders are known.
+	Moves []MoveRow `json:"moves"` // Moves are the answers being moved.
 }
 
-// MoveRow is one answer that is being moved.
+// MoveRow describes one answer being moved.
 type MoveRow struct {
 	Request string `json:"request"`
 	Server  string `json:"server"`
@@ -16,7 +16,7 @@
 	AgeMS   int64  `json:"age_ms"`
 }
 
-// DumpMemory returns what is known of prompt memory.
+// DumpMemory returns the diagnostic view of prompt memory.
 func (g *Gateway) DumpMemory() PromptMemoryDump {
 	d := PromptMemoryDump{Moves: []MoveRow{}}
 	g.mu.Lock()
@@ -28,7 +28,7 @@
 	for _, runs := range m.runs {
 		for r := range runs {
 			r.mu.Lock()
-			if !r.moveBegan.IsZero() {
+			if !r.moveStartedAt.IsZero() {
 				d.Moves = append(d.Moves, MoveRow{Request: r.call.ID, Server: r.server.ID, Target: r.state.Target, Phase: r.state.Phase.String(), Tokens: r.call.PromptTokens, AgeMS: r.since().Milliseconds()})
 			}
 			r.mu.Unlock()
--- a/transport/forward/event.go
+++ b/transport/forward/event.go
@@ -5,56 +5,56 @@
 	"strconv"
 )
 
-// events cuts a stream of server-sent events into whole events. What a server
-// left unfinished when it broke off never reaches the caller, so another one
-// can go on behind the last whole event.
+// events splits a stream of server-sent events at event boundaries. An event that a server
+// left incomplete when its stream broke never reaches the caller, so another server can
+// resume after the last complete event.
 type events struct {
-	rest []byte
-	last string // last is the id of the last whole event, empty before the first.
-	seen bool   // seen says that an event came.
-	bare bool   // bare says that one with data and without an id came: no server can be told to go on behind it.
+	partial   []byte
+	last      string // last is the ID of the last complete event; empty before the first.
+	hasLast   bool   // hasLast reports that an event with an ID was seen.
+	withoutID bool   // withoutID reports that an event with data but no ID was seen: no server can be told where to resume.
 }
 
-// take adds what was read and returns the whole events, which are valid until
-// the next call. An event whose id is not above the last one is left out: it
-// was passed on before.
-func (e *events) take(p []byte) []byte {
-	e.rest = append(e.rest, p...)
-	end := lastBoundary(e.rest)
+// append adds data from the stream and returns the events that are now complete. The result
+// is valid until the next call. Events whose ID is not after the last one are dropped, as
+// they were passed on before.
+func (e *events) append(p []byte) []byte {
+	e.partial = append(e.partial, p...)
+	end := lastBoundary(e.partial)
 	if end == 0 {
 		return nil
 	}
-	whole := e.rest[:end]
+	whole := e.partial[:end]
 	out := whole[:0:0]
 	for len(whole) > 0 {
 		n := firstBoundary(whole)
 		event := whole[:n]
 		whole = whole[n:]
-		if e.passes(event) {
+		if e.accept(event) {
 			out = append(out, event...)
 		}
 	}
-	e.rest = append(e.rest[:0:0], e.rest[end:]...)
+	e.partial = append(e.partial[:0:0], e.partial[end:]...)
 	return out
 }
 
-// passes notes an event and reports whether it is a new one.
-func (e *events) passes(event []byte) bool {
+// accept records an event and reports whether it is new.
+func (e *events) accept(event []byte) bool {
 	id, ok := eventID(event)
 	if !ok {
-		e.bare = e.bare || hasData(event)
+		e.withoutID = e.withoutID || hasData(event)
 		return true
 	}
-	if e.seen && !above(id, e.last) {
+	if e.hasLast && !isAfter(id, e.last) {
 		return false
 	}
-	e.last, e.seen = id, true
+	e.last, e.hasLast = id, true
 	return true
 }
 
-// above reports whether an event's id is behind another one. Ids that are no
-// numbers only have to differ.
-func above(id, last string) bool {
+// isAfter reports whether an event ID comes after another one. IDs that are not numbers only
+// have to differ.
+func isAfter(id, last string) bool {
 	a, errA := strconv.ParseUint(id, 10, 64)
 	b, errB := strconv.ParseUint(last, 10, 64)
 	if errA == nil && errB == nil {
@@ -63,7 +63,7 @@
 	return id != last
 }
 
-// eventID returns the id line of an event.
+// eventID returns the value of an event's id field.
 func eventID(event []byte) (string, bool) {
 	for line := range bytes.Lines(event) {
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -82,7 +82,7 @@
 	return false
 }
 
-// firstBoundary returns the length of the first event with its empty line.
+// firstBoundary returns the length of the first event, including its blank line.
 func firstBoundary(p []byte) int {
 	lf, crlf := bytes.Index(p, []byte("\n\n")), bytes.Index(p, []byte("\r\n\r\n"))
 	switch {
@@ -94,7 +94,7 @@
 	return crlf + len("\r\n\r\n")
 }
 
-// lastBoundary returns the length of all whole events at the front of p.
+// lastBoundary returns the length of all complete events at the start of p.
 func lastBoundary(p []byte) int {
 	lf, crlf := bytes.LastIndex(p, []byte("\n\n")), bytes.LastIndex(p, []byte("\r\n\r\n"))
 	end := 0
--- a/transport/forward/exchange.go
+++ b/transport/forward/exchange.go
@@ -15,68 +15,68 @@
 	"github.com/weldstream/weldstream/transport/caller"
 )
 
-// exchange carries one request. One goroutine runs it.
+// exchange handles one request. It is used by one goroutine.
 type exchange struct {
-	g      *Gateway
-	ctx    context.Context // ctx ends when the caller hangs up, or at the deadline.
-	cancel context.CancelFunc
-	gone   context.Context // gone ends when the caller hangs up.
-	in     *fasthttp.Request
-	out    *fasthttp.Request
-	resp   *fasthttp.Response // resp is the server's answer.
-	answer *caller.Answer
-	call   protocol.Call
-	log    zerolog.Logger
+	g         *Gateway
+	ctx       context.Context // ctx ends when the caller disconnects or the deadline passes.
+	cancel    context.CancelFunc
+	callerCtx context.Context // callerCtx ends when the caller disconnects.
+	in        *fasthttp.Request
+	out       *fasthttp.Request
+	resp      *fasthttp.Response // resp is the server's answer.
+	answer    *caller.Answer
+	call      protocol.Call
+	log       zerolog.Logger
 
-	index     *Index
-	route     *protocol.PathRoute
-	workspace *protocol.WorkspaceSpec // workspace is nil on a route that needs none.
-	service   string
-	prefix    uint64
-	chain     []protocol.PromptLink // chain are the shared parts of the prompt.
-	newLinks  []uint32              // newLinks are the links that the present server was not known to hold.
-	lane      place.Lane
-	parts     protocol.LaneShares // parts say how the servers are parted between the lanes.
-	size      float64             // size is the prompt's length as a multiple of the mean one.
-	start     time.Time
-	deadline  time.Time
+	index        *Index
+	route        *protocol.PathRoute
+	workspace    *protocol.WorkspaceSpec // workspace is nil on a route that needs none.
+	service      string
+	prefix       uint64
+	promptChain  []protocol.PromptLink // promptChain identifies the shared parts of the prompt.
+	newLinks     []uint32              // newLinks are the links that the current server was not known to hold.
+	lane         place.Lane
+	laneShares   protocol.LaneShares // laneShares says how the servers are divided between the lanes.
+	relativeSize float64             // relativeSize is the prompt's length relative to the mean length.
+	start        time.Time
+	deadline     time.Time
 
-	placed       protocol.PlaceReply // placed is the place that the leader gave for the current attempt.
-	state        resend.State
-	continuation *continuation // continuation is where the run goes on with its memory; nil for none.
-	avoid        []string
-	closed       []string // closed are servers that do not take the attempt that is being placed: they rest, leave, or limit their requests.
-	credited     bool     // credited says that a credit of a roll-out's trial was taken for it.
-	events       events
-	print        *protocol.Fingerprint // print is the request's fingerprint, once it was asked for.
-	quick        uint64                // quick is its quick hash, once it was asked for.
-	counted      bool                  // counted says that the request was counted as one that began to run.
-	headed       bool                  // headed says that the head of the answer was written.
-	server       string
+	placement         protocol.PlaceReply // placement is the leader's placement for the current attempt.
+	state             resend.State
+	continuation      *continuation // continuation is where a moved run continues; nil for none.
+	tried             []string
+	unavailable       []string // unavailable are servers that do not accept the current attempt: they asked for backoff, are leaving, or are at their limit.
+	trialCredited     bool     // trialCredited reports that a credit of a rollout trial was spent on the attempt.
+	events            events
+	cachedFingerprint *protocol.Fingerprint // cachedFingerprint is the request's fingerprint; nil until first used.
+	cachedQuickHash   uint64                // cachedQuickHash is the request's quick hash; 0 until first used.
+	usageCounted      bool                  // usageCounted reports that the request was counted as started.
+	headWritten       bool                  // headWritten reports that the head of the answer was written.
+	server            string
 
-	pace    protocol.Slowdown // pace is that of the server that answered last.
-	first   time.Duration     // first is from the start to the first byte of the answer.
-	pieceAt time.Time         // pieceAt is when the last events were passed on.
-	gap     time.Duration     // gap is the longest pause between two of them.
+	pace      protocol.Slowdown // pace is the slowdown reported by the server that answered last.
+	firstByte time.Duration     // firstByte is the time from the start to the first byte of the answer.
+	eventsAt  time.Time         // eventsAt is when the last events were passed on.
+	maxGap    time.Duration     // maxGap is the longest pause between events.
 }
 
 func newExchange(ctx context.Context, g *Gateway, req *fasthttp.Request, a *caller.Answer) *exchange {
 	return &exchange{
-		g:      g,
-		gone:   ctx,
-		ctx:    ctx,
-		cancel: func() {},
-		in:     req,
-		out:    fasthttp.AcquireRequest(),
-		resp:   fasthttp.AcquireResponse(),
-		answer: a,
-		start:  clock.Now(),
+		g:         g,
+		callerCtx: ctx,
+		ctx:       ctx,
+		cancel:    func() {},
+		in:        req,
+		out:       fasthttp.AcquireRequest(),
+		resp:      fasthttp.AcquireResponse(),
+		answer:    a,
+		start:     clock.Now(),
 	}
 }
 
 func (x *exchange) release() {
 	x.cancel()
-	x.ended()
+	x.reportPlacementEnd()
 	x.dropContinuation()
 	fasthttp.ReleaseRequest(x.out)
 	fasthttp.ReleaseResponse(x.resp)
@@ -92,37 +92,37 @@
 		x.refuse(refusal)
 		return
 	}
-	x.arrived()
+	x.recordArrival()
 	for {
 		refusal := x.attempt()
 		if refusal == nil {
 			return
 		}
-		if refusal != errAgain {
+		if refusal != errRetry {
 			x.refuse(refusal)
 			return
 		}
 	}
 }
 
-// stopRetry is when a caller may come back to another gateway.
-const stopRetry = 10 * time.Millisecond
+// shutdownRetryAfter is the delay after which a caller may retry at another gateway.
+const shutdownRetryAfter = 10 * time.Millisecond
 
-// errAgain asks for another attempt. It never reaches a caller.
-var errAgain = &protocol.Refusal{}
+// errRetry requests another attempt. It never reaches a caller.
+var errRetry = &protocol.Refusal{}
 
-// admit finds out what the request is, and whether it may go on.
+// admit resolves the request's route and workspace, and decides whether it may proceed.
 func (x *exchange) admit() *protocol.Refusal {
 	if x.g.closed.Load() {
-		return protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeLeaving, "the gateway is stopping").WithRetryAfter(stopRetry)
+		return protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeLeaving, "the gateway is shutting down").WithRetryAfter(shutdownRetryAfter)
 	}
-	if !x.g.await(x.ctx, x.g.known, x.patience()) {
-		return protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeNotReady, "no configuration is known yet").WithRetryAfter(x.g.untilReady())
+	if !x.g.await(x.ctx, x.g.configured, x.startupWait()) {
+		return protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeNotReady, "the gateway has no configuration yet").WithRetryAfter(x.g.readyRetryAfter())
 	}
 	x.index = x.g.index.Load()
 	x.route = x.index.Route(x.call.Host, x.call.Path)
 	if x.route == nil {
-		return protocol.NewRefusal(fasthttp.StatusNotFound, protocol.CodeNotFound, "no route has this host and path")
+		return protocol.NewRefusal(fasthttp.StatusNotFound, protocol.CodeNotFound, "no route matches this host and path")
 	}
 	if refusal := x.authenticate(); refusal != nil {
 		return refusal
@@ -131,19 +131,19 @@
 	x.service = Split(x.route, x.call.ID)
 	if x.route.Affinity {
 		x.prefix = place.Prefix(x.call.Prefix)
-		x.chain = place.Chain(x.call.Prefix)
+		x.promptChain = place.Chain(x.call.Prefix)
 	}
 	x.state = resend.State{Repeatable: x.route.Repeatable(), MaxServers: max(1, x.route.Attempts)}
 	if x.call.LastEvent != "" {
-		x.events.last, x.events.seen = x.call.LastEvent, true
+		x.events.last, x.events.hasLast = x.call.LastEvent, true
 	}
-	if refusal := x.refusedHeld(false); refusal != nil {
-		return refusal // Ahead of the quota, which it is not to use up.
+	if refusal := x.quarantineRefusal(false); refusal != nil {
+		return refusal // Checked before the quota, so that it does not consume any.
 	}
 	if x.workspace == nil {
 		return nil
 	}
-	return x.take(x.call.Cost(x.workspace))
+	return x.takeQuota(x.call.Cost(x.workspace))
 }
 
 func (x *exchange) routeName() string {
@@ -162,25 +162,25 @@
 	if x.route.Open {
 		return nil
 	}
-	if !x.g.await(x.ctx, x.g.fresh, x.patience()) {
+	if !x.g.await(x.ctx, x.g.catalogFresh, x.startupWait()) {
 		return staleCatalog()
 	}
-	x.index = x.g.index.Load() // It may be a newer one by now.
+	x.index = x.g.index.Load() // A newer catalog may have arrived during the wait.
 	x.workspace = x.index.Workspace(x.call.Secret)
 	if x.workspace == nil {
-		return protocol.NewRefusal(fasthttp.StatusUnauthorized, protocol.CodeUnauthorized, "the workspace key is not known")
+		return protocol.NewRefusal(fasthttp.StatusUnauthorized, protocol.CodeUnauthorized, "unknown workspace key")
 	}
 	return nil
 }
 
-// patience is how long the request may wait for the gateway itself: a part of
-// what its caller waits.
-func (x *exchange) patience() time.Duration {
-	const part = 4
+// startupWait is how long the request may wait for the gateway itself: a fraction of the
+// caller's remaining time.
+func (x *exchange) startupWait() time.Duration {
+	const fraction = 4
 	if x.call.Remaining <= 0 {
-		return startupWait
+		return maxStartupWait
 	}
-	return x.call.Remaining / part
+	return x.call.Remaining / fraction
 }
 
 func staleCatalog() *protocol.Refusal {
@@ -188,10 +188,10 @@
 }
 
 func callerGone() *protocol.Refusal {
-	return protocol.NewRefusal(protocol.StatusClientClosed, protocol.CodeCallerGone, "the caller hung up")
+	return protocol.NewRefusal(protocol.StatusClientClosed, protocol.CodeCallerGone, "the caller disconnected")
 }
 
-// setDeadline bounds the request by what the caller waits and the route allows.
+// setDeadline bounds the request by the caller's remaining time and the route's timeout.
 func (x *exchange) setDeadline() {
 	limit := x.route.Timeout
 	if x.call.Remaining > 0 {
@@ -199,59 +199,59 @@
 	}
 	x.deadline = x.start.Add(limit)
 	x.answer.Until(clock.Steady(x.deadline))
-	x.ctx, x.cancel = context.WithTimeout(x.gone, x.left())
+	x.ctx, x.cancel = context.WithTimeout(x.callerCtx, x.timeLeft())
 }
 
-func (x *exchange) left() time.Duration { return clock.Until(x.deadline) }
+func (x *exchange) timeLeft() time.Duration { return clock.Until(x.deadline) }
 
-// refuse ends the request with a refusal, or cuts an answer that has begun.
+// refuse ends the request with a refusal, or cuts off an answer that has started.
 func (x *exchange) refuse(r *protocol.Refusal) {
 	x.g.meters.refused.Inc(1)
-	x.g.meters.end(outcome{x.routeName(), x.workspaceName(), r.Verdict})
+	x.g.meters.countOutcome(outcome{x.routeName(), x.workspaceName(), r.Verdict})
 	x.log.Info().Str("outcome", "refused").Str("code", string(r.Code)).Stringer("verdict", r.Verdict).Int("status", r.Status).
-		Str("reason", r.Message).Str("server", x.server).Int("sent", x.state.Sent).Dur("after", clock.Since(x.start)).Bool("cut", x.headed).Msg("request")
-	if x.headed || x.gone.Err() != nil {
-		return // The connection is cut: the answer must not look whole.
+		Str("reason", r.Message).Str("server", x.server).Int("sent", x.state.Sent).Dur("after", clock.Since(x.start)).Bool("cut", x.headWritten).Msg("request")
+	if x.headWritten || x.callerCtx.Err() != nil {
+		return // The connection is cut, so that the answer does not look complete.
 	}
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	x.g.dialect.Refuse(resp, x.call.ID, r)
-	_ = x.answer.Whole(resp) // A caller that is gone takes no answer.
+	_ = x.answer.Whole(resp) // A disconnected caller takes no answer.
 }
 
-// leaderPlace asks the leader for a server for a long prompt.
-func (x *exchange) leaderPlace(view *place.View) *place.Server {
+// leaderPlacement asks the leader to choose a server for a long prompt.
+func (x *exchange) leaderPlacement(view *place.View) *place.Server {
 	if x.lane != place.LaneLong {
 		return nil
 	}
-	reply, ok := x.g.place(protocol.PlaceMsg{
+	reply, ok := x.g.requestPlacement(protocol.PlaceMsg{
 		Service: x.service,
 		Prompt:  x.call.PromptTokens,
 		Shared:  x.call.SharedTokens(),
 		Answer:  x.call.AnswerTokens,
 		Prefix:  x.prefix,
-		Chain:   x.chain,
+		Chain:   x.promptChain,
 		Domain:  x.g.cfg.Domain,
 		Avoid:   x.excluded(),
 		Copies:  x.promptCopyRate(),
-		Parts:   x.parts,
+		Parts:   x.laneShares,
 		Target:  x.route.Target,
 		Gap:     x.route.TargetGap,
 	})
 	if !ok {
 		return nil
 	}
-	x.placed = reply
+	x.placement = reply
 	s := view.Find(reply.Server)
 	if s == nil || s.Leaving || s.Stats.Suspect(clock.Now()) {
-		x.ended()
+		x.reportPlacementEnd()
 		return nil
 	}
 	return s
 }
 
-// copyRate is how many tokens a millisecond a server of the service copies from
-// another one; 0 where it cannot.
+// copyRate is the number of tokens per millisecond that a server of the service copies from
+// another one; 0 if it cannot.
 func (x *exchange) copyRate() float64 {
 	if spec := x.index.Service(x.service); spec != nil {
 		return spec.CopyRate
@@ -259,8 +259,8 @@
 	return 0
 }
 
-// promptCopyRate is copyRate for the shared parts of prompts; 0 where the settings switch
-// their copies off.
+// promptCopyRate is copyRate for shared parts of prompts; 0 if the settings disable their
+// copies.
 func (x *exchange) promptCopyRate() float64 {
 	if x.g.cfg.DisablePromptCopies {
 		return 0
@@ -268,13 +268,13 @@
 	return x.copyRate()
 }
 
-// choose returns a server to send to.
+// choose returns the server for the next attempt.
 func (x *exchange) choose() (*place.Server, *protocol.Refusal) {
-	if s := x.movedTo(); s != nil {
+	if s := x.continuationServer(); s != nil {
 		x.g.forcePermit(s.ID)
 		return s, nil
 	}
-	return x.permitted(x.pick)
+	return x.choosePermitted(x.pick)
 }
 
 // pick returns the server that suits the request best.
@@ -287,36 +287,36 @@
 		Rand:           rand.Uint64(),
 		Avoid:          x.excluded(),
 		Lane:           x.lane,
-		Parts:          x.parts,
+		Parts:          x.laneShares,
 		Brief:          x.route.Repeatable(),
-		MaxOutstanding: x.most(),
+		MaxOutstanding: x.maxOutstanding(),
 		Now:            clock.Now(),
 	}
 	if s := x.chooseTrial(view, m); s != nil {
 		return s, nil
 	}
-	if s := x.leaderPlace(view); s != nil {
+	if s := x.leaderPlacement(view); s != nil {
 		return s, nil
 	}
 	i, ok := place.Choose(view, m)
 	if !ok && len(x.fullServers()) > 0 {
-		return nil, x.noRoomAtServers()
+		return nil, x.refuseServersFull()
 	}
 	if !ok {
-		return nil, protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeNoBackend, "no server of the service can take the request").WithRetryAfter(resend.RetryAfter(x.route.Target))
+		return nil, protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeNoBackend, "no server of the service can accept the request").WithRetryAfter(resend.RetryAfter(x.route.Target))
 	}
 	return &view.Servers[i], nil
 }
 
-// connectionPart of a server's connections is shared out between gateways: the
-// rest is for those that do not know of one another yet.
-const connectionPart = 0.8
+// connectionFraction is the fraction of a server's connections that is divided between the
+// known gateways. The rest is for gateways that do not know of each other yet.
+const connectionFraction = 0.8
 
-// most is how many requests of this gateway one server may have.
-func (x *exchange) most() int {
+// maxOutstanding is how many requests of this gateway one server may have; 0 for no bound.
+func (x *exchange) maxOutstanding() int {
 	spec := x.index.Service(x.service)
 	if spec == nil || spec.Connections == 0 {
 		return 0
 	}
-	return max(2, int(connectionPart*float64(spec.Connections))/int(x.g.gateways.Load()))
+	return max(2, int(connectionFraction*float64(spec.Connections))/int(x.g.gateways.Load()))
 }
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -1,19 +1,19 @@
-// Package forward carries requests that came by host and path from a caller to
-// a backend server and the answer back, with method, path and body unchanged.
+// Package forward routes requests by host and path from callers to backend servers
+// and relays the answers, with method, path and body unchanged.
 //
-// One request is one [exchange]: it resolves the route and the workspace, takes
-// from the quota, and makes attempts until one succeeds or none may follow. What
-// differs between protocols is behind [Dialect]; what is decided is in the pure
-// packages under coordination: place chooses servers, quota and retry bound what
-// all gateways do together, resend says what may follow a failed attempt.
+// An [exchange] handles one request: it resolves the route and the workspace, takes
+// units from the quota, and makes attempts until one succeeds or no further one is
+// allowed. A [Dialect] covers the differences between protocols. Decisions are made by
+// the pure packages under coordination: place chooses servers, quota and retry bound
+// what all gateways do together, and resend decides what may follow a failed attempt.
 //
 //	caller ─► Serve ─► resolve ─► limits ─► attempt ─► relay ─► caller
 //	                                           ▲          │
 //	                                           └─ resend ◄┘
 //
-// Shared state and its locks, taken in this order: Gateway.listing, Gateway.mu (limits),
-// then a cell's own, that of the moves, of the servers' words or of the quarantine. The catalog and the view of servers are immutable and read through
-// atomic pointers.
+// Locks are taken in this order: Gateway.viewMu, Gateway.mu (limits), then the lock of a
+// server's statistics, of runMoves, of feedbackState or of quarantineState. The catalog
+// and the view of servers are immutable and read through atomic pointers.
 package forward
 
 import (
@@ -41,124 +41,124 @@
 	"github.com/weldstream/weldstream/transport/caller"
 )
 
-// Config bounds a gateway.
+// Config configures a gateway.
 type Config struct {
-	Name                string             // Name is the gateway's among all instances.
-	Domain              string             // Domain is its failure domain.
-	Topology            *topology.Topology // Topology tells the regions of the domains; nil where all lie in one.
-	KeyRevocationBound  time.Duration      // Revoke is within what a key that was taken away is refused; 0 sets no bound.
-	RetryRatio          float64            // RetryRatio is the part of the requests of a window that all gateways may send again.
-	RetryExtra          float64            // RetryExtra are retries in a window besides, of all gateways.
+	Name                string             // Name is the gateway's name, unique among all instances.
+	Domain              string             // Domain is the gateway's failure domain.
+	Topology            *topology.Topology // Topology maps failure domains to regions; nil if all are in one region.
+	KeyRevocationBound  time.Duration      // KeyRevocationBound is the time within which a revoked key must be refused; 0 for no bound.
+	RetryRatio          float64            // RetryRatio is the fraction of the requests in a window that all gateways together may retry.
+	RetryExtra          float64            // RetryExtra is the number of retries in a window that all gateways together may make in addition.
 	RetryWindow         time.Duration
-	QuotaWindow         time.Duration // QuotaWindow is the window in which quotas are bounded.
-	UsageWindow         time.Duration // UsageWindow is the length of a window of usage reports.
-	UsageReportDelay    time.Duration // UsageDue is how long after a window its report is due.
-	DisablePromptCopies bool          // NoCopies has no server copy shared parts of prompts from another one.
-	MoveLead            time.Duration // MoveAhead is how long before the end of a leaving server its answers are moved; 0 for as soon as it is known.
-	MaxConnections      int           // Connections bounds those to all servers together; 0 sets no bound.
-	SocketBuffer        int           // Socket is what the kernel may keep of a server's connection each way, in bytes; 0 leaves it to the kernel.
+	QuotaWindow         time.Duration // QuotaWindow is the window over which quotas are bounded.
+	UsageWindow         time.Duration // UsageWindow is the length of a usage report's window.
+	UsageReportDelay    time.Duration // UsageReportDelay is how long after the end of a window its report is due.
+	DisablePromptCopies bool          // DisablePromptCopies stops servers from copying shared parts of prompts from each other.
+	MoveLead            time.Duration // MoveLead is how long before a leaving server ends its answers are moved; 0 for as soon as its departure is known.
+	MaxConnections      int           // MaxConnections bounds the connections to all servers together; 0 for no bound.
+	SocketBuffer        int           // SocketBuffer is the size in bytes of the kernel's buffer for each direction of a server's connection; 0 for the kernel's default.
 }
 
-// Gateway forwards requests.
+// Gateway forwards requests to backend servers.
 type Gateway struct {
-	cfg       Config
-	dialect   Dialect
-	log       zerolog.Logger
-	meters    *meters
-	pool      *backend.Pool
-	syncNow   func() // syncNow has the control role asked at once.
-	quotaNow  func() // quotaNow has the leader asked at once for parts of quotas; nil where they go with the other questions.
-	limitsNow func() // limitsNow has the leader asked for permits at once.
-	place     func(protocol.PlaceMsg) (protocol.PlaceReply, bool)
-
-	index     atomic.Pointer[Index]
-	view      atomic.Pointer[place.View]
-	began     time.Time
-	confirmed atomic.Int64 // confirmed is when the catalog was known to be the newest, since began; 0 for never.
-	gateways  atomic.Int64
-	paths     paths
-	inFlight  sync.Map    // inFlight are the bytes at servers, a *inFlight by service.
-	closed    atomic.Bool // closed refuses new requests: the gateway ends soon.
-
-	moves       moves
-	crashes     crashes
-	quarantined quarantined
-	words       words
-
-	listing sync.Mutex // listing is held while the view is renewed: by the link to the leader, or by a notice.
-
-	mu        sync.Mutex // mu guards all below.
-	allowance *quota.Allowance
-	apart     bool          // apart says that parts of quotas are not asked for with the other questions.
-	granted   chan struct{} // granted is closed and replaced when grants arrive.
-	news      chan struct{} // news is closed and replaced when anything arrives from the control role.
-	shares    map[string]*retry.Share
-	counter   *usage.Counter
-	clock     *usage.Clock
-	pressure  map[string]*pressure
-	prompts   promptMemory
-	done      []protocol.PlaceDone // done are placed requests whose end is to be reported.
-	listed    []protocol.Instance  // listed are the servers of the last list.
-	starts    place.Incarnations   // starts are the newest ones of the servers.
-	rolled    uint64               // rolled is the change of the roll-outs that the gateway keeps to; 0 before the first.
-	rollouts  []protocol.Rollout
-	trials    map[string]*trial // trials are the roll-outs that run, by service.
-	unplaced  []string          // unplaced are domains of servers that have no region though there are several.
+	cfg              Config
+	dialect          Dialect
+	log              zerolog.Logger
+	meters           *meters
+	pool             *backend.Pool
+	triggerSync      func() // triggerSync starts a sync with the control role at once.
+	triggerQuota     func() // triggerQuota asks the leader for quota at once; nil if quota is part of the sync.
+	triggerLimits    func() // triggerLimits asks the leader for permits at once.
+	requestPlacement func(protocol.PlaceMsg) (protocol.PlaceReply, bool)
+
+	index      atomic.Pointer[Index]
+	view       atomic.Pointer[place.View]
+	startedAt  time.Time
+	confirmed  atomic.Int64 // confirmed is when the catalog was last known to be the newest, relative to startedAt; 0 for never.
+	gateways   atomic.Int64
+	roundTrips domainRoundTrips
+	inFlight   sync.Map    // inFlight holds the body bytes at servers, as an *inFlight for each service.
+	closed     atomic.Bool // closed makes the gateway refuse new requests, as it is about to stop.
+
+	moves      runMoves
+	crashes    brokenConnections
+	quarantine quarantineState
+	feedback   feedbackState
+
+	viewMu sync.Mutex // viewMu is held while the view is rebuilt, by the link to the leader or after a departure notice.
+
+	mu                 sync.Mutex // mu guards the fields below.
+	allowance          *quota.Allowance
+	separateQuota      bool          // separateQuota reports that quota is requested by calls of its own instead of the sync.
+	grantsReceived     chan struct{} // grantsReceived is closed and replaced when grants arrive.
+	updated            chan struct{} // updated is closed and replaced when the control role confirms the catalog.
+	retryShares        map[string]*retry.Share
+	usageCounter       *usage.Counter
+	clock              *usage.Clock
+	pressure           map[string]*pressure
+	prompts            promptLocations
+	finishedPlacements []protocol.PlaceDone // finishedPlacements are placed requests whose end is to be reported.
+	instances          []protocol.Instance  // instances are the servers in the latest list.
+	incarnations       place.Incarnations   // incarnations are the newest known incarnations of the servers.
+	rolloutChange      uint64               // rolloutChange is the change number of the rollouts in effect; 0 before the first.
+	rollouts           []protocol.Rollout
+	trials             map[string]*trial // trials are the running rollouts by service.
+	unplaced           []string          // unplaced are the failure domains of servers that have no region although there are several regions.
 }
 
-// Option changes a new gateway.
+// Option configures a new gateway.
 type Option func(*Gateway)
 
-// WithLogger sets the logger; without it nothing is logged.
+// WithLogger sets the logger. Without it, nothing is logged.
 func WithLogger(l zerolog.Logger) Option { return func(g *Gateway) { g.log = l } }
 
-// WithRegistry sets the registry of the gateway's meters.
+// WithRegistry sets the metrics registry.
 func WithRegistry(r metrics.Registry) Option { return func(g *Gateway) { g.meters = newMeters(r) } }
 
-// WithSyncTrigger sets what has the control role asked at once.
-func WithSyncTrigger(f func()) Option { return func(g *Gateway) { g.syncNow = f } }
+// WithSyncTrigger sets the function that starts a sync with the control role at once.
+func WithSyncTrigger(f func()) Option { return func(g *Gateway) { g.triggerSync = f } }
 
-// WithQuotaTrigger sets what has the leader asked at once for parts of quotas; without it they
-// are asked for with the other questions.
-func WithQuotaTrigger(f func()) Option { return func(g *Gateway) { g.quotaNow = f } }
+// WithQuotaTrigger sets the function that asks the leader for quota at once. Without it,
+// quota is requested as part of the sync.
+func WithQuotaTrigger(f func()) Option { return func(g *Gateway) { g.triggerQuota = f } }
 
-// WithPlacer sets what finds a server for a long prompt; without it the gateway
-// chooses by itself.
+// WithPlacer sets the function that places long prompts. Without it, the gateway chooses
+// their servers itself.
 func WithPlacer(f func(protocol.PlaceMsg) (protocol.PlaceReply, bool)) Option {
-	return func(g *Gateway) { g.place = f }
+	return func(g *Gateway) { g.requestPlacement = f }
 }
 
-// dialTime is how long a connect to a backend server may take.
-const dialTime = 400 * time.Millisecond
+// dialTimeout bounds a connect to a backend server.
+const dialTimeout = 400 * time.Millisecond
 
-// New returns a gateway that knows no catalog yet.
+// New returns a gateway that has no catalog yet.
 func New(cfg Config, d Dialect, opts ...Option) *Gateway {
 	now := clock.Now()
 	g := &Gateway{
-		cfg:         cfg,
-		dialect:     d,
-		log:         zerolog.Nop(),
-		pool:        backend.NewPool(dialTime, backend.WithSocket(cfg.SocketBuffer), backend.WithConnections(cfg.MaxConnections)),
-		syncNow:     func() {},
-		limitsNow:   func() {},
-		place:       func(protocol.PlaceMsg) (protocol.PlaceReply, bool) { return protocol.PlaceReply{}, false },
-		began:       now,
-		clock:       usage.NewClock(now),
-		allowance:   quota.NewAllowance(cfg.QuotaWindow, quota.WithRandom(rand.Float64)),
-		granted:     make(chan struct{}),
-		news:        make(chan struct{}),
-		shares:      map[string]*retry.Share{},
-		quarantined: quarantined{gate: quarantine.NewFilter(cfg.Name, now)},
-		counter:     usage.NewCounter(cfg.UsageWindow, cfg.UsageReportDelay),
-		pressure:    map[string]*pressure{},
+		cfg:              cfg,
+		dialect:          d,
+		log:              zerolog.Nop(),
+		pool:             backend.NewPool(dialTimeout, backend.WithSocket(cfg.SocketBuffer), backend.WithConnections(cfg.MaxConnections)),
+		triggerSync:      func() {},
+		triggerLimits:    func() {},
+		requestPlacement: func(protocol.PlaceMsg) (protocol.PlaceReply, bool) { return protocol.PlaceReply{}, false },
+		startedAt:        now,
+		clock:            usage.NewClock(now),
+		allowance:        quota.NewAllowance(cfg.QuotaWindow, quota.WithRandom(rand.Float64)),
+		grantsReceived:   make(chan struct{}),
+		updated:          make(chan struct{}),
+		retryShares:      map[string]*retry.Share{},
+		quarantine:       quarantineState{filter: quarantine.NewFilter(cfg.Name, now)},
+		usageCounter:     usage.NewCounter(cfg.UsageWindow, cfg.UsageReportDelay),
+		pressure:         map[string]*pressure{},
 	}
 	g.gateways.Store(1)
-	g.paths.trips = topology.NewTrips(cfg.Topology, cfg.Domain)
+	g.roundTrips.roundTrips = topology.NewTrips(cfg.Topology, cfg.Domain)
 	for _, opt := range opts {
 		opt(g)
 	}
 	g.moves.init()
-	g.words.limits, g.words.answered = backpressure.NewLimits(backpressure.WithRandom(rand.Float64)), make(chan struct{})
+	g.feedback.limits, g.feedback.replied = backpressure.NewLimits(backpressure.WithRandom(rand.Float64)), make(chan struct{})
 	g.prompts.holders = place.NewHolders(cfg.Topology)
 	if g.meters == nil {
 		g.meters = newMeters(metrics.NewRegistry())
@@ -168,8 +168,7 @@
 	return g
 }
 
-// Install puts a catalog in force if it is above the one that is, and reports
-// whether it did.
+// Install activates a catalog if it is newer than the active one, and reports whether it did.
 func (g *Gateway) Install(c *protocol.Catalog) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -182,7 +181,7 @@
 	return true
 }
 
-// Number returns the catalog's number in force; 0 before the first.
+// Number returns the number of the active catalog; 0 before the first.
 func (g *Gateway) Number() uint64 {
 	if ix := g.index.Load(); ix != nil {
 		return ix.Number
@@ -190,39 +189,41 @@
 	return 0
 }
 
-// SetServers takes the list of backend servers. A former start of a server is left out,
-// whoever lists it. A list that tells no start at all is of a platform that tells none, or
-// of a leader whose build knows none: nothing in it is older than what is known.
+// SetServers sets the list of backend servers. A superseded incarnation of a server is left
+// out, whichever leader lists it. A list without any incarnation comes from a platform that
+// reports none, or from a leader whose build knows none: nothing in it can be older than what
+// is known.
 func (g *Gateway) SetServers(list []protocol.Instance) {
-	g.listing.Lock()
-	defer g.listing.Unlock()
+	g.viewMu.Lock()
+	defer g.viewMu.Unlock()
 	g.mu.Lock()
-	var again []place.Restart
+	var restarts []place.Restart
 	if len(list) == 0 || slices.ContainsFunc(list, func(in protocol.Instance) bool { return protocol.ParseIncarnation(in.ID).Start > 0 }) {
-		list, again = g.starts.Filter(list, clock.Now())
+		list, restarts = g.incarnations.Filter(list, clock.Now())
 	}
-	g.listed = list
+	g.instances = list
 	g.mu.Unlock()
-	g.renewView()
-	g.endFormer(again)
-	g.followView()
+	g.rebuildView()
+	g.endFormerIncarnations(restarts)
+	g.applyView()
 }
 
-// relist has everything follow the list as it was received last, after a server gave
-// notice, or a notice ran out.
-func (g *Gateway) relist() {
-	g.listing.Lock()
-	defer g.listing.Unlock()
-	g.renewView()
+// refreshView applies the latest list again after a server announced its departure, or after
+// such a notice expired.
+func (g *Gateway) refreshView() {
+	g.viewMu.Lock()
+	defer g.viewMu.Unlock()
+	g.rebuildView()
 	if g.view.Load() != nil {
-		g.followView()
+		g.applyView()
 	}
 }
 
-// followView has moves and connections follow the view of the servers. It needs g.listing.
-func (g *Gateway) followView() {
+// applyView updates moves and connections to match the view of the servers. The caller must
+// hold g.viewMu.
+func (g *Gateway) applyView() {
 	view := g.view.Load()
-	g.noteUnplaced(view)
+	g.warnUnplaced(view)
 	leaving, now := 0, clock.Now()
 	for i := range view.Servers {
 		s := &view.Servers[i]
@@ -235,40 +236,40 @@
 	}
 	g.log.Info().Int("servers", len(view.Servers)).Int("leaving", leaving).Msg("list of servers")
 	g.moveFromLeaving(view, now)
-	g.words.keep(view, now)
+	g.feedback.prune(view, now)
 	g.pool.Keep(func(id string) bool {
 		s := view.Find(id)
 		return s != nil && !s.Leaving
 	})
 }
 
-// renewView has the servers that take requests follow the list, the notices that servers
-// gave themselves, and the roll-outs. It needs g.listing.
-func (g *Gateway) renewView() {
+// rebuildView builds the view from the latest list, the departures that servers announced
+// themselves, and the rollouts. The caller must hold g.viewMu.
+func (g *Gateway) rebuildView() {
 	g.mu.Lock()
-	list, rollouts := g.listed, g.rollouts
+	list, rollouts := g.instances, g.rollouts
 	g.mu.Unlock()
 	if list != nil {
-		list = g.words.withDepartures(g.moves.withNotices(list, clock.Now()))
+		list = g.feedback.applyDepartures(g.moves.applySelfNotices(list, clock.Now()))
 		g.view.Store(place.NewView(list, g.view.Load(), place.WithRollouts(rollouts), place.WithRegions(g.cfg.Topology)))
 	}
 }
 
-// Confirm notes that the catalog was the newest at a time.
+// Confirm records that the catalog was the newest at the given time.
 func (g *Gateway) Confirm(at time.Time, gateways int) {
-	g.confirmed.Store(max(g.confirmed.Load(), int64(at.Sub(g.began))))
+	g.confirmed.Store(max(g.confirmed.Load(), int64(at.Sub(g.startedAt))))
 	g.gateways.Store(int64(max(1, gateways)))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.allowance.CoordinatorReplied(gateways, clock.Now())
-	for _, s := range g.shares {
+	for _, s := range g.retryShares {
 		s.Resize(g.cfg.RetryExtra, gateways)
 	}
-	close(g.news)
-	g.news = make(chan struct{})
+	close(g.updated)
+	g.updated = make(chan struct{})
 }
 
-// Overdue notes that the leader's answer is overdue, or that no leader is known.
+// Overdue records that the leader's answer is overdue, or that no leader is known.
 func (g *Gateway) Overdue() {
 	now := clock.Now()
 	g.mu.Lock()
@@ -277,22 +278,21 @@
 	g.askForNotices(now)
 }
 
-// ListLate notes that the leader's list may be out of date.
+// ListLate records that the leader's list may be out of date.
 func (g *Gateway) ListLate() { g.askForNotices(clock.Now()) }
 
-// startupWait is how long a request waits for a gateway that has just started, or
-// woken up, to hear from the control role: less than a caller that is told to
-// come back would be away.
-const startupWait = 800 * time.Millisecond
+// maxStartupWait is how long a request waits for a gateway that has just started, or resumed
+// from a suspension, to hear from the control role. It is shorter than the delay of a caller
+// that is told to retry.
+const maxStartupWait = 800 * time.Millisecond
 
-// await waits until the gateway can serve, for as long as that is worth it, and
-// reports whether it can.
+// await waits until the gateway can serve, for a bounded time, and reports whether it can.
 func (g *Gateway) await(ctx context.Context, ready func() bool, limit time.Duration) bool {
-	end := time.NewTimer(min(limit, startupWait))
+	end := time.NewTimer(min(limit, maxStartupWait))
 	defer end.Stop()
 	for {
 		g.mu.Lock()
-		news := g.news
+		news := g.updated
 		g.mu.Unlock()
 		if ready() {
 			return true
@@ -307,48 +307,49 @@
 	}
 }
 
-// known reports whether the gateway has a catalog and a list.
-func (g *Gateway) known() bool { return g.index.Load() != nil && g.view.Load() != nil }
+// configured reports whether the gateway has a catalog and a list of servers.
+func (g *Gateway) configured() bool { return g.index.Load() != nil && g.view.Load() != nil }
 
-// Age returns how long ago the catalog was known to be the newest, or false if
-// it never was.
+// Age returns the time since the catalog was last known to be the newest, or false if it
+// never was.
 func (g *Gateway) Age() (time.Duration, bool) {
 	at := g.confirmed.Load()
-	return clock.Since(g.began) - time.Duration(at), at > 0
+	return clock.Since(g.startedAt) - time.Duration(at), at > 0
 }
 
-// revokePart of the bound on taken keys is left for clocks that run unevenly.
-const revokePart = 12
+// revocationMarginDivisor sets the part of the revocation bound that is reserved for clock
+// drift.
+const revocationMarginDivisor = 12
 
-// fresh reports whether the catalog was confirmed recently enough for keys to be trusted.
-func (g *Gateway) fresh() bool {
+// catalogFresh reports whether the catalog was confirmed recently enough to trust its keys.
+func (g *Gateway) catalogFresh() bool {
 	if g.cfg.KeyRevocationBound == 0 {
 		return true
 	}
 	age, ok := g.Age()
-	return ok && age < g.cfg.KeyRevocationBound-g.cfg.KeyRevocationBound/revokePart
+	return ok && age < g.cfg.KeyRevocationBound-g.cfg.KeyRevocationBound/revocationMarginDivisor
 }
 
 // Ready reports whether the gateway can serve.
 func (g *Gateway) Ready() bool {
 	_, confirmed := g.Age()
-	return confirmed && g.known() && g.fresh()
+	return confirmed && g.configured() && g.catalogFresh()
 }
 
 const (
-	// startTime is how long a gateway usually takes until it can serve, when the
-	// control role has to start too.
-	startTime = 600 * time.Millisecond
-	// readyRetry is the least time after which a caller may come back.
-	readyRetry = 150 * time.Millisecond
+	// typicalStartup is how long a gateway usually takes until it can serve if the control
+	// role has to start as well.
+	typicalStartup = 600 * time.Millisecond
+	// minReadyRetryAfter is the shortest retry delay given to callers during startup.
+	minReadyRetryAfter = 150 * time.Millisecond
 )
 
-// untilReady is when a gateway that knows no configuration will probably know it.
-func (g *Gateway) untilReady() time.Duration {
-	return max(readyRetry, startTime-clock.Since(g.began))
+// readyRetryAfter estimates the time until the gateway has a configuration.
+func (g *Gateway) readyRetryAfter() time.Duration {
+	return max(minReadyRetryAfter, typicalStartup-clock.Since(g.startedAt))
 }
 
-// Close refuses the requests that come from now on, as not run.
+// Close makes the gateway refuse all further requests as not run.
 func (g *Gateway) Close() { g.closed.Store(true) }
 
 // Serve implements caller.Handler.
--- a/transport/forward/forward_test.go
+++ b/transport/forward/forward_test.go
@@ -22,29 +22,29 @@
 	"github.com/weldstream/weldstream/transport/caller"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// plain is a dialect with few headers.
-type plain struct{}
+// testDialect is a dialect with few headers.
+type testDialect struct{}
 
-func (plain) Call(req *fasthttp.Request) protocol.Call {
+func (testDialect) Call(req *fasthttp.Request) protocol.Call {
 	return protocol.Call{
 		ID:        string(req.Header.Peek("Id")),
 		Host:      string(req.Header.Host()),
 		Path:      string(req.Header.RequestURI()),
 		Secret:    string(req.Header.Peek("Key")),
 		LastEvent: string(req.Header.Peek("Last")),
-		Remaining: remaining(string(req.Header.Peek("Remaining"))),
+		Remaining: parseRemaining(string(req.Header.Peek("Remaining"))),
 	}
 }
 
-// remaining reads milliseconds; 0 where there are none.
-func remaining(text string) time.Duration {
+// parseRemaining parses milliseconds; 0 if there are none.
+func parseRemaining(text string) time.Duration {
 	ms, _ := strconv.Atoi(text)
 	return time.Duration(ms) * time.Millisecond
 }
 
-func (plain) Attempt(out, in *fasthttp.Request, a Attempt) {
+func (testDialect) Attempt(out, in *fasthttp.Request, a Attempt) {
 	in.Header.CopyTo(&out.Header)
 	out.Header.Set("Workspace", a.Workspace)
 	out.Header.Set("Remaining", strconv.FormatInt(a.Remaining.Milliseconds(), 10))
@@ -60,12 +60,12 @@
 	out.SetBodyRaw(in.Body())
 }
 
-func (plain) Reply(h *fasthttp.ResponseHeader) Reply {
-	return Reply{ID: string(h.Peek("Id")), NotRun: len(h.Peek("Not-Run")) > 0, Foreign: len(h.Peek("Foreign")) > 0, Weights: string(h.Peek("Weights")), Close: h.ConnectionClose(), Feedback: says(h)}
+func (testDialect) Reply(h *fasthttp.ResponseHeader) Reply {
+	return Reply{ID: string(h.Peek("Id")), NotRun: len(h.Peek("Not-Run")) > 0, Foreign: len(h.Peek("Foreign")) > 0, Weights: string(h.Peek("Weights")), Close: h.ConnectionClose(), Feedback: parseFeedback(h)}
 }
 
-// says reads what a server says of itself.
-func says(h *fasthttp.ResponseHeader) protocol.ServerFeedback {
+// parseFeedback reads a server's feedback headers.
+func parseFeedback(h *fasthttp.ResponseHeader) protocol.ServerFeedback {
 	var s protocol.ServerFeedback
 	if text := string(h.Peek("Limit")); text != "" {
 		s.Limit.Named = true
@@ -78,12 +78,12 @@
 	return s
 }
 
-func (plain) Answer(out, in *fasthttp.Response) {
+func (testDialect) Answer(out, in *fasthttp.Response) {
 	out.SetStatusCode(in.StatusCode())
 	out.Header.Set("Seal", string(in.Header.Peek("Seal")))
 }
 
-func (plain) Refuse(out *fasthttp.Response, _ string, r *protocol.Refusal) {
+func (testDialect) Refuse(out *fasthttp.Response, _ string, r *protocol.Refusal) {
 	out.SetStatusCode(r.Status)
 	out.Header.Set("Verdict", r.Verdict.String())
 	if r.RetryAfter > 0 {
@@ -91,7 +91,7 @@
 	}
 }
 
-// backendServer is a server whose behavior is a func of the request.
+// backendServer is a fake server whose behavior is a function of the request.
 type backendServer struct {
 	id       string
 	address  string
@@ -99,8 +99,8 @@
 	runs     atomic.Int64
 }
 
-// world is a gateway before some backend servers.
-type world struct {
+// testGateway is a gateway in front of fake backend servers.
+type testGateway struct {
 	t       *testing.T
 	g       *Gateway
 	address string
@@ -108,9 +108,9 @@
 	number  uint64
 }
 
-func newWorld(t *testing.T, opts ...caller.Option) *world {
+func newTestGateway(t *testing.T, opts ...caller.Option) *testGateway {
 	t.Helper()
-	w := &world{t: t, g: New(Config{Name: "g", Domain: "a", KeyRevocationBound: time.Hour, RetryRatio: 1, RetryExtra: 100, RetryWindow: time.Second, UsageWindow: time.Second, UsageReportDelay: time.Second}, plain{})}
+	w := &testGateway{t: t, g: New(Config{Name: "g", Domain: "a", KeyRevocationBound: time.Hour, RetryRatio: 1, RetryExtra: 100, RetryWindow: time.Second, UsageWindow: time.Second, UsageReportDelay: time.Second}, testDialect{})}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -124,7 +124,7 @@
 }
 
 // backend adds a server of the service "s".
-func (w *world) backend(id string, serve func(c net.Conn, req *fasthttp.Request)) *backendServer {
+func (w *testGateway) backend(id string, serve func(c net.Conn, req *fasthttp.Request)) *backendServer {
 	w.t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -157,17 +157,17 @@
 	return b
 }
 
-// install puts a catalog with one route in force.
-func (w *world) install(r protocol.PathRoute, spaces ...protocol.WorkspaceSpec) {
+// install activates a catalog with one route.
+func (w *testGateway) install(r protocol.PathRoute, spaces ...protocol.WorkspaceSpec) {
 	w.number++
 	r.Host, r.Prefix, r.Split = "h", "/r/", []protocol.WeightedService{{Service: "s", Weight: 1}}
 	if r.Timeout == 0 {
-		r.Timeout = patience
+		r.Timeout = testTimeout
 	}
 	w.g.Install(&protocol.Catalog{Number: w.number, Routes: []protocol.PathRoute{r}, Services: []protocol.ServiceSpec{{Name: "s"}}, Workspaces: spaces})
 }
 
-// reply is what a caller got. Broken says that the answer did not end.
+// reply is what a caller received. broken reports that the answer was cut off.
 type reply struct {
 	status  int
 	verdict string
@@ -176,21 +176,21 @@
 	broken  bool
 }
 
-func (w *world) ask(headers ...string) reply { return w.send("body", headers...) }
+func (w *testGateway) ask(headers ...string) reply { return w.send("body", headers...) }
 
-// dial connects to the gateway for a bounded time.
-func (w *world) dial() net.Conn {
+// dial connects to the gateway with a deadline.
+func (w *testGateway) dial() net.Conn {
 	w.t.Helper()
 	conn, err := net.Dial("tcp", w.address)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	return conn
 }
 
 // send sends a request with a body.
-func (w *world) send(body string, headers ...string) reply {
+func (w *testGateway) send(body string, headers ...string) reply {
 	w.t.Helper()
 	conn := w.dial()
 	defer conn.Close()
@@ -214,57 +214,57 @@
 	}
 }
 
-func say(c net.Conn, status int, headers, body string) {
+func writeAnswer(c net.Conn, status int, headers, body string) {
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 %d X\r\nId: 7\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
 }
 
-func good(c net.Conn, _ *fasthttp.Request) { say(c, 200, "", "fine") }
+func answerOK(c net.Conn, _ *fasthttp.Request) { writeAnswer(c, 200, "", "fine") }
 
-func full(c net.Conn, _ *fasthttp.Request) { say(c, 503, "Not-Run: 1\r\n", "") }
+func answerNotRun(c net.Conn, _ *fasthttp.Request) { writeAnswer(c, 503, "Not-Run: 1\r\n", "") }
 
-func silent(c net.Conn, _ *fasthttp.Request) { _ = c.Close() }
+func closeSilently(c net.Conn, _ *fasthttp.Request) { _ = c.Close() }
 
-// TestAnswerIsPassedOn checks that status, body and the request's own body come
-// through unchanged.
-func TestAnswerIsPassedOn(t *testing.T) {
-	w := newWorld(t)
+// TestAnswerIsRelayedUnchanged checks that the status, the answer's body and the request's
+// body are relayed unchanged.
+func TestAnswerIsRelayedUnchanged(t *testing.T) {
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 1})
 	w.backend("a", func(c net.Conn, req *fasthttp.Request) {
-		say(c, 201, "", string(req.Header.Method())+string(req.Header.RequestURI())+string(req.Body()))
+		writeAnswer(c, 201, "", string(req.Header.Method())+string(req.Header.RequestURI())+string(req.Body()))
 	})
 	if got := w.ask(); got.status != 201 || got.body != "POST/r/xbody" || got.broken {
 		t.Errorf("got %+v", got)
 	}
 }
 
-// TestVerdicts walks through what may become of an attempt and checks what the
-// caller is told, and how often the request ran.
+// TestVerdicts checks for each possible outcome of an attempt what the caller is told and how
+// often the request ran.
 func TestVerdicts(t *testing.T) {
 	for name, c := range map[string]struct {
 		route   protocol.PathRoute
 		first   func(c net.Conn, req *fasthttp.Request)
 		status  int
 		verdict string
-		runs    int64 // runs are requests that reached any server.
+		runs    int64 // runs is the number of requests that reached any server.
 	}{
-		"once, turned away, elsewhere":     {protocol.PathRoute{Attempts: 2}, full, 200, "", 2},
-		"once, turned away, no more":       {protocol.PathRoute{Attempts: 1}, full, 503, "not-run", 1},
-		"once, no answer":                  {protocol.PathRoute{Attempts: 3}, silent, 502, "may-have-run", 1},
-		"repeatable, no answer":            {protocol.PathRoute{Kind: protocol.RouteRepeatable, Attempts: 2}, silent, 200, "", 2},
-		"repeatable, failed":               {protocol.PathRoute{Kind: protocol.RouteRepeatable, Attempts: 2}, func(c net.Conn, _ *fasthttp.Request) { say(c, 500, "", "") }, 200, "", 2},
-		"once, failed":                     {protocol.PathRoute{Attempts: 2}, func(c net.Conn, _ *fasthttp.Request) { say(c, 500, "", "") }, 500, "", 1},
-		"once, a promise without proof":    {protocol.PathRoute{Attempts: 2}, func(c net.Conn, _ *fasthttp.Request) { say(c, 503, "", "") }, 502, "may-have-run", 1},
-		"once, the answer of another":      {protocol.PathRoute{Attempts: 1}, another(false), 502, "may-have-run", 1},
-		"once, another's answer before it": {protocol.PathRoute{Attempts: 1}, another(true), 200, "", 1},
-		"once, short of its length": {protocol.PathRoute{Attempts: 1}, func(c net.Conn, _ *fasthttp.Request) {
+		"once, refused, retried elsewhere":      {protocol.PathRoute{Attempts: 2}, answerNotRun, 200, "", 2},
+		"once, refused, no attempts left":       {protocol.PathRoute{Attempts: 1}, answerNotRun, 503, "not-run", 1},
+		"once, no answer":                       {protocol.PathRoute{Attempts: 3}, closeSilently, 502, "may-have-run", 1},
+		"repeatable, no answer":                 {protocol.PathRoute{Kind: protocol.RouteRepeatable, Attempts: 2}, closeSilently, 200, "", 2},
+		"repeatable, failed":                    {protocol.PathRoute{Kind: protocol.RouteRepeatable, Attempts: 2}, func(c net.Conn, _ *fasthttp.Request) { writeAnswer(c, 500, "", "") }, 200, "", 2},
+		"once, failed":                          {protocol.PathRoute{Attempts: 2}, func(c net.Conn, _ *fasthttp.Request) { writeAnswer(c, 500, "", "") }, 500, "", 1},
+		"once, 503 without proof":               {protocol.PathRoute{Attempts: 2}, func(c net.Conn, _ *fasthttp.Request) { writeAnswer(c, 503, "", "") }, 502, "may-have-run", 1},
+		"once, answer to another request":       {protocol.PathRoute{Attempts: 1}, answerOfAnother(false), 502, "may-have-run", 1},
+		"once, answer to another request first": {protocol.PathRoute{Attempts: 1}, answerOfAnother(true), 200, "", 1},
+		"once, truncated answer": {protocol.PathRoute{Attempts: 1}, func(c net.Conn, _ *fasthttp.Request) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 7\r\nContent-Length: 9\r\n\r\nshort")
 			_ = c.Close()
 		}, 502, "may-have-run", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
+			w := newTestGateway(t)
 			w.install(c.route)
-			// The first server chosen behaves as the case says, any other is good.
+			// The first server chosen behaves as the test case requires, all others answer.
 			var once sync.Once
 			var runs atomic.Int64
 			serve := func(conn net.Conn, req *fasthttp.Request) {
@@ -275,7 +275,7 @@
 					c.first(conn, req)
 					return
 				}
-				good(conn, req)
+				answerOK(conn, req)
 			}
 			w.backend("a", serve)
 			w.backend("b", serve)
@@ -284,18 +284,18 @@
 				t.Errorf("got %+v after %d runs; want status %d, verdict %q, %d runs", got, runs.Load(), c.status, c.verdict, c.runs)
 			}
 			if (got.status == 503) != (got.retry != "") {
-				t.Errorf("status %d says %q when to come back", got.status, got.retry)
+				t.Errorf("status %d has retry delay %q", got.status, got.retry)
 			}
 		})
 	}
 }
 
-// another sends the answer of another request, and then its own or none.
-func another(own bool) func(c net.Conn, _ *fasthttp.Request) {
+// answerOfAnother sends the answer to another request, followed by its own answer or none.
+func answerOfAnother(own bool) func(c net.Conn, _ *fasthttp.Request) {
 	return func(c net.Conn, req *fasthttp.Request) {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 6\r\nContent-Length: 5\r\n\r\nother")
 		if own {
-			good(c, req)
+			answerOK(c, req)
 			return
 		}
 		_ = c.Close()
@@ -306,11 +306,11 @@
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// TestStreamGoesOnElsewhere checks that a stream which breaks in the middle of an
-// event goes on at another server behind the last whole one: each event arrives
-// once and in order, though the second server repeats some.
-func TestStreamGoesOnElsewhere(t *testing.T) {
-	w := newWorld(t)
+// TestStreamResumesAtAnotherServer checks that a stream which breaks in the middle of an
+// event resumes at another server after the last complete event. Each event arrives once and
+// in order, although the second server repeats some.
+func TestStreamResumesAtAnotherServer(t *testing.T) {
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Kind: protocol.RouteStream, Resumable: true, Attempts: 2})
 	var once sync.Once
 	var last atomic.Value
@@ -332,14 +332,14 @@
 		t.Errorf("got %+v", got)
 	}
 	if last.Load() != "2" {
-		t.Errorf("the second server was asked to go on behind %v", last.Load())
+		t.Errorf("the second server was asked to resume after %v", last.Load())
 	}
 }
 
-// TestBrokenStreamIsCut checks that a stream that may run once and breaks off is
-// cut at the caller too, and not run again.
-func TestBrokenStreamIsCut(t *testing.T) {
-	w := newWorld(t)
+// TestNonResumableStreamIsCut checks that a broken stream on a route that does not allow a
+// second run is cut off at the caller and not run again.
+func TestNonResumableStreamIsCut(t *testing.T) {
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Kind: protocol.RouteStream, Attempts: 3})
 	serve := func(c net.Conn, _ *fasthttp.Request) {
 		_, _ = io.WriteString(c, streamHead+chunk("id: 1\ndata: a\n\n"))
@@ -350,19 +350,18 @@
 		t.Errorf("got %+v", got)
 	}
 	if n := a.runs.Load() + b.runs.Load(); n != 1 {
-		t.Errorf("it ran %d times", n)
+		t.Errorf("the request ran %d times", n)
 	}
 }
 
-// TestTimeLimitOfTheRoute checks that a request gets its final answer when its
-// route's time is over, whatever the caller would wait, and that the server
-// learns of it.
-func TestTimeLimitOfTheRoute(t *testing.T) {
-	w := newWorld(t)
+// TestRouteTimeout checks that a request gets its final answer when its route's timeout has
+// passed, however long the caller would wait, and that the server is informed.
+func TestRouteTimeout(t *testing.T) {
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 1, Timeout: 50 * time.Millisecond})
 	left := make(chan struct{})
 	w.backend("a", func(c net.Conn, _ *fasthttp.Request) {
-		_, _ = c.Read(make([]byte, 1)) // Ends when the gateway hangs up.
+		_, _ = c.Read(make([]byte, 1)) // Returns when the gateway closes the connection.
 		close(left)
 	})
 	if got := w.ask(); got.status != 504 || got.verdict != "may-have-run" {
@@ -370,17 +369,17 @@
 	}
 	select {
 	case <-left:
-	case <-time.After(patience):
-		t.Error("the server was not told")
+	case <-time.After(testTimeout):
+		t.Error("the server's connection was not closed")
 	}
 }
 
-// TestKeys checks who is let in, and that nobody is while the configuration is
-// not known to be the newest.
-func TestKeys(t *testing.T) {
-	w := newWorld(t)
+// TestWorkspaceKeys checks which keys are accepted, and that none is accepted while the
+// configuration is not confirmed.
+func TestWorkspaceKeys(t *testing.T) {
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}})
-	w.backend("a", func(c net.Conn, req *fasthttp.Request) { say(c, 200, "", string(req.Header.Peek("Workspace"))) })
+	w.backend("a", func(c net.Conn, req *fasthttp.Request) { writeAnswer(c, 200, "", string(req.Header.Peek("Workspace"))) })
 	if got := w.ask("Key: k"); got.status != 200 || got.body != "w" {
 		t.Errorf("with a key: %+v", got)
 	}
@@ -389,40 +388,40 @@
 	}
 	w.g.cfg.KeyRevocationBound = time.Nanosecond
 	if got := w.ask("Key: k"); got.status != 503 || got.verdict != "not-run" {
-		t.Errorf("unsure: %+v", got)
+		t.Errorf("with a stale catalog: %+v", got)
 	}
 }
 
-// TestConnectionIsUsedAgain checks over which connections a second request goes:
-// those whose first answer came alone and was asked for in full.
-func TestConnectionIsUsedAgain(t *testing.T) {
+// TestConnectionReuse checks after which answers a connection is used for a second request:
+// those that were requested and were the only data on the connection.
+func TestConnectionReuse(t *testing.T) {
 	for name, c := range map[string]struct {
-		serve func(c net.Conn, req *fasthttp.Request)
-		opens int64
+		serve  func(c net.Conn, req *fasthttp.Request)
+		opened int64
 	}{
-		"good":                     {good, 1},
-		"turned away":              {full, 1},
-		"another's answer too":     {another(true), 2},
-		"the server says it ends":  {func(c net.Conn, _ *fasthttp.Request) { say(c, 200, "Connection: close\r\n", "fine") }, 2},
-		"the server turns it away": {func(c net.Conn, _ *fasthttp.Request) { say(c, 503, "Not-Run: 1\r\nConnection: close\r\n", "") }, 2},
+		"good":                               {answerOK, 1},
+		"refused":                            {answerNotRun, 1},
+		"with the answer to another request": {answerOfAnother(true), 2},
+		"closed by the server":               {func(c net.Conn, _ *fasthttp.Request) { writeAnswer(c, 200, "Connection: close\r\n", "fine") }, 2},
+		"refused and closed by the server":   {func(c net.Conn, _ *fasthttp.Request) { writeAnswer(c, 503, "Not-Run: 1\r\nConnection: close\r\n", "") }, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
+			w := newTestGateway(t)
 			w.install(protocol.PathRoute{Attempts: 1})
 			w.backend("a", c.serve)
 			w.ask()
 			w.ask()
-			if opens := w.g.pool.Opens(); opens != c.opens {
-				t.Errorf("%d connections were opened, want %d", opens, c.opens)
+			if opens := w.g.pool.Opens(); opens != c.opened {
+				t.Errorf("%d connections were opened, want %d", opens, c.opened)
 			}
 		})
 	}
 }
 
-// TestEarlyAnswerEndsTheConnection checks that a connection over which the rest
-// of a request was never sent does not carry the next one.
-func TestEarlyAnswerEndsTheConnection(t *testing.T) {
-	w := newWorld(t)
+// TestEarlyAnswerClosesConnection checks that a connection on which a request was only partly
+// sent is not reused.
+func TestEarlyAnswerClosesConnection(t *testing.T) {
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 1})
 	done := make(chan struct{})
 	t.Cleanup(func() { close(done) })
@@ -437,12 +436,12 @@
 			if err != nil {
 				return
 			}
-			_ = c.(*net.TCPConn).SetReadBuffer(4 << 10) // Most of the body stays unsent.
+			_ = c.(*net.TCPConn).SetReadBuffer(4 << 10) // Most of the body remains unsent.
 			var h fasthttp.RequestHeader
 			_ = h.Read(bufio.NewReaderSize(c, 4096))
-			say(c, 422, "", "")
+			writeAnswer(c, 422, "", "")
 			go func() {
-				<-done // It keeps the connection and reads nothing.
+				<-done // Keeps the connection open without reading.
 				_ = c.Close()
 			}()
 		}
@@ -459,13 +458,13 @@
 	}
 }
 
-// TestAnotherServerAtTheAddress checks that an address which has come to belong
-// to another server gets no further requests while there is another.
-func TestAnotherServerAtTheAddress(t *testing.T) {
-	w := newWorld(t)
+// TestReassignedAddressIsAvoided checks that an address that now belongs to another server
+// gets no further requests while there is an alternative.
+func TestReassignedAddressIsAvoided(t *testing.T) {
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 2})
-	foreign := w.backend("a", func(c net.Conn, _ *fasthttp.Request) { say(c, 503, "Not-Run: 1\r\nForeign: 1\r\n", "") })
-	w.backend("b", good)
+	foreign := w.backend("a", func(c net.Conn, _ *fasthttp.Request) { writeAnswer(c, 503, "Not-Run: 1\r\nForeign: 1\r\n", "") })
+	w.backend("b", answerOK)
 	for range 30 {
 		if got := w.ask(); got.status != 200 {
 			t.Errorf("got %+v", got)
@@ -476,10 +475,10 @@
 	}
 }
 
-// TestCallersTimeLimit checks that a request gets its final answer when the time
-// that its caller waits is over, though the route allows more.
-func TestCallersTimeLimit(t *testing.T) {
-	w := newWorld(t)
+// TestCallerTimeout checks that a request gets its final answer when the caller's remaining
+// time has passed, although the route allows more.
+func TestCallerTimeout(t *testing.T) {
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 1})
 	w.backend("a", func(c net.Conn, _ *fasthttp.Request) { _, _ = c.Read(make([]byte, 1)) })
 	if got := w.ask("Remaining: 50"); got.status != 504 || got.verdict != "may-have-run" {
@@ -487,33 +486,33 @@
 	}
 }
 
-// TestClosedRefuses checks that a gateway which stops refuses what comes, as not
-// run, and says when to come back.
-func TestClosedRefuses(t *testing.T) {
-	w := newWorld(t)
+// TestClosedGatewayRefusesRequests checks that a stopping gateway refuses requests as not
+// run, with a retry delay.
+func TestClosedGatewayRefusesRequests(t *testing.T) {
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 1})
-	a := w.backend("a", good)
+	a := w.backend("a", answerOK)
 	w.g.Close()
 	if got := w.ask(); got.status != 503 || got.verdict != "not-run" || got.retry == "" || a.runs.Load() > 0 {
 		t.Errorf("got %+v after %d runs", got, a.runs.Load())
 	}
 }
 
-// TestKeyTakenWhileItWaits checks that a request which waited for the newest
-// configuration is judged by that one, not by the one that it found.
-func TestKeyTakenWhileItWaits(t *testing.T) {
-	w := newWorld(t)
+// TestKeyRevokedDuringWait checks that a request which waited for the newest configuration is
+// authorized by that one, not by the one it found first.
+func TestKeyRevokedDuringWait(t *testing.T) {
+	w := newTestGateway(t)
 	w.g.cfg.KeyRevocationBound = time.Hour
-	w.g.confirmed.Store(0) // Not sure of its configuration yet.
+	w.g.confirmed.Store(0) // The configuration is not confirmed yet.
 	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}})
-	w.backend("a", good)
+	w.backend("a", answerOK)
 	call := &fasthttp.Request{}
 	call.Header.SetHost("h")
 	call.SetRequestURI("/r/x")
 	call.Header.Set("Key", "k")
 	x := newExchange(context.Background(), w.g, call, nil)
 	defer x.release()
-	x.call = plain{}.Call(call)
+	x.call = testDialect{}.Call(call)
 	x.index = w.g.index.Load()
 	x.route = x.index.Route(x.call.Host, x.call.Path)
 	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"other"}})
@@ -523,14 +522,14 @@
 	}
 }
 
-// TestUnsureBeforeTheAttempt checks that a request which waited for its quota is
-// not sent once the gateway may no longer trust keys.
-func TestUnsureBeforeTheAttempt(t *testing.T) {
-	w := newWorld(t)
+// TestStaleCatalogBeforeAttempt checks that a request which waited for its quota is not sent
+// once the gateway can no longer trust keys.
+func TestStaleCatalogBeforeAttempt(t *testing.T) {
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}, Rate: 10, Burst: 10})
-	a := w.backend("a", good)
-	w.g.syncNow = func() {
-		w.g.cfg.KeyRevocationBound = time.Nanosecond // The confirmation is too old from here on.
+	a := w.backend("a", answerOK)
+	w.g.triggerSync = func() {
+		w.g.cfg.KeyRevocationBound = time.Nanosecond // From here on the confirmation is too old.
 		m := w.g.Report(1)
 		w.g.Reported(&m, &protocol.SyncReply{Term: 1, Grants: []protocol.QuotaGrant{{Workspace: "w", Units: 1, Lasts: time.Minute}}}, clock.Now())
 	}
@@ -539,71 +538,70 @@
 	}
 }
 
-// TestNoMoreForACallerThatLeft checks that nothing is sent again for a caller
-// that has hung up.
-func TestNoMoreForACallerThatLeft(t *testing.T) {
-	w := newWorld(t)
+// TestNoRetryAfterCallerHungUp checks that a request is not retried after its caller
+// disconnected.
+func TestNoRetryAfterCallerHungUp(t *testing.T) {
+	w := newTestGateway(t)
 	gone, leave := context.WithCancel(context.Background())
 	x := newExchange(gone, w.g, &fasthttp.Request{}, nil)
 	defer x.release()
 	x.route = &protocol.PathRoute{Target: time.Second}
-	x.deadline = time.Now().Add(patience)
+	x.deadline = time.Now().Add(testTimeout)
 	x.state = resend.State{Repeatable: true, MaxServers: 3}
-	if got := x.failed(protocol.NotRun, true, "turned away"); got != errAgain {
-		t.Errorf("got %+v while the caller waits", got)
+	if got := x.afterFailure(protocol.NotRun, true, "refused"); got != errRetry {
+		t.Errorf("got %+v while the caller is connected", got)
 	}
 	leave()
-	if got := x.failed(protocol.NotRun, true, "turned away"); got.Code != protocol.CodeCallerGone {
+	if got := x.afterFailure(protocol.NotRun, true, "refused"); got.Code != protocol.CodeCallerGone {
 		t.Errorf("got %+v", got)
 	}
 }
 
-// TestOlderCatalogChangesNothing checks that a catalog that comes late does not
-// take the place of a newer one.
-func TestOlderCatalogChangesNothing(t *testing.T) {
-	g := newWorld(t).g
+// TestOlderCatalogIsIgnored checks that a late catalog does not replace a newer one.
+func TestOlderCatalogIsIgnored(t *testing.T) {
+	g := newTestGateway(t).g
 	if !g.Install(&protocol.Catalog{Number: 5}) || g.Install(&protocol.Catalog{Number: 4}) || g.Install(&protocol.Catalog{Number: 5}) || g.Number() != 5 {
-		t.Errorf("catalog %d holds", g.Number())
+		t.Errorf("catalog %d is active", g.Number())
 	}
 }
 
-// TestQuotaIsAskedFor checks that a request waits for a part of its quota, and is
-// told when to come back if there is none.
-func TestQuotaIsAskedFor(t *testing.T) {
-	w := newWorld(t)
+// TestRequestWaitsForQuota checks that a request waits for quota, and gets a retry delay if
+// there is none.
+func TestRequestWaitsForQuota(t *testing.T) {
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}, Rate: 10, Burst: 10})
-	w.backend("a", good)
+	w.backend("a", answerOK)
 	units := 1.0
-	w.g.syncNow = func() {
+	w.g.triggerSync = func() {
 		go func() {
 			m := w.g.Report(1)
 			w.g.Reported(&m, &protocol.SyncReply{Term: 1, Grants: []protocol.QuotaGrant{{Workspace: "w", Units: units, Lasts: time.Minute, Wait: time.Second}}}, clock.Now())
 		}()
 	}
 	if got := w.ask("Key: k"); got.status != 200 {
-		t.Errorf("with a part: %+v", got)
+		t.Errorf("with quota: %+v", got)
 	}
 	units = 0
 	if got := w.ask("Key: k"); got.status != 429 || got.retry == "" {
-		t.Errorf("without: %+v", got)
+		t.Errorf("without quota: %+v", got)
 	}
 }
 
-// TestQuotaIsAskedForApart checks that a request which waits for a part of its quota gets it
-// from an answer that holds nothing else, and that it is then not asked for twice.
-func TestQuotaIsAskedForApart(t *testing.T) {
-	w := newWorld(t)
+// TestQuotaFromSeparateCalls checks that a request which waits for quota gets it from a quota
+// call, and that the quota is then not requested twice.
+func TestQuotaFromSeparateCalls(t *testing.T) {
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}, Rate: 10, Burst: 10})
-	w.backend("a", good)
+	w.backend("a", answerOK)
 	w.g.WantsApart(true)
-	w.g.quotaNow = func() {
+	w.g.triggerQuota = func() {
 		go func() {
 			if m := w.g.Report(1); len(m.Wants) > 0 {
-				t.Errorf("%+v are asked for with the other questions", m.Wants)
+				t.Errorf("%+v are requested in the sync", m.Wants)
 			}
 			m, any := w.g.ReportWants()
 			if !any || len(m.Wants) != 1 || m.Wants[0].Units != 1 {
-				t.Errorf("asked for %+v", m.Wants)
+				t.Errorf("requested %+v", m.Wants)
 			}
 			w.g.GrantedWants(&m, &protocol.QuotaReply{Leads: true, Grants: []protocol.QuotaGrant{{Workspace: "w", Units: 1, Lasts: time.Minute}}}, clock.Now())
 		}()
@@ -612,12 +610,12 @@
 		t.Errorf("got %+v", got)
 	}
 	if m, _ := w.g.ReportWants(); len(m.Wants) > 0 && m.Wants[0].Waiting > 0 {
-		t.Errorf("asked for again as if a request waited: %+v", m.Wants)
+		t.Errorf("requested again although no request waits: %+v", m.Wants)
 	}
 }
 
-// TestIndex checks that the longest prefix wins, hosts do not mix, and weights
-// split requests as they say.
+// TestIndex checks that the longest prefix wins, that hosts are separate, and that requests
+// are split according to the weights.
 func TestIndex(t *testing.T) {
 	ix := NewIndex(&protocol.Catalog{Routes: []protocol.PathRoute{
 		{Name: "short", Host: "H", Prefix: "/a/"},
@@ -643,22 +641,22 @@
 	}
 }
 
-// TestCopiesOnlyFromTheSound checks that the server that a long prompt was placed at
-// is told whom to copy the shared parts from, and not one that this gateway passes
-// over, or does not know.
-func TestCopiesOnlyFromTheSound(t *testing.T) {
+// TestCopyOnlyFromHealthyHolder checks that the server chosen for a long prompt is told to
+// copy the shared parts from the holder, unless this gateway suspects the holder or does not
+// know it.
+func TestCopyOnlyFromHealthyHolder(t *testing.T) {
 	for name, c := range map[string]struct {
 		holder string
 		fails  bool
 		want   bool
-	}{"sound": {"b", false, true}, "it failed here": {"b", true, false}, "not listed": {"c", false, false}, "none": {"", false, false}} {
-		w := newWorld(t)
+	}{"healthy": {"b", false, true}, "suspected here": {"b", true, false}, "not listed": {"c", false, false}, "none": {"", false, false}} {
+		w := newTestGateway(t)
 		w.install(protocol.PathRoute{Attempts: 1})
-		a, b := w.backend("a", good), w.backend("b", good)
+		a, b := w.backend("a", answerOK), w.backend("b", answerOK)
 		if c.fails {
 			w.g.view.Load().Find("b").Stats.RequestFailed(true, clock.Now())
 		}
-		x := &exchange{g: w.g, placed: protocol.PlaceReply{Server: a.id, Holder: c.holder}}
+		x := &exchange{g: w.g, placement: protocol.PlaceReply{Server: a.id, Holder: c.holder}}
 		at := w.g.view.Load().Find(a.id)
 		want := ""
 		if c.want {
@@ -670,24 +668,24 @@
 	}
 }
 
-// TestCountedOnce checks that a request that fails at one server and is sent to
-// another counts once in the usage reports, whatever ends it.
-func TestCountedOnce(t *testing.T) {
+// TestRetriedRequestIsCountedOnce checks that a request that fails at one server and is sent
+// to another is counted once in the usage reports.
+func TestRetriedRequestIsCountedOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		first func(c net.Conn, req *fasthttp.Request)
 		want  int64
 	}{
-		"answered at once":           {good, 1},
-		"failed, then answered":      {func(c net.Conn, _ *fasthttp.Request) { say(c, 500, "", "") }, 1},
-		"turned away, then answered": {full, 1},
-		"no answer, then answered":   {silent, 1},
+		"answered at once":         {answerOK, 1},
+		"failed, then answered":    {func(c net.Conn, _ *fasthttp.Request) { writeAnswer(c, 500, "", "") }, 1},
+		"refused, then answered":   {answerNotRun, 1},
+		"no answer, then answered": {closeSilently, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
+			w := newTestGateway(t)
 			w.install(protocol.PathRoute{Kind: protocol.RouteRepeatable, Attempts: 2}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}})
 			var once sync.Once
 			serve := func(conn net.Conn, req *fasthttp.Request) {
-				serve := good
+				serve := answerOK
 				once.Do(func() { serve = c.first })
 				serve(conn, req)
 			}
@@ -707,8 +705,8 @@
 	}
 }
 
-// FuzzEvents checks over any pieces that only whole events pass, each id once and
-// rising, and that nothing is lost when nothing is repeated.
+// FuzzEvents checks for any split of a stream that only complete events pass, each ID once
+// and in ascending order, and that nothing is lost if nothing is repeated.
 func FuzzEvents(f *testing.F) {
 	f.Add("id: 1\ndata: a\n\nid: 2\n\n", 3)
 	f.Add("id: 1\r\ndata: a\r\n\r\nid: 1\n\n", 1)
@@ -719,51 +717,51 @@
 		var out []byte
 		for rest := []byte(text); len(rest) > 0; {
 			n := min(size, len(rest))
-			out = append(out, e.take(rest[:n])...)
+			out = append(out, e.append(rest[:n])...)
 			rest = rest[n:]
 		}
-		if len(out)+len(e.rest) > len(text) {
-			t.Fatalf("%d bytes came of %d", len(out)+len(e.rest), len(text))
+		if len(out)+len(e.partial) > len(text) {
+			t.Fatalf("got %d bytes of %d", len(out)+len(e.partial), len(text))
 		}
-		if !strings.Contains(text, "id:") && string(out)+string(e.rest) != text {
-			t.Fatalf("%q became %q and %q", text, out, e.rest)
+		if !strings.Contains(text, "id:") && string(out)+string(e.partial) != text {
+			t.Fatalf("%q became %q and %q", text, out, e.partial)
 		}
 	})
 }
 
-// TestUsageGoesByTheAgreedTime checks that requests are counted into the windows
-// of the time of day that most instances agree on, whatever this one's own is.
-func TestUsageGoesByTheAgreedTime(t *testing.T) {
-	w := newWorld(t)
+// TestUsageFollowsAgreedClock checks that requests are counted in the windows of the clock
+// that most instances agree on, whatever this gateway's clock says.
+func TestUsageFollowsAgreedClock(t *testing.T) {
+	w := newTestGateway(t)
 	m := w.g.Report(1)
 	ahead := 5 * w.g.cfg.UsageWindow
 	w.g.Reported(&m, &protocol.SyncReply{Term: 1, Clock: m.Clock.Add(ahead)}, clock.Now())
-	before := w.g.clock.Now(time.Since(w.g.began))
-	w.g.count("w")
+	before := w.g.clock.Now(time.Since(w.g.startedAt))
+	w.g.countUsage("w")
 	report := w.g.Report(1)
-	first, last := usage.Window(before, w.g.cfg.UsageWindow), usage.Window(w.g.clock.Now(time.Since(w.g.began)), w.g.cfg.UsageWindow)
+	first, last := usage.Window(before, w.g.cfg.UsageWindow), usage.Window(w.g.clock.Now(time.Since(w.g.startedAt)), w.g.cfg.UsageWindow)
 	if len(report.Usage) != 1 || report.Usage[0].Window < first || report.Usage[0].Window > last {
 		t.Errorf("counted as %+v, want window %d to %d", report.Usage, first, last)
 	}
 	if off := report.Clock.Sub(m.Clock); off > ahead/2 {
-		t.Errorf("the gateway tells the agreed time as its own, %v ahead", off)
+		t.Errorf("the gateway reports the agreed time as its own, %v ahead", off)
 	}
 }
 
-// TestLostAnswersCount checks that a request counts as one that began to run where a
-// server had all of it and its answer was lost, once however often that happens, and
-// that one which no server can have read does not.
-func TestLostAnswersCount(t *testing.T) {
+// TestLostAnswersAreCounted checks that a request counts as started if a server received all
+// of it and the answer was lost, once however often that happens. A request that no server
+// can have read does not count.
+func TestLostAnswersAreCounted(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		serve func(net.Conn, *fasthttp.Request)
 		want  int64
 	}{
-		{"answers lost at two servers", silent, 1},
-		{"turned away", full, 0},
-		{"answered", good, 1},
+		{"answers lost at two servers", closeSilently, 1},
+		{"refused", answerNotRun, 0},
+		{"answered", answerOK, 1},
 	} {
-		w := newWorld(t)
+		w := newTestGateway(t)
 		w.install(protocol.PathRoute{Kind: protocol.RouteRepeatable, Attempts: 2}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}})
 		w.backend("a", c.serve)
 		w.backend("b", c.serve)
@@ -778,23 +776,23 @@
 	}
 }
 
-// TestEndOfAPlaceIsToldAtOnce checks that the end of a request which the leader placed is
-// reported beside questions for parts of quotas, at once, and with the other questions to a
-// leader that takes none apart.
-func TestEndOfAPlaceIsToldAtOnce(t *testing.T) {
+// TestPlacementEndIsReportedAtOnce checks that the end of a request placed by the leader is
+// reported at once in a quota call, or in the next sync if the leader supports no separate
+// quota calls.
+func TestPlacementEndIsReportedAtOnce(t *testing.T) {
 	for _, apart := range []bool{true, false} {
-		w := newWorld(t)
+		w := newTestGateway(t)
 		told := 0
-		w.g.quotaNow = func() { told++ }
+		w.g.triggerQuota = func() { told++ }
 		w.g.WantsApart(apart)
-		x := &exchange{g: w.g, placed: protocol.PlaceReply{Server: "a", Term: 1, Number: 7}, start: clock.Now()}
-		x.ended()
+		x := &exchange{g: w.g, placement: protocol.PlaceReply{Server: "a", Term: 1, Number: 7}, start: clock.Now()}
+		x.reportPlacementEnd()
 		own, others := 0, len(w.g.Report(1).Done)
 		if m, any := w.g.ReportWants(); any {
 			own = len(m.Done)
 		}
 		if want := map[bool][3]int{true: {1, 1, 0}, false: {0, 0, 1}}[apart]; [3]int{told, own, others} != want {
-			t.Errorf("apart %v: asked at once %d times, %d ends beside quotas, %d with the others", apart, told, own, others)
+			t.Errorf("separate %v: triggered %d times, %d ends in quota calls, %d in syncs", apart, told, own, others)
 		}
 	}
 }
--- a/transport/forward/index.go
+++ b/transport/forward/index.go
@@ -9,10 +9,10 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Index finds routes, services and workspaces of one catalog.
+// Index finds the routes, services and workspaces of a catalog.
 type Index struct {
 	*protocol.Catalog
-	hosts    map[string][]*protocol.PathRoute // hosts have their routes with the longest prefix first.
+	hosts    map[string][]*protocol.PathRoute // hosts are the routes by host, sorted by descending length of their prefix.
 	keys     map[string]*protocol.WorkspaceSpec
 	services map[string]*protocol.ServiceSpec
 }
@@ -44,7 +44,7 @@
 	return ix
 }
 
-// Route returns the route with the longest prefix that begins a path, or nil.
+// Route returns the route with the longest matching path prefix, or nil.
 func (ix *Index) Route(host, path string) *protocol.PathRoute {
 	host = strings.ToLower(host)
 	routes := ix.hosts[host]
@@ -67,8 +67,8 @@
 // Service returns a service by its name, or nil.
 func (ix *Index) Service(name string) *protocol.ServiceSpec { return ix.services[name] }
 
-// Split returns the service for a request by the route's weights. The same
-// identity gets the same one.
+// Split returns the service for a request according to the route's weights. The same request
+// ID always gets the same service.
 func Split(r *protocol.PathRoute, id string) string {
 	if len(r.Split) == 1 {
 		return r.Split[0].Service
--- a/transport/forward/limiting.go
+++ b/transport/forward/limiting.go
@@ -11,42 +11,44 @@
 )
 
 const (
-	// permitTime is how long a request waits for the leader's answers to whether servers that
-	// limit their requests take it, before others are chosen.
-	permitTime = 100 * time.Millisecond
-	// roomTime is how long a request waits until one of the servers takes requests again,
-	// where none does; one that would wait for longer is refused at once.
-	roomTime = 250 * time.Millisecond
-	// backSpread is by how much longer than until there is room callers are told to wait, at
-	// the most, as a part of that: those that were refused together do not come together.
-	backSpread = 0.5
+	// permitTimeout is how long a request waits for the leader to grant permits for servers
+	// that limit their requests, before other servers are chosen.
+	permitTimeout = 100 * time.Millisecond
+	// availabilityTimeout is how long a request waits for a server if none accepts requests
+	// at present. A request that would have to wait longer is refused at once.
+	availabilityTimeout = 250 * time.Millisecond
+	// retryAfterJitter is the largest random addition to a caller's retry delay, as a
+	// fraction of the delay, so that requests refused together are not retried together.
+	retryAfterJitter = 0.5
 )
 
-// WithLimitsTrigger sets what has the leader asked for permits at once.
-func WithLimitsTrigger(f func()) Option { return func(g *Gateway) { g.limitsNow = f } }
-
-// takePermit takes a permit for the request to a server, and asks the leader for one until a
-// time where the server limits its requests. Without one, wait is when there may be one.
-func (x *exchange) takePermit(server string, until time.Time) (ok bool, wait time.Duration) {
-	verdict, wait, answered := x.g.words.take(server)
-	for verdict == backpressure.NeedPermit {
-		if !x.askPermit(answered, until) {
-			return false, permitTime
+// WithLimitsTrigger sets the function that asks the leader for permits at once.
+func WithLimitsTrigger(f func()) Option { return func(g *Gateway) { g.triggerLimits = f } }
+
+// acquirePermit acquires a permit to send the request to a server. If the server limits its
+// requests, it asks the leader for a permit until the deadline. Without a permit, wait is the
+// time after which one may be available.
+func (x *exchange) acquirePermit(server string, deadline time.Time) (ok bool, wait time.Duration) {
+	decision, wait, answered := x.g.feedback.acquire(server)
+	for decision == backpressure.NeedPermit {
+		if !x.requestPermit(answered, deadline) {
+			return false, permitTimeout
 		}
-		verdict, wait, answered = x.g.words.take(server)
+		decision, wait, answered = x.g.feedback.acquire(server)
 	}
-	return verdict == backpressure.Send, wait
+	return decision == backpressure.Send, wait
 }
 
-// askPermit has the leader asked for permits, and reports whether it answered by a time.
-func (x *exchange) askPermit(answered <-chan struct{}, until time.Time) bool {
-	left := clock.Until(until)
-	if left <= 0 {
-		return false // It was asked for another server, and did not answer.
+// requestPermit asks the leader for permits and reports whether it answered before the
+// deadline.
+func (x *exchange) requestPermit(answered <-chan struct{}, deadline time.Time) bool {
+	remaining := clock.Until(deadline)
+	if remaining <= 0 {
+		return false // The time was used up for another server; the leader did not answer.
 	}
-	end := time.NewTimer(left)
+	end := time.NewTimer(remaining)
 	defer end.Stop()
-	x.g.limitsNow()
+	x.g.triggerLimits()
 	select {
 	case <-answered:
 		return true
@@ -56,49 +58,49 @@
 	return false
 }
 
-// take takes a permit for a request to a server. With Ask, the leader's next answer closes
-// the channel.
-func (w *words) take(server string) (backpressure.Decision, time.Duration, <-chan struct{}) {
+// acquire acquires a permit for a request to a server. If it returns NeedPermit, the channel
+// is closed by the leader's next answer.
+func (w *feedbackState) acquire(server string) (backpressure.Decision, time.Duration, <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := clock.Now()
 	if w.departures.IsLeaving(server) {
-		return backpressure.Wait, forGood, nil
+		return backpressure.Wait, unboundedWait, nil
 	}
-	if left := w.rests.Remaining(server, now); left > 0 {
-		return backpressure.Wait, left, nil
+	if remaining := w.backoffs.Remaining(server, now); remaining > 0 {
+		return backpressure.Wait, remaining, nil
 	}
-	verdict, wait := w.limits.Acquire(server, now)
-	return verdict, wait, w.answered
+	decision, wait := w.limits.Acquire(server, now)
+	return decision, wait, w.replied
 }
 
-// noteSent counts a request that is sent to a server: limits are kept to over what came
-// ahead of them, too.
-func (g *Gateway) noteSent(server string) {
-	w := &g.words
+// recordSent counts a request sent to a server. The count is needed even for servers without
+// a limit: when one names a limit, the requests sent before count against it.
+func (g *Gateway) recordSent(server string) {
+	w := &g.feedback
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.limits.RecordSent(server, clock.Now())
 }
 
-// spare takes a permit for a question to a server, and reports whether there was one. A
-// server that leaves is asked: its answer tells when it ends.
-func (g *Gateway) spare(server string) bool {
-	w := &g.words
+// acquireProbePermit acquires a permit for a state request and reports whether there was one.
+// A leaving server may be asked: its answer says when it ends.
+func (g *Gateway) acquireProbePermit(server string) bool {
+	w := &g.feedback
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := clock.Now()
-	if w.rests.Remaining(server, now) > 0 {
+	if w.backoffs.Remaining(server, now) > 0 {
 		return false
 	}
-	verdict, _ := w.limits.Acquire(server, now) // A question does not wait: it comes again in the next round.
-	return verdict == backpressure.Send
+	decision, _ := w.limits.Acquire(server, now) // A state request does not wait: it is repeated in the next round.
+	return decision == backpressure.Send
 }
 
-// forcePermit takes a permit for a run that goes on at a server which has its memory
-// already, or notes that there was none.
+// forcePermit acquires a permit for a run that continues at a server which already has its
+// memory, or records that the run goes ahead without one.
 func (g *Gateway) forcePermit(server string) {
-	w := &g.words
+	w := &g.feedback
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.limits.ForceAcquire(server, clock.Now())
@@ -106,7 +108,7 @@
 
 // LimitedServers returns the servers that limit their requests, sorted.
 func (g *Gateway) LimitedServers() []string {
-	w := &g.words
+	w := &g.feedback
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.limits.Limited()
@@ -114,16 +116,16 @@
 
 // LimitsBehind reports whether the leader of a term has limits that are not known here.
 func (g *Gateway) LimitsBehind(term, change uint64) bool {
-	w := &g.words
+	w := &g.feedback
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.limits.IsStale(term, change)
 }
 
-// ReportLimits returns what the leader lacks of the servers' limits, and what permits are
-// wanted. It is false where no server is known to limit its requests.
+// ReportLimits returns the limits that the leader lacks and the permits wanted. It returns
+// false if no server is known to limit its requests.
 func (g *Gateway) ReportLimits() (m protocol.LimitsMsg, any bool) {
-	w := &g.words
+	w := &g.feedback
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.limits.SetGateways(int(g.gateways.Load()))
@@ -132,73 +134,73 @@
 	return m, any
 }
 
-// Words returns what servers said to this gateway of their limits.
+// Words returns the limits that servers reported directly to this gateway.
 func (g *Gateway) Words() []protocol.ReportedLimit {
-	w := &g.words
+	w := &g.feedback
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.limits.DirectLimits(clock.Now())
 }
 
-// TakePassed takes what servers said to other gateways.
+// TakePassed merges limits that servers reported to other gateways.
 func (g *Gateway) TakePassed(rows []protocol.ReportedLimit) {
-	w := &g.words
+	w := &g.feedback
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.limits.MergeForwarded(rows, clock.Now())
 }
 
-// AnsweredLimits takes the leader's answer to a report that was made at a time; it is nil
-// where none came. Requests that wait look again.
+// AnsweredLimits applies the leader's answer to a report made at the given time, or nil if
+// there was none. Waiting requests then check again.
 func (g *Gateway) AnsweredLimits(m *protocol.LimitsMsg, reply *protocol.LimitsReply, asked time.Time) {
-	w := &g.words
+	w := &g.feedback
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if reply != nil {
 		w.limits.HandleReply(m, reply, asked, clock.Now())
 	}
-	close(w.answered)
-	w.answered = make(chan struct{})
+	close(w.replied)
+	w.replied = make(chan struct{})
 }
 
-// permitted returns a server that the request may be sent to now: one that pick returns
-// and that takes it. Where none does, it waits for a short while.
-func (x *exchange) permitted(pick func() (*place.Server, *protocol.Refusal)) (*place.Server, *protocol.Refusal) {
-	for end := clock.Now().Add(roomTime); ; {
+// choosePermitted returns a server returned by pick that accepts the request now. If there is
+// none, it waits for a short time.
+func (x *exchange) choosePermitted(pick func() (*place.Server, *protocol.Refusal)) (*place.Server, *protocol.Refusal) {
+	for deadline := clock.Now().Add(availabilityTimeout); ; {
 		s, wait, refusal := x.pickPermitted(pick)
-		if refusal == nil || wait == forGood {
+		if refusal == nil || wait == unboundedWait {
 			return s, refusal
 		}
-		if clock.Now().Add(wait).After(end) || !x.waitFor(wait) {
-			return nil, x.noneTakes(wait)
+		if clock.Now().Add(wait).After(deadline) || !x.sleep(wait) {
+			return nil, x.refuseAllLimited(wait)
 		}
 	}
 }
 
-// pickPermitted has pick choose among the servers until it returns one that takes the
-// request. Where it finds none, wait is when one of those that were passed over may take
-// it; forGood where none was passed over that will.
+// pickPermitted calls pick until it returns a server that accepts the request. If there is
+// none, wait is the time until one of the skipped servers may accept it, or unboundedWait if
+// none of them will.
 func (x *exchange) pickPermitted(pick func() (*place.Server, *protocol.Refusal)) (s *place.Server, wait time.Duration, refusal *protocol.Refusal) {
-	x.closed, wait = x.g.words.closed(x.g.view.Load(), x.service)
-	for until := clock.Now().Add(permitTime); ; {
+	x.unavailable, wait = x.g.feedback.unavailable(x.g.view.Load(), x.service)
+	for deadline := clock.Now().Add(permitTimeout); ; {
 		s, refusal = pick()
 		if refusal != nil {
 			return nil, wait, refusal
 		}
-		ok, free := x.takePermit(s.ID, until)
+		ok, free := x.acquirePermit(s.ID, deadline)
 		if ok {
 			return s, 0, nil
 		}
-		x.ended() // A place that the leader gave is not taken.
-		x.creditBack()
+		x.reportPlacementEnd() // The leader's placement is not used.
+		x.refundTrialCredit()
 		wait = min(wait, free)
-		x.closed = append(x.closed, s.ID)
+		x.unavailable = append(x.unavailable, s.ID)
 	}
 }
 
-// waitFor waits for a time. It is false where the request ended meanwhile.
-func (x *exchange) waitFor(d time.Duration) bool {
-	timer := time.NewTimer(max(d, leastRoomWait))
+// sleep waits for a duration. It returns false if the request ended in the meantime.
+func (x *exchange) sleep(d time.Duration) bool {
+	timer := time.NewTimer(max(d, minAvailabilityWait))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -208,25 +210,25 @@
 	}
 }
 
-// leastRoomWait is the least time between two looks for room.
-const leastRoomWait = 10 * time.Millisecond
+// minAvailabilityWait is the shortest wait between two checks for an available server.
+const minAvailabilityWait = 10 * time.Millisecond
 
-// noneTakes refuses a request that no server takes for a while.
-func (x *exchange) noneTakes(wait time.Duration) *protocol.Refusal {
-	x.g.meters.refusedLimited.Inc(1)
-	x.log.Info().Int("servers", len(x.closed)).Dur("wait", wait).Msg("no server takes a request at present")
-	back := max(leastRoomWait, wait)
-	back += time.Duration(backSpread * rand.Float64() * float64(back))
-	return protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeOverloaded, "the servers take no more requests at present").WithRetryAfter(back)
+// refuseAllLimited refuses a request that no server accepts for a while.
+func (x *exchange) refuseAllLimited(wait time.Duration) *protocol.Refusal {
+	x.g.meters.limitRefused.Inc(1)
+	x.log.Info().Int("servers", len(x.unavailable)).Dur("wait", wait).Msg("no server takes a request at present")
+	retryAfter := max(minAvailabilityWait, wait)
+	retryAfter += time.Duration(retryAfterJitter * rand.Float64() * float64(retryAfter))
+	return protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeOverloaded, "the servers accept no more requests at present").WithRetryAfter(retryAfter)
 }
 
-// turnedBack goes on after a server that was chosen takes nothing any more: another one is
-// chosen, and a moved run goes back to its source.
-func (x *exchange) turnedBack() *protocol.Refusal {
-	x.ended()
-	x.creditBack()
-	if x.continuation != nil && !x.movedFailed(protocol.NotRun) {
-		return x.afterEarlierAttempts(protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeNoBackend, "the server that the answer was moved to takes no requests"))
+// placeAgain continues after the chosen server turned out not to accept requests: another one
+// is chosen, and a moved run returns to its source.
+func (x *exchange) placeAgain() *protocol.Refusal {
+	x.reportPlacementEnd()
+	x.refundTrialCredit()
+	if x.continuation != nil && !x.retryContinuation(protocol.NotRun) {
+		return x.afterEarlierAttempts(protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeNoBackend, "the target of the moved answer accepts no requests"))
 	}
-	return errAgain
+	return errRetry
 }
--- a/transport/forward/limits.go
+++ b/transport/forward/limits.go
@@ -10,18 +10,18 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// pressure counts what a service's requests ask for; see protocol.Pressure.
+// pressure counts the demand on a service; see protocol.Pressure.
 type pressure struct {
-	running int
-	begun   int64
-	slow    int64
-	work    float64
-	lanes   place.Lanes
-	at      time.Time
+	running        int
+	begun          int64
+	slow           int64
+	averageRunning float64
+	lanes          place.Lanes
+	at             time.Time
 }
 
-// workMemory is the time over which the running requests are averaged.
-const workMemory = time.Second
+// averagingPeriod is the time over which the number of running requests is averaged.
+const averagingPeriod = time.Second
 
 // add changes the number of running requests.
 func (p *pressure) add(n int, now time.Time) {
@@ -30,13 +30,13 @@
 }
 
 func (p *pressure) average(now time.Time) {
-	part := min(1, float64(now.Sub(p.at))/float64(workMemory))
-	p.work += (float64(p.running) - p.work) * part
+	fraction := min(1, float64(now.Sub(p.at))/float64(averagingPeriod))
+	p.averageRunning += (float64(p.running) - p.averageRunning) * fraction
 	p.at = now
 }
 
-// service returns a service's counts. It needs g.mu.
-func (g *Gateway) service(name string) *pressure {
+// servicePressure returns the counts of a service. The caller must hold g.mu.
+func (g *Gateway) servicePressure(name string) *pressure {
 	p := g.pressure[name]
 	if p == nil {
 		p = &pressure{at: clock.Now()}
@@ -45,203 +45,204 @@
 	return p
 }
 
-// takesSlot notes that the request is sent to a server with some slots, and givesBack
-// that it has been there for a time.
-func (x *exchange) takesSlot(slots int) {
+// slotTaken records that the request is sent to a server with the given number of slots, and
+// slotReleased that it ended after the given time.
+func (x *exchange) slotTaken(slots int) {
 	x.g.mu.Lock()
 	defer x.g.mu.Unlock()
-	p, now := x.g.service(x.service), clock.Now()
+	p, now := x.g.servicePressure(x.service), clock.Now()
 	p.add(1, now)
 	p.lanes.RequestStarted(x.lane, slots, now)
 }
 
-func (x *exchange) givesBack(held time.Duration, slots int) {
+func (x *exchange) slotReleased(held time.Duration, slots int) {
 	x.g.mu.Lock()
 	defer x.g.mu.Unlock()
-	p, now := x.g.service(x.service), clock.Now()
+	p, now := x.g.servicePressure(x.service), clock.Now()
 	p.add(-1, now)
 	p.lanes.RequestEnded(x.lane, held, slots, now)
 }
 
-// arrived notes a request for a service, by which retries are earned, and finds
-// its lane.
-func (x *exchange) arrived() {
+// recordArrival counts a request for a service, which earns retry budget, and determines its
+// lane.
+func (x *exchange) recordArrival() {
 	g := x.g
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := clock.Now()
-	p := g.service(x.service)
-	g.share(x.service, now).Request(now)
-	x.lane, x.parts = p.lanes.Observe(x.call.PromptTokens, x.call.SharedTokens())
-	x.size = p.lanes.RelativeSize(x.call.PromptTokens)
+	p := g.servicePressure(x.service)
+	g.retryShare(x.service, now).Request(now)
+	x.lane, x.laneShares = p.lanes.Observe(x.call.PromptTokens, x.call.SharedTokens())
+	x.relativeSize = p.lanes.RelativeSize(x.call.PromptTokens)
 }
 
-// slowPart of its target makes an answer a slow one.
-const slowPart = 0.6
+// slowFraction is the fraction of the route's target latency above which an answer counts as
+// slow.
+const slowFraction = 0.6
 
-// begun notes how long an answer took to begin.
-func (g *Gateway) begun(service string, took, target time.Duration) {
+// recordAnswerStart records the time until an answer started.
+func (g *Gateway) recordAnswerStart(service string, took, target time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	p := g.service(service)
+	p := g.servicePressure(service)
 	p.begun++
-	if float64(took) > slowPart*float64(target) {
+	if float64(took) > slowFraction*float64(target) {
 		p.slow++
 	}
 }
 
-// share needs g.mu.
-func (g *Gateway) share(service string, now time.Time) *retry.Share {
-	s := g.shares[service]
+// retryShare returns the retry budget of a service. The caller must hold g.mu.
+func (g *Gateway) retryShare(service string, now time.Time) *retry.Share {
+	s := g.retryShares[service]
 	if s == nil {
 		s = retry.NewShare(g.cfg.RetryRatio, g.cfg.RetryExtra, g.cfg.RetryWindow, int(g.gateways.Load()), now)
-		g.shares[service] = s
+		g.retryShares[service] = s
 	}
 	return s
 }
 
-// retries takes one retry from the budget of a service.
-func (g *Gateway) retries(service string) bool {
+// spendRetry takes one retry from the budget of a service.
+func (g *Gateway) spendRetry(service string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := clock.Now()
-	return g.share(service, now).Spend(now)
+	return g.retryShare(service, now).Spend(now)
 }
 
-// count notes that a request of a workspace began to run.
-func (g *Gateway) count(workspace string) {
+// countUsage records that a request of a workspace started to run.
+func (g *Gateway) countUsage(workspace string) {
 	if workspace == "" {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.counter.Began(workspace, g.clock.Now(clock.Since(g.began)))
+	g.usageCounter.Began(workspace, g.clock.Now(clock.Since(g.startedAt)))
 }
 
-// askTime is how long a request waits for a part of its quota.
-const askTime = 250 * time.Millisecond
+// quotaTimeout is how long a request waits for quota.
+const quotaTimeout = 250 * time.Millisecond
 
-// take takes a request's units from its workspace's quota, and asks for more
-// where they are lacking. It returns nil when they were there.
-func (x *exchange) take(units float64) *protocol.Refusal {
+// takeQuota takes a request's units from the quota of its workspace, and asks the leader for
+// more if they do not suffice. It returns nil on success.
+func (x *exchange) takeQuota(units float64) *protocol.Refusal {
 	g, name := x.g, x.workspace.Name
-	end := time.NewTimer(askTime)
+	end := time.NewTimer(quotaTimeout)
 	defer end.Stop()
 	for {
 		g.mu.Lock()
-		verdict, wait := g.allowance.Take(name, units, clock.Now())
-		granted := g.granted
+		decision, wait := g.allowance.Take(name, units, clock.Now())
+		granted := g.grantsReceived
 		g.mu.Unlock()
-		switch verdict {
+		switch decision {
 		case quota.Taken:
 			return nil
 		case quota.Denied:
-			return overQuota(wait)
+			return quotaRefusal(wait)
 		case quota.Ask:
-			g.askQuota()
+			g.requestQuota()
 		}
 		select {
 		case <-granted:
 		case <-end.C:
-			return x.takeLast(units)
+			return x.takeQuotaUnanswered(units)
 		case <-x.ctx.Done():
 			return callerGone()
 		}
 	}
 }
 
-// takeLast takes units after a question was not answered in time: by now the
-// gateway may go on alone.
-func (x *exchange) takeLast(units float64) *protocol.Refusal {
+// takeQuotaUnanswered takes units after the leader did not answer in time: by now the gateway
+// may be allowed to continue on its own.
+func (x *exchange) takeQuotaUnanswered(units float64) *protocol.Refusal {
 	g := x.g
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	// The wait that comes with a denial is not used: it counts from an answer of the
-	// leader, which did not come in time.
-	if verdict, _ := g.allowance.Take(x.workspace.Name, units, clock.Now()); verdict == quota.Taken {
+	// The wait returned with a denial is not used: it counts from an answer of the leader,
+	// which did not arrive in time.
+	if decision, _ := g.allowance.Take(x.workspace.Name, units, clock.Now()); decision == quota.Taken {
 		return nil
 	}
-	return overQuota(askTime)
+	return quotaRefusal(quotaTimeout)
 }
 
-func overQuota(wait time.Duration) *protocol.Refusal {
+func quotaRefusal(wait time.Duration) *protocol.Refusal {
 	const least = 100 * time.Millisecond
-	return protocol.NewRefusal(protocol.StatusTooManyRequests, protocol.CodeOverloaded, "the workspace's quota is used up").WithRetryAfter(max(wait, least))
+	return protocol.NewRefusal(protocol.StatusTooManyRequests, protocol.CodeOverloaded, "the workspace's quota is exhausted").WithRetryAfter(max(wait, least))
 }
 
-// Report returns what the gateway tells the leader of a term.
+// Report returns the gateway's report for the leader of a term.
 func (g *Gateway) Report(term uint64) protocol.SyncMsg {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := clock.Now()
-	since := now.Sub(g.began)
-	m := protocol.SyncMsg{Gateway: g.cfg.Name, Term: term, Number: g.Number(), Clock: g.clock.Own(since), Usage: g.counter.Rows(term, g.clock.Now(since)), Counted: g.clock.Now(since), Domain: g.cfg.Domain, Running: g.view.Load().Running(), Distrusts: g.view.Load().Distrusts(now)}
-	if !g.apart {
+	since := now.Sub(g.startedAt)
+	m := protocol.SyncMsg{Gateway: g.cfg.Name, Term: term, Number: g.Number(), Clock: g.clock.Own(since), Usage: g.usageCounter.Rows(term, g.clock.Now(since)), Counted: g.clock.Now(since), Domain: g.cfg.Domain, Running: g.view.Load().Running(), Distrusts: g.view.Load().Distrusts(now)}
+	if !g.separateQuota {
 		m.Wants = g.allowance.Wants(now)
-		m.Done, g.done = g.done, nil // One that is lost is forgotten by the leader in time.
+		m.Done, g.finishedPlacements = g.finishedPlacements, nil // If the message is lost, the leader forgets the placements after a timeout.
 	}
-	m.Rollouts = g.rolled
-	g.reportReadings(term, &m)
+	m.Rollouts = g.rolloutChange
+	g.reportPrefills(term, &m)
 	g.reportQuarantine(term, &m)
 	for _, t := range g.trials {
 		m.Trials = append(m.Trials, t.report(term, now))
 	}
 	for name, p := range g.pressure {
 		p.average(now)
-		m.Pressure = append(m.Pressure, protocol.Pressure{Service: name, Begun: p.begun, Slow: p.slow, Work: p.work, Lanes: p.lanes.Local()})
+		m.Pressure = append(m.Pressure, protocol.Pressure{Service: name, Begun: p.begun, Slow: p.slow, Work: p.averageRunning, Lanes: p.lanes.Local()})
 	}
 	return m
 }
 
-// Reported notes that the leader has a report, and what it answered of quotas.
+// Reported records that the leader received a report, and applies its quota grants.
 func (g *Gateway) Reported(m *protocol.SyncMsg, reply *protocol.SyncReply, asked time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.counter.Acknowledged(reply.Term, m.Usage)
+	g.usageCounter.Acknowledged(reply.Term, m.Usage)
 	g.allowance.SetShort(reply.Short)
 	g.allowance.Acknowledge(m.Wants)
-	g.clock.Agreed(reply.Clock, clock.Since(g.began))
-	g.takeReadings(reply, clock.Now())
-	g.reportedQuarantine(reply.Term, m)
+	g.clock.Agreed(reply.Clock, clock.Since(g.startedAt))
+	g.applyPrefills(reply, clock.Now())
+	g.acknowledgeQuarantine(reply.Term, m)
 	for i := range m.Trials {
 		for _, t := range g.trials {
 			if t.record.Number == m.Trials[i].Number {
-				t.reported(reply.Term, &m.Trials[i])
+				t.acknowledge(reply.Term, &m.Trials[i])
 			}
 		}
 	}
 	if len(m.Wants) > 0 {
-		g.grant(reply.Grants, asked)
+		g.applyGrants(reply.Grants, asked)
 	}
 }
 
-// ended tells the leader that a placed request ended.
-func (x *exchange) ended() {
-	if x.placed.Server == "" {
+// reportPlacementEnd tells the leader that a request it placed has ended.
+func (x *exchange) reportPlacementEnd() {
+	if x.placement.Server == "" {
 		return
 	}
 	x.g.mu.Lock()
 	defer x.g.mu.Unlock()
-	x.g.done = append(x.g.done, protocol.PlaceDone{Term: x.placed.Term, Number: x.placed.Number, Placer: x.placed.Placer, First: x.first, Took: clock.Since(x.start)})
-	x.placed = protocol.PlaceReply{}
-	if x.g.apart && x.g.quotaNow != nil {
-		x.g.quotaNow()
+	x.g.finishedPlacements = append(x.g.finishedPlacements, protocol.PlaceDone{Term: x.placement.Term, Number: x.placement.Number, Placer: x.placement.Placer, First: x.firstByte, Took: clock.Since(x.start)})
+	x.placement = protocol.PlaceReply{}
+	if x.g.separateQuota && x.g.triggerQuota != nil {
+		x.g.triggerQuota()
 	}
 }
 
-// Share takes how many requests the listed servers have from all gateways, and
-// which of them others distrust.
+// Share applies the number of requests that the listed servers have from all gateways, and
+// which servers other gateways distrust.
 func (g *Gateway) Share(loads, distrusted []byte) {
 	if ids := g.view.Load().ApplyLoads(loads, distrusted, clock.Now()); len(ids) > 0 {
 		g.log.Info().Strs("servers", ids).Msg("servers distrusted by other gateways")
 	}
 }
 
-// Agree takes the terms by which all gateways part long prompts from short ones.
+// Agree sets the terms by which all gateways separate long prompts from short ones.
 func (g *Gateway) Agree(lanes []protocol.ServiceLanes) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, l := range lanes {
-		g.service(l.Service).lanes.SetAgreed(l.Terms)
+		g.servicePressure(l.Service).lanes.SetAgreed(l.Terms)
 	}
 }
--- a/transport/forward/meters.go
+++ b/transport/forward/meters.go
@@ -9,97 +9,98 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// meters are the gateway's own figures.
+// meters are the gateway's metrics.
 type meters struct {
-	requests metrics.Counter
-	answered metrics.Counter
-	refused  metrics.Counter
-	broken   metrics.Counter
-	attempts metrics.Counter
-	resent   metrics.Counter
-	first    metrics.Timer
+	requests      metrics.Counter
+	answered      metrics.Counter
+	refused       metrics.Counter
+	brokenStreams metrics.Counter
+	attempts      metrics.Counter
+	retried       metrics.Counter
+	firstByte     metrics.Timer
 
-	serversEnded metrics.Counter // serversEnded are servers that ended under requests, unannounced.
-	restarted    metrics.Counter // restarted are servers that started again under their names.
-	refusedHeld  metrics.Counter // refusedHeld are requests that were refused since servers had ended under them.
-	triedHeld    metrics.Counter // triedHeld are trials of such requests.
+	serversCrashed    metrics.Counter // serversCrashed counts servers that terminated unannounced while they had requests.
+	serversRestarted  metrics.Counter // serversRestarted counts servers that restarted under the same name.
+	quarantineRefused metrics.Counter // quarantineRefused counts requests refused because servers had terminated while running them.
+	quarantineTrials  metrics.Counter // quarantineTrials counts trials of such requests.
 
-	distances      *distanceMeters
-	moves          metrics.Counter // moves are copies of runs that were begun.
-	moved          metrics.Counter // moved are runs that went on elsewhere.
-	moveFailed     metrics.Counter // moveFailed are runs that had stopped and were not taken anywhere.
-	moveFreed      metrics.Counter // moveFreed are copies that served nobody.
-	moveHeld       metrics.Counter // moveHeld are copies that are set aside now.
-	moveTokens     metrics.Counter // moveTokens are those of the moved prompts.
-	moveCopy       metrics.Timer   // moveCopy is how long one copy takes.
-	moveTime       metrics.Timer   // moveTime is from the first copy until the next server answers.
-	asked          metrics.Counter // asked are questions to servers for their state.
-	noticed        metrics.Counter // noticed are answers to them that told of an end.
-	rests          metrics.Counter // rests are how often servers asked for rest.
-	limits         metrics.Counter // limits are how often servers named another limit of requests than before.
-	refusedLimited metrics.Counter // refusedLimited are requests that were refused as all servers were at their limits.
-	copies         metrics.Counter // copies are requests whose server was told whom to copy from.
+	distances        *distanceMeters
+	moves            metrics.Counter // moves counts copies of runs that were started.
+	movesDone        metrics.Counter // movesDone counts runs that continued at another server.
+	moveFailed       metrics.Counter // moveFailed counts runs that were stopped and that no server accepted.
+	copiesFreed      metrics.Counter // copiesFreed counts copies that were not used.
+	copiesHeld       metrics.Counter // copiesHeld is the number of copies that exist at present.
+	movedTokens      metrics.Counter // movedTokens counts the tokens of moved prompts.
+	copyDuration     metrics.Timer   // copyDuration is the duration of one copy.
+	moveDuration     metrics.Timer   // moveDuration is the time from the first copy until the next server answers.
+	stateRequests    metrics.Counter // stateRequests counts state requests to servers.
+	departureNotices metrics.Counter // departureNotices counts answers to them that announced a departure.
+	backoffs         metrics.Counter // backoffs counts how often servers asked for backoff.
+	limitChanges     metrics.Counter // limitChanges counts how often servers changed their request limit.
+	limitRefused     metrics.Counter // limitRefused counts requests refused because all servers were at their limits.
+	promptCopies     metrics.Counter // promptCopies counts requests whose server was told to copy from another one.
 
 	registry metrics.Registry
 	mu       sync.Mutex // mu guards ended.
 	ended    map[outcome]metrics.Counter
 }
 
-// outcome is what requests are counted by when they end.
+// outcome is the key by which ended requests are counted.
 type outcome struct {
 	route     string
 	workspace string
 	verdict   protocol.Verdict
 }
 
-// mostOutcomes bounds the counters of outcomes: names come from the operators, and
-// each counter costs memory and a line. What is beyond counts under otherName.
+// maxOutcomes bounds the number of outcome counters: the labels contain names chosen by
+// operators, and each counter costs memory and a line of output. Outcomes beyond the bound
+// count under overflowLabel.
 const (
-	mostOutcomes = 512
-	otherName    = "other"
+	maxOutcomes   = 512
+	overflowLabel = "other"
 )
 
 func newMeters(r metrics.Registry) *meters {
 	return &meters{
-		requests: metrics.GetOrRegisterCounter("requests", r),
-		answered: metrics.GetOrRegisterCounter("requests.answered", r),
-		refused:  metrics.GetOrRegisterCounter("requests.refused", r),
-		broken:   metrics.GetOrRegisterCounter("requests.broken", r),
-		attempts: metrics.GetOrRegisterCounter("attempts", r),
-		resent:   metrics.GetOrRegisterCounter("attempts.resent", r),
-		first:    metrics.GetOrRegisterTimer("first", r),
+		requests:      metrics.GetOrRegisterCounter("requests", r),
+		answered:      metrics.GetOrRegisterCounter("requests.answered", r),
+		refused:       metrics.GetOrRegisterCounter("requests.refused", r),
+		brokenStreams: metrics.GetOrRegisterCounter("requests.broken", r),
+		attempts:      metrics.GetOrRegisterCounter("attempts", r),
+		retried:       metrics.GetOrRegisterCounter("attempts.resent", r),
+		firstByte:     metrics.GetOrRegisterTimer("first", r),
 
-		serversEnded:   metrics.GetOrRegisterCounter("servers.ended", r),
-		restarted:      metrics.GetOrRegisterCounter("servers.restarted", r),
-		refusedHeld:    metrics.GetOrRegisterCounter("quarantine.refused", r),
-		triedHeld:      metrics.GetOrRegisterCounter("quarantine.tried", r),
-		moves:          metrics.GetOrRegisterCounter(`moves.begun{cause="leaving"}`, r),
-		moved:          metrics.GetOrRegisterCounter(`moves.done{cause="leaving"}`, r),
-		moveFailed:     metrics.GetOrRegisterCounter(`moves.failed{cause="leaving"}`, r),
-		moveFreed:      metrics.GetOrRegisterCounter("moves.freed", r),
-		moveHeld:       metrics.GetOrRegisterCounter("moves.held", r),
-		moveTokens:     metrics.GetOrRegisterCounter("moves.tokens", r),
-		moveCopy:       metrics.GetOrRegisterTimer("moves.copy", r),
-		moveTime:       metrics.GetOrRegisterTimer("moves.time", r),
-		asked:          metrics.GetOrRegisterCounter("servers.asked", r),
-		noticed:        metrics.GetOrRegisterCounter("servers.noticed", r),
-		rests:          metrics.GetOrRegisterCounter("servers.rests", r),
-		limits:         metrics.GetOrRegisterCounter("servers.limits", r),
-		refusedLimited: metrics.GetOrRegisterCounter("limits.refused", r),
-		copies:         metrics.GetOrRegisterCounter("copies", r),
-		distances:      newDistanceMeters(r),
-		registry:       r,
-		ended:          map[outcome]metrics.Counter{},
+		serversCrashed:    metrics.GetOrRegisterCounter("servers.ended", r),
+		serversRestarted:  metrics.GetOrRegisterCounter("servers.restarted", r),
+		quarantineRefused: metrics.GetOrRegisterCounter("quarantine.refused", r),
+		quarantineTrials:  metrics.GetOrRegisterCounter("quarantine.tried", r),
+		moves:             metrics.GetOrRegisterCounter(`moves.begun{cause="leaving"}`, r),
+		movesDone:         metrics.GetOrRegisterCounter(`moves.done{cause="leaving"}`, r),
+		moveFailed:        metrics.GetOrRegisterCounter(`moves.failed{cause="leaving"}`, r),
+		copiesFreed:       metrics.GetOrRegisterCounter("moves.freed", r),
+		copiesHeld:        metrics.GetOrRegisterCounter("moves.held", r),
+		movedTokens:       metrics.GetOrRegisterCounter("moves.tokens", r),
+		copyDuration:      metrics.GetOrRegisterTimer("moves.copy", r),
+		moveDuration:      metrics.GetOrRegisterTimer("moves.time", r),
+		stateRequests:     metrics.GetOrRegisterCounter("servers.asked", r),
+		departureNotices:  metrics.GetOrRegisterCounter("servers.noticed", r),
+		backoffs:          metrics.GetOrRegisterCounter("servers.rests", r),
+		limitChanges:      metrics.GetOrRegisterCounter("servers.limits", r),
+		limitRefused:      metrics.GetOrRegisterCounter("limits.refused", r),
+		promptCopies:      metrics.GetOrRegisterCounter("copies", r),
+		distances:         newDistanceMeters(r),
+		registry:          r,
+		ended:             map[outcome]metrics.Counter{},
 	}
 }
 
-// end counts a request that ended. Its labels follow the name of the counter in
-// braces, as scrapers read them.
-func (m *meters) end(o outcome) {
+// countOutcome counts a request that ended. The labels follow the counter's name in braces,
+// as scrapers expect them.
+func (m *meters) countOutcome(o outcome) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.ended[o] == nil && len(m.ended) >= mostOutcomes {
-		o.route, o.workspace = otherName, otherName
+	if m.ended[o] == nil && len(m.ended) >= maxOutcomes {
+		o.route, o.workspace = overflowLabel, overflowLabel
 	}
 	c := m.ended[o]
 	if c == nil {
--- a/transport/forward/meters_test.go
+++ b/transport/forward/meters_test.go
@@ -10,19 +10,19 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// TestOutcomesAreBounded checks that requests are counted by route, workspace and
-// verdict, and that no number of names makes more counters than the bound, and one
-// for each verdict of all others.
+// TestOutcomesAreBounded checks that requests are counted by route, workspace and verdict,
+// and that the number of counters is bounded: beyond the bound there is one more counter for
+// each verdict.
 func TestOutcomesAreBounded(t *testing.T) {
 	r := metrics.NewRegistry()
 	m := newMeters(r)
-	m.end(outcome{"r", "w", protocol.Ran})
-	m.end(outcome{"r", "w", protocol.Ran})
+	m.countOutcome(outcome{"r", "w", protocol.Ran})
+	m.countOutcome(outcome{"r", "w", protocol.Ran})
 	if c, ok := r.Get(`requests.ended{route="r",workspace="w",verdict="ran"}`).(metrics.Counter); !ok || c.Count() != 2 {
 		t.Errorf("counted as %v", c)
 	}
-	for i := range 2 * mostOutcomes {
-		m.end(outcome{fmt.Sprint("route-", i), "w", protocol.NotRun})
+	for i := range 2 * maxOutcomes {
+		m.countOutcome(outcome{fmt.Sprint("route-", i), "w", protocol.NotRun})
 	}
 	total, names := int64(0), 0
 	r.Each(func(name string, c any) {
@@ -31,22 +31,22 @@
 			names++
 		}
 	})
-	if total != 2*mostOutcomes+2 || names != mostOutcomes+1 {
+	if total != 2*maxOutcomes+2 || names != maxOutcomes+1 {
 		t.Errorf("%d requests under %d names", total, names)
 	}
 }
 
-// TestRequestsAreCountedByOutcome checks that an answer and a refusal each count
-// once, with their verdicts.
+// TestRequestsAreCountedByOutcome checks that an answer and a refusal are each counted once,
+// with their verdicts.
 func TestRequestsAreCountedByOutcome(t *testing.T) {
-	w := newWorld(t)
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 1})
 	if got := w.ask(); got.status != 503 {
 		t.Fatalf("without a server: %+v", got)
 	}
-	w.backend("a", good)
+	w.backend("a", answerOK)
 	if got := w.ask(); got.status != 200 {
-		t.Fatalf("with one: %+v", got)
+		t.Fatalf("with a server: %+v", got)
 	}
 	got := map[protocol.Verdict]int64{}
 	for o, c := range w.g.meters.ended {
--- a/transport/forward/move.go
+++ b/transport/forward/move.go
@@ -15,132 +15,134 @@
 )
 
 const (
-	// moveUnbegun is how long before its server ends a run is moved although its first
-	// event has not come: until then the move waits for it.
-	moveUnbegun = 500 * time.Millisecond
-	// moveLatest is how long behind the notice moves begin at the latest, so that a run
-	// which its target refuses can go back to its source.
-	moveLatest = 1500 * time.Millisecond
-	// sourceLatest is how long behind the notice a run may go back to its source: 1.5 s
-	// until its move begins and what most moves take. Leaving servers may be sent nothing
-	// some seconds behind the notice, which itself may come a second late.
-	sourceLatest = 2 * time.Second
-	// moveTick is how often a leaving server is checked for runs to move: some have their
-	// first event only now, and some could not be copied before.
-	moveTick = 40 * time.Millisecond
-	// moveAtOnce bounds the runs of one server that a gateway moves at a time: their copies
-	// share the server's link.
-	moveAtOnce = 4
-	// moveGrace is how long after its expected end a server is still asked: the
-	// platform's word is old when it arrives, and servers often run for longer.
-	moveGrace = time.Second
-	// copyTime bounds a call that copies a run or drops a copy. What takes longer comes too
-	// late: platforms give a leaving server some seconds.
-	copyTime = 600 * time.Millisecond
-	// closeTime is how long the server of a stopped run may take to deliver its last events
-	// and end the stream. What comes later is made again by the next server.
-	closeTime = 150 * time.Millisecond
-	// maxCopied bounds the answer to such a call, in bytes: it holds
-	// little more than the copy's name.
-	maxCopied = 64 << 10
+	// unbegunMoveLead is how long before its server ends a run is moved even if its first
+	// event has not arrived: until then the move waits for that event.
+	unbegunMoveLead = 500 * time.Millisecond
+	// maxMoveDelay is the longest time from the departure notice to the start of the moves,
+	// so that a run refused by its target can still return to its source.
+	maxMoveDelay = 1500 * time.Millisecond
+	// maxSourceReturn is how long after the departure notice a run may return to its source:
+	// 1.5 s until its move starts plus the duration of most moves. A leaving server may stop
+	// accepting requests some seconds after the notice, which itself may arrive a second
+	// late.
+	maxSourceReturn = 2 * time.Second
+	// moveInterval is how often a leaving server is checked for runs to move: some receive
+	// their first event only now, and others could not be copied before.
+	moveInterval = 40 * time.Millisecond
+	// maxConcurrentMoves bounds the runs of one server that a gateway moves at a time, as
+	// their copies share the server's link.
+	maxConcurrentMoves = 4
+	// departureGrace is how long after its expected end a server is still called: the
+	// platform's notice is old when it arrives, and servers often run longer.
+	departureGrace = time.Second
+	// copyTimeout bounds a call that copies a run or frees a copy. A slower call would be too
+	// late: platforms give a leaving server only a few seconds.
+	copyTimeout = 600 * time.Millisecond
+	// streamCloseTimeout is how long the server of a stopped run may take to deliver its last
+	// events and end the stream. The next server generates later events again.
+	streamCloseTimeout = 150 * time.Millisecond
+	// maxCallAnswerBytes bounds the answer to such a call, which holds little more than the
+	// copy's handle.
+	maxCallAnswerBytes = 64 << 10
 )
 
-// moves are the running answers that can be moved, and the servers that are leaving.
-type moves struct {
-	mover    Mover    // mover is nil where nothing is moved.
-	reporter Reporter // reporter is nil where servers are not asked for their state.
+// runMoves tracks the running answers that can be moved, and the servers that are leaving.
+type runMoves struct {
+	mover    Mover    // mover is nil if nothing is moved.
+	reporter Reporter // reporter is nil if servers are not asked for their state.
 
-	mu      sync.Mutex                       // mu guards all below.
-	runs    map[string]map[*running]struct{} // runs are by their server.
-	notices map[string]notice                // notices are the first ones of leaving servers.
-	own     map[string]notice                // own are those that servers gave themselves.
-	askedAt time.Time                        // askedAt is when servers were asked for theirs last.
-	watched map[string]bool                  // watched are the leaving servers that have a goroutine in moveRuns.
-	weights map[string]string                // weights are the versions that servers told with their last answers.
+	mu          sync.Mutex                         // mu guards the fields below.
+	runs        map[string]map[*activeRun]struct{} // runs are the runs by server ID.
+	notices     map[string]departureNotice         // notices are the first departure notices of leaving servers.
+	selfNotices map[string]departureNotice         // selfNotices are the notices that servers gave themselves.
+	askedAt     time.Time                          // askedAt is when servers were last asked for their state.
+	moving      map[string]bool                    // moving are the leaving servers for which moveRuns is active.
+	lastWeights map[string]string                  // lastWeights are the weight versions that servers named in their last answers.
 }
 
-// init makes the tables.
-func (m *moves) init() {
-	m.runs = map[string]map[*running]struct{}{}
-	m.own = map[string]notice{}
-	m.watched = map[string]bool{}
-	m.weights = map[string]string{}
+// init initializes the maps.
+func (m *runMoves) init() {
+	m.runs = map[string]map[*activeRun]struct{}{}
+	m.selfNotices = map[string]departureNotice{}
+	m.moving = map[string]bool{}
+	m.lastWeights = map[string]string{}
 }
 
-// notice tells that a server leaves.
-type notice struct {
-	at  time.Time // at is when it came here,
-	end time.Time // and end is when the server ends by it.
+// departureNotice announces that a server is leaving.
+type departureNotice struct {
+	at  time.Time // at is when the notice arrived.
+	end time.Time // end is when the server ends according to the notice.
 }
 
-// WithMover sets what translates the calls of moves; without it nothing is moved.
+// WithMover sets the translator of the calls that move runs. Without it, nothing is moved.
 func WithMover(m Mover) Option { return func(g *Gateway) { g.moves.mover = m } }
 
-// running is one answer that runs at a server.
-type running struct {
-	g       *Gateway
-	try     *try
-	log     zerolog.Logger
-	call    protocol.Call
-	server  *place.Server
-	listed  string // listed is the server's identity in the latest list; the lock of the moves guards it.
-	rank    int
-	noRetry bool // noRetry says that the request is not repeatable: without a move its answer is lost.
-	// weights is the version of the model's weights that makes the answer; empty where it
-	// is not known. Only the exchange's goroutine uses it.
+// activeRun is an answer that a server is generating.
+type activeRun struct {
+	g        *Gateway
+	attempt  *serverAttempt
+	log      zerolog.Logger
+	call     protocol.Call
+	server   *place.Server
+	listedID string // listedID is the server's ID in the latest list, guarded by runMoves.mu.
+	priority int
+	noRetry  bool // noRetry reports that the request is not repeatable: without a move its answer is lost.
+	// weights is the version of the model's weights that produces the answer; empty if
+	// unknown. Only the exchange's goroutine uses it.
 	weights string
-	begun   atomic.Bool // begun says that the first event has come.
-	busy    atomic.Bool // busy says that a goroutine moves it.
+	begun   atomic.Bool // begun reports that the first event has arrived.
+	moving  atomic.Bool // moving reports that a goroutine is moving the run.
 
-	mu           sync.Mutex // mu guards all below.
-	state        move.State
-	stopAnswered chan struct{} // stopAnswered is closed when the server answered the stop, or copyTime is over; nil before the stop.
-	moveBegan    time.Time     // moveBegan is when the move began; zero before.
-	noticed      time.Time     // noticed is when the notice came for which it is moved.
+	mu            sync.Mutex // mu guards the fields below.
+	state         move.State
+	stopAnswered  chan struct{} // stopAnswered is closed when the server answers the stop or copyTimeout has passed; nil before the stop.
+	moveStartedAt time.Time     // moveStartedAt is when the move started; zero before that.
+	noticedAt     time.Time     // noticedAt is when the departure notice that caused the move arrived.
 }
 
-// track notes an answer that begins, if it could be moved.
-func (t *try) track() {
+// track registers an answer that is about to start, if it can be moved.
+func (t *serverAttempt) track() {
 	x := t.x
 	if x.g.moves.mover == nil || x.route.Kind != protocol.RouteStream || x.copyRate() <= 0 {
 		return
 	}
-	r := &running{g: x.g, try: t, log: x.log, call: x.call, server: t.server, listed: t.server.ID, rank: x.priority(), noRetry: !x.state.Repeatable}
-	t.running = r
+	r := &activeRun{g: x.g, attempt: t, log: x.log, call: x.call, server: t.server, listedID: t.server.ID, priority: x.priority(), noRetry: !x.state.Repeatable}
+	t.activeRun = r
 	m := &x.g.moves
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.runs[t.server.ID] == nil {
-		m.runs[t.server.ID] = map[*running]struct{}{}
+		m.runs[t.server.ID] = map[*activeRun]struct{}{}
 	}
 	m.runs[t.server.ID][r] = struct{}{}
 	x.g.startMoving(t.server)
 }
 
-// noteWeights notes the version of the weights that a server makes the answer with, if it says so.
-func (t *try) noteWeights(weights string) {
-	if t.running == nil || weights == "" {
+// recordWeights records the version of the weights with which a server generates the answer,
+// if the server names it.
+func (t *serverAttempt) recordWeights(weights string) {
+	if t.activeRun == nil || weights == "" {
 		return
 	}
-	t.running.weights = weights
+	t.activeRun.weights = weights
 	m := &t.x.g.moves
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.weights[t.server.ID] = weights
+	m.lastWeights[t.server.ID] = weights
 }
 
-// untrack notes that the answer of one server has ended. A run that goes on elsewhere
-// keeps its copy until that server answers.
-func (t *try) untrack() {
-	r := t.running
+// untrack removes an answer that has ended at its server. A run that continues elsewhere
+// keeps its copy until the next server answers.
+func (t *serverAttempt) untrack() {
+	r := t.activeRun
 	if r == nil {
 		return
 	}
 	m := &t.x.g.moves
 	m.mu.Lock()
-	delete(m.runs[r.listed], r)
-	if len(m.runs[r.listed]) == 0 {
-		delete(m.runs, r.listed)
+	delete(m.runs[r.listedID], r)
+	if len(m.runs[r.listedID]) == 0 {
+		delete(m.runs, r.listedID)
 	}
 	m.mu.Unlock()
 	if t.x.continuation == nil || t.x.continuation.run != r {
@@ -148,16 +150,16 @@
 	}
 }
 
-// apply steps the move's state by a message. It drops copies itself, as that needs no
-// order, and returns the other commands for its caller to carry out.
-func (r *running) apply(m move.Msg) (rest []move.Cmd) {
+// apply advances the move's state by a message. It frees copies itself, as their order does
+// not matter, and returns the other commands to its caller.
+func (r *activeRun) apply(m move.Msg) (rest []move.Cmd) {
 	r.mu.Lock()
 	next, cmds := move.Next(r.state, m)
-	if next.Phase != r.state.Phase && !r.moveBegan.IsZero() {
+	if next.Phase != r.state.Phase && !r.moveStartedAt.IsZero() {
 		r.log.Info().Str("server", r.server.ID).Str("target", next.Target).Stringer("phase", next.Phase).Bool("at_source", next.AtSource).
 			Int("tries", next.FailedCopies).Dur("after", r.since()).Msg("move: phase changed")
 	}
-	r.g.meters.moveHeld.Inc(held(next) - held(r.state))
+	r.g.meters.copiesHeld.Inc(copiesHeld(next) - copiesHeld(r.state))
 	r.state = next
 	for _, c := range cmds {
 		if _, ok := c.(move.StopCmd); ok {
@@ -168,7 +170,7 @@
 	for _, c := range cmds {
 		switch c := c.(type) {
 		case move.FreeCmd:
-			r.g.meters.moveFreed.Inc(1)
+			r.g.meters.copiesFreed.Inc(1)
 			go r.free(c)
 		default:
 			rest = append(rest, c)
@@ -177,54 +179,54 @@
 	return rest
 }
 
-// held is 1 for a run of which a copy is set aside.
-func held(s move.State) int64 {
+// copiesHeld returns 1 for a run of which a copy exists, and 0 otherwise.
+func copiesHeld(s move.State) int64 {
 	if s.Handle == "" {
 		return 0
 	}
 	return 1
 }
 
-// since returns how long ago the move began; 0 before it. It needs r.mu.
-func (r *running) since() time.Duration {
-	if r.moveBegan.IsZero() {
+// since returns the time since the move started; 0 before that. The caller must hold r.mu.
+func (r *activeRun) since() time.Duration {
+	if r.moveStartedAt.IsZero() {
 		return 0
 	}
-	return clock.Since(r.moveBegan)
+	return clock.Since(r.moveStartedAt)
 }
 
-// phase returns how far the run is.
-func (r *running) phase() move.Phase {
+// phase returns the phase of the run's move.
+func (r *activeRun) phase() move.Phase {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state.Phase
 }
 
-// move copies a run to another server and stops it at its own. It reports whether the
+// move copies a run to another server and stops it at its own server. It reports whether the
 // copy was made.
-func (r *running) move(n notice) (copied bool) {
-	if r.g.words.resting(r.server.ID) {
-		return false // It is tried again behind the rest, if the server is there for so long.
+func (r *activeRun) move(n departureNotice) (copied bool) {
+	if r.g.feedback.backingOff(r.server.ID) {
+		return false // Retried after the backoff, if the server still exists then.
 	}
 	view, now := r.g.view.Load(), clock.Now()
-	target := place.MoveTarget(view, r.server, place.ChooseMsg{Rand: rand.Uint64(), Now: now, Avoid: r.g.words.unwilling()})
+	target := place.MoveTarget(view, r.server, place.ChooseMsg{Rand: rand.Uint64(), Now: now, Avoid: r.g.feedback.excludedTargets()})
 	if target == nil {
-		return false // It is tried again in a while.
+		return false // Retried after moveInterval.
 	}
 	r.mu.Lock()
-	if r.moveBegan.IsZero() {
-		r.moveBegan = now
+	if r.moveStartedAt.IsZero() {
+		r.moveStartedAt = now
 	}
-	r.noticed = n.at
+	r.noticedAt = n.at
 	r.mu.Unlock()
 	for _, c := range r.apply(move.LeavingMsg{Target: target.ID}) {
 		if _, ok := c.(move.CopyCmd); !ok {
 			continue
 		}
 		r.g.meters.moves.Inc(1)
-		reply := r.copy(target, false)
+		reply := r.requestCopy(target, false)
 		if reply.Outcome == move.NoRun && !r.begun.Load() {
-			reply.Outcome = move.Busy // It waits, and may run in a moment.
+			reply.Outcome = move.Busy // The run is queued and may start at any moment.
 		}
 		for _, c := range r.apply(move.CopiedMsg{Outcome: reply.Outcome, Handle: reply.Handle}) {
 			if _, ok := c.(move.StopCmd); ok {
@@ -236,10 +238,10 @@
 	return copied
 }
 
-// stop has the server stop the run and copy the rest. The run goes on at the target once
-// its stream has ended, which hangUp sees to.
-func (r *running) stop(target *place.Server) {
-	reply := r.copy(target, true)
+// stop makes the server stop the run and copy the rest of its memory. The run continues at
+// the target once its stream has ended, which closeStream enforces.
+func (r *activeRun) stop(target *place.Server) {
+	reply := r.requestCopy(target, true)
 	r.apply(move.StoppedMsg{Outcome: reply.Outcome, Handle: reply.Handle})
 	r.mu.Lock()
 	close(r.stopAnswered)
@@ -248,14 +250,14 @@
 	if !stopped {
 		return
 	}
-	time.AfterFunc(closeTime, r.hangUp)
+	time.AfterFunc(streamCloseTimeout, r.closeStream)
 }
 
-// hangUp ends the stream of a run that has stopped and did not end it by itself.
-func (r *running) hangUp() {
+// closeStream closes the stream of a stopped run that has not ended by itself.
+func (r *activeRun) closeStream() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.state.Phase == move.Stopped {
-		r.try.conn.Close()
+		r.attempt.conn.Close()
 	}
 }
--- a/transport/forward/move_continue.go
+++ b/transport/forward/move_continue.go
@@ -7,29 +7,29 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// continuation is where a stopped run goes on from its copy.
+// continuation is where a stopped run continues from its copy.
 type continuation struct {
-	run     *running
+	run     *activeRun
 	server  *place.Server
 	handle  string
-	weights string // weights is the version that made the run's memory; empty where it is not known.
-	sent    bool   // sent says that an attempt was sent there.
+	weights string // weights is the version that produced the run's memory; empty if unknown.
+	sent    bool   // sent reports that an attempt was sent to the server.
 }
 
-// continuesElsewhere reports whether the answer goes on from a copy, after its stream
-// broke off. While a stop is not answered it waits for that.
-func (t *try) continuesElsewhere() bool {
-	r := t.running
+// startContinuation reports whether the answer continues from a copy after its stream broke.
+// If a stop has not been answered yet, it waits for that answer.
+func (t *serverAttempt) startContinuation() bool {
+	r := t.activeRun
 	if r == nil || t.x.ctx.Err() != nil {
 		return false
 	}
 	cmds := r.apply(move.StreamBrokenMsg{})
 	r.mu.Lock()
-	known := r.stopAnswered
+	answered := r.stopAnswered
 	r.mu.Unlock()
-	if len(cmds) == 0 && known != nil {
+	if len(cmds) == 0 && answered != nil {
 		select {
-		case <-known: // The answer to the stop, or the end of its time.
+		case <-answered: // The stop was answered or timed out.
 		case <-t.x.ctx.Done():
 			return false
 		}
@@ -43,9 +43,9 @@
 	return false
 }
 
-// stopOutcome returns the command to go on that the answer to a stop gave, where the
-// stream had ended before that answer.
-func (r *running) stopOutcome() []move.Cmd {
+// stopOutcome returns the command to continue, for a stream that had ended before the stop
+// was answered.
+func (r *activeRun) stopOutcome() []move.Cmd {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.state.Phase != move.Going {
@@ -54,42 +54,43 @@
 	return []move.Cmd{move.ContinueCmd{Target: r.state.Target, AtSource: r.state.AtSource, Handle: r.state.Handle}}
 }
 
-// tooLateForSource reports whether the source is too near its end to be sent the run.
-func (r *running) tooLateForSource() bool {
+// tooLateForSource reports whether the source is too close to its end to receive the run.
+func (r *activeRun) tooLateForSource() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return clock.Since(r.noticed) >= sourceLatest
+	return clock.Since(r.noticedAt) >= maxSourceReturn
 }
 
-// weightsOf returns the version of the weights that a server named with its last answer.
-func (m *moves) weightsOf(server string) string {
+// weightsOf returns the version of the weights that a server named in its last answer.
+func (m *runMoves) weightsOf(server string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.weights[server]
+	return m.lastWeights[server]
 }
 
-// continueAt has the next attempt go to where the run's copy lies, and reports whether
-// there is one. The run may have begun, so that no later refusal says not-run.
-func (x *exchange) continueAt(r *running, c move.ContinueCmd) bool {
+// continueAt directs the next attempt to the server that holds the run's copy, and reports
+// whether there is one. The run may have started, so no later refusal may claim that it has
+// not run.
+func (x *exchange) continueAt(r *activeRun, c move.ContinueCmd) bool {
 	server, weights := r.server, r.weights
 	if !c.AtSource {
 		server = x.g.view.Load().Find(c.Target)
 		if weights == "" {
-			weights = x.g.moves.weightsOf(r.server.ID) // It has not begun.
+			weights = x.g.moves.weightsOf(r.server.ID) // The run has not started.
 		}
 	}
 	x.state.MayHaveRun = true
 	x.continuation = &continuation{run: r, server: server, handle: c.Handle, weights: weights}
 	switch {
 	case server == nil:
-		return x.movedFailed(protocol.NotRun) // The target is listed no more.
+		return x.retryContinuation(protocol.NotRun) // The target is no longer listed.
 	case c.AtSource && r.tooLateForSource():
-		return x.movedFailed(protocol.MayHaveRun) // No server may go on with it.
+		return x.retryContinuation(protocol.MayHaveRun) // No server may continue the run.
 	}
 	return true
 }
 
-// dropContinuation frees the copy of a run that goes on nowhere, as its request has ended.
+// dropContinuation frees the copy of a run that does not continue, as its request has ended.
 func (x *exchange) dropContinuation() {
 	if x.continuation != nil {
 		x.continuation.run.apply(move.EndedMsg{})
@@ -97,8 +98,9 @@
 	}
 }
 
-// movedTo returns the server that a moved run goes on at, once for each, or nil.
-func (x *exchange) movedTo() *place.Server {
+// continuationServer returns the server at which a moved run continues, once for each server,
+// or nil.
+func (x *exchange) continuationServer() *place.Server {
 	if x.continuation == nil || x.continuation.sent {
 		return nil
 	}
@@ -106,32 +108,32 @@
 	return x.continuation.server
 }
 
-// copyName names the copy that the attempt goes on from; empty for none.
-func (x *exchange) copyName() string {
+// continuationName names the copy from which the attempt continues; empty for none.
+func (x *exchange) continuationName() string {
 	if x.continuation == nil {
 		return ""
 	}
 	return x.g.moves.mover.CopyName(x.continuation.run.server.Address, x.continuation.handle)
 }
 
-// copyWeights is the version of the weights that alone may go on from the copy: memory
-// that others made would make another answer.
-func (x *exchange) copyWeights() string {
+// continuationWeights returns the only version of the weights that may continue from the
+// copy: with the memory of another version the answer would differ.
+func (x *exchange) continuationWeights() string {
 	if x.continuation == nil {
 		return ""
 	}
 	return x.continuation.weights
 }
 
-// sameWeights reports whether a server goes on with a moved run by the weights that made
-// its memory, as far as both are known. It was told to turn the run away otherwise.
-func (x *exchange) sameWeights(weights string) bool {
+// weightsMatch reports whether a server continues a moved run with the weights that produced
+// its memory, as far as both are known. The server was told to refuse the run otherwise.
+func (x *exchange) weightsMatch(weights string) bool {
 	return x.continuation == nil || weights == "" || x.continuation.weights == "" || weights == x.continuation.weights
 }
 
-// movedTaken notes that a server answers the run that was moved there. After another
-// status than 2xx the copy is kept until the exchange ends.
-func (x *exchange) movedTaken(status int) {
+// continuationAccepted records that a server answers the run that was moved to it. After a
+// status other than 2xx the copy is kept until the exchange ends.
+func (x *exchange) continuationAccepted(status int) {
 	if x.continuation == nil || status < 200 || status >= 300 {
 		return
 	}
@@ -141,14 +143,14 @@
 	r.mu.Lock()
 	took := r.since()
 	r.mu.Unlock()
-	x.g.meters.moved.Inc(1)
-	x.g.meters.moveTokens.Inc(int64(x.call.PromptTokens))
-	x.g.meters.moveTime.Update(took)
+	x.g.meters.movesDone.Inc(1)
+	x.g.meters.movedTokens.Inc(int64(x.call.PromptTokens))
+	x.g.meters.moveDuration.Update(took)
 }
 
-// movedFailed reports whether a run that was sent on and not taken is to be sent on
-// once more, to the source that stopped it.
-func (x *exchange) movedFailed(v protocol.Verdict) bool {
+// retryContinuation reports whether a moved run that was not accepted is sent once more, to
+// the source that stopped it.
+func (x *exchange) retryContinuation(v protocol.Verdict) bool {
 	if x.continuation == nil {
 		return false
 	}
@@ -157,7 +159,7 @@
 	var m move.Msg = move.RefusedMsg{}
 	if v != protocol.NotRun {
 		m = move.LostMsg{}
-		x.avoid = append(x.avoid, server.ID)
+		x.tried = append(x.tried, server.ID)
 	}
 	for _, c := range r.apply(m) {
 		if c, ok := c.(move.ContinueCmd); ok {
