--- a/transport/forward/move_test.go
+++ b/transport/forward/move_test.go
@@ -19,76 +19,77 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// plainMover speaks of moves in plain words.
-type plainMover struct{}
+// testMover translates moves into a simple test protocol.
+type testMover struct{}
 
-func (plainMover) CopyRequest(out *fasthttp.Request, c CopyCall) {
+func (testMover) CopyRequest(out *fasthttp.Request, c CopyCall) {
 	out.SetRequestURI("/copy")
 	out.Header.SetHost("h")
 	out.Header.SetMethod("POST")
 	out.SetBodyString(fmt.Sprint(c.Target, " ", c.StopFirst))
 }
 
-func (plainMover) ReadCopyReply(status int, body []byte) CopyReply {
+func (testMover) ReadCopyReply(status int, body []byte) CopyReply {
 	outcomes := map[int]move.Outcome{200: move.Copied, 404: move.NoRun, 409: move.Busy, 503: move.NoRoom}
 	return CopyReply{Outcome: outcomes[status], Handle: string(body)}
 }
 
-func (plainMover) FreeRequest(out *fasthttp.Request, handle string) {
+func (testMover) FreeRequest(out *fasthttp.Request, handle string) {
 	out.SetRequestURI("/free/" + handle)
 	out.Header.SetHost("h")
 	out.Header.SetMethod("DELETE")
 }
 
-func (plainMover) CopyName(source, handle string) string { return source + "/" + handle }
+func (testMover) CopyName(source, handle string) string { return source + "/" + handle }
 
-// moveFaults say what goes wrong in a move.
+// moveFaults selects what goes wrong in a move.
 type moveFaults struct {
-	copies  []int // copies are the statuses of the first copies; 200 behind them, 0 for no answer.
-	stop    int   // stop is the status of the stop; 0 for no answer.
-	unnamed bool  // unnamed leaves the name out of a refused stop.
-	runs    bool  // runs has a stop that is not answered with 200 leave the run as it is.
-	dies    bool  // dies has the source break its stream when it is asked for a copy.
-	target  int   // target is the status with which another server takes the run; 0 for none.
-	unbegun bool  // unbegun has the source make no event before it is moved.
-	breaks  bool  // breaks has the source break off behind one event more, when a run has come back.
-	garbles bool  // garbles has the target send what is no answer.
-	hangs   bool  // hangs has the source leave the stream of a run open that it has stopped.
-	strange bool  // strange has the target go on with other weights than it was told.
-	holds   bool  // holds has the target not answer.
-	shuts   bool  // shuts has the source refuse a run that comes back.
-}
-
-// fakeEngines are servers that stream some events and move runs.
+	copies        []int // copies are the statuses of the first copies; 0 for no answer. Later copies get 200.
+	stop          int   // stop is the status of the stop; 0 for no answer.
+	withoutHandle bool  // withoutHandle omits the handle from a refused stop.
+	stopIgnored   bool  // stopIgnored leaves the run unchanged if the stop is not answered with 200.
+	sourceDies    bool  // sourceDies breaks the source's stream when a copy is requested.
+	target        int   // target is the status with which another server accepts the run; 0 for none.
+	unbegun       bool  // unbegun makes the source generate no event before the move.
+	sourceBreaks  bool  // sourceBreaks breaks the stream of a run that returned to the source after one more event.
+	targetGarbles bool  // targetGarbles makes the target send an invalid answer.
+	streamHangs   bool  // streamHangs makes the source keep the stream of a stopped run open.
+	otherWeights  bool  // otherWeights makes the target continue with weights other than those requested.
+	targetHangs   bool  // targetHangs makes the target not answer.
+	sourceRefuses bool  // sourceRefuses makes the source refuse a run that returns.
+}
+
+// fakeEngines are servers that stream events and move runs.
 type fakeEngines struct {
-	t  *testing.T
-	w  *world
-	do moveFaults
-
-	mu       sync.Mutex
-	source   string          // source is the address of the first server that ran the request.
-	copied   int             // copied are calls for a copy.
-	copies   map[string]bool // copies are those set aside.
-	working  int             // working are servers that work on the run.
-	most     int             // most is how many did at once.
-	starts   []string        // starts are who began to work on it, and from where.
-	stopped  chan struct{}   // stopped is closed when the source has stopped the run.
-	once     sync.Once       // once closes one of both, once.
-	finished chan struct{}   // finished is closed when a run that stays may end.
-	onLeave  func()          // onLeave is called before the source is listed as leaving; may be nil.
-	onStop   func()          // onStop is called when a run without an event has stopped; may be nil.
+	t      *testing.T
+	w      *testGateway
+	faults moveFaults
+
+	mu         sync.Mutex
+	source     string          // source is the address of the first server that ran the request.
+	copied     int             // copied is the number of copy calls.
+	copies     map[string]bool // copies are the handles of the existing copies.
+	working    int             // working is the number of servers that run the request.
+	maxWorking int             // maxWorking is the maximum of working.
+	starts     []string        // starts describes each start of the run, in order.
+	stopped    chan struct{}   // stopped is closed when the source has stopped the run.
+	once       sync.Once       // once guards closing stopped or finished.
+	finished   chan struct{}   // finished is closed when a run that stays may end.
+	onLeave    func()          // onLeave is called before the source is listed as leaving; may be nil.
+	onStop     func()          // onStop is called when a run without an event has stopped; may be nil.
 }
 
 const (
 	fakeEvents = 9
-	// movedBehind is how many events the source makes before it waits to be moved.
-	movedBehind = 3
+	// eventsBeforeMove is the number of events that the source generates before it waits for
+	// the move.
+	eventsBeforeMove = 3
 )
 
 func newFakeEngines(t *testing.T, do moveFaults, servers ...string) *fakeEngines {
-	w := newWorld(t)
-	w.g.moves.mover = plainMover{}
-	f := &fakeEngines{t: t, w: w, do: do, copies: map[string]bool{}, stopped: make(chan struct{}), finished: make(chan struct{})}
+	w := newTestGateway(t)
+	w.g.moves.mover = testMover{}
+	f := &fakeEngines{t: t, w: w, faults: do, copies: map[string]bool{}, stopped: make(chan struct{}), finished: make(chan struct{})}
 	for _, id := range servers {
 		var b *backendServer
 		ready := make(chan struct{})
@@ -107,9 +108,9 @@
 		f.mu.Lock()
 		delete(f.copies, strings.TrimPrefix(path, "/free/"))
 		f.mu.Unlock()
-		say(c, 200, "", "")
+		writeAnswer(c, 200, "", "")
 	case len(req.Header.Peek("Go-On")) > 0:
-		f.goOn(address, c, req)
+		f.continueRun(address, c, req)
 	default:
 		f.run(address, c, req)
 	}
@@ -124,11 +125,11 @@
 		return
 	}
 	status := 200
-	if f.copied < len(f.do.copies) {
-		status = f.do.copies[f.copied]
+	if f.copied < len(f.faults.copies) {
+		status = f.faults.copies[f.copied]
 	}
 	f.copied++
-	if f.do.dies {
+	if f.faults.sourceDies {
 		f.once.Do(func() { close(f.stopped) })
 	}
 	switch status {
@@ -136,39 +137,40 @@
 		_ = c.Close()
 	case 200:
 		f.copies[handle] = true
-		say(c, 200, "Connection: close\r\n", handle)
+		writeAnswer(c, 200, "Connection: close\r\n", handle)
 	default:
-		say(c, status, "", "")
-		if f.copied == len(f.do.copies) && status == 404 && !f.do.unbegun {
+		writeAnswer(c, status, "", "")
+		if f.copied == len(f.faults.copies) && status == 404 && !f.faults.unbegun {
 			f.once.Do(func() { close(f.finished) })
 		}
 	}
 }
 
-// stop answers the last call for a copy. It needs f.mu.
+// stop answers the last copy call. The caller must hold f.mu.
 func (f *fakeEngines) stop(c net.Conn, handle string) {
-	if !f.do.runs {
+	if !f.faults.stopIgnored {
 		f.once.Do(func() { close(f.stopped) })
 	} else {
 		f.once.Do(func() { close(f.finished) })
 	}
 	switch {
-	case f.do.stop == 0:
+	case f.faults.stop == 0:
 		_ = c.Close()
-	case f.do.unnamed:
-		say(c, f.do.stop, "", "")
+	case f.faults.withoutHandle:
+		writeAnswer(c, f.faults.stop, "", "")
 	default:
-		say(c, f.do.stop, "Connection: close\r\n", handle)
+		writeAnswer(c, f.faults.stop, "Connection: close\r\n", handle)
 	}
 }
 
-// begin notes that a server works on the run, and returns what ends that.
+// begin records that a server starts to run the request, and returns a function that records
+// its end.
 func (f *fakeEngines) begin(what string) (end func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.starts = append(f.starts, what)
 	f.working++
-	f.most = max(f.most, f.working)
+	f.maxWorking = max(f.maxWorking, f.working)
 	return func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -184,7 +186,7 @@
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: 7\r\nWeights: 4\r\nSeal: %s\r\nTransfer-Encoding: chunked\r\n\r\n", seal)
 }
 
-// run answers a request that does not go on from a copy.
+// run answers a request that does not continue from a copy.
 func (f *fakeEngines) run(address string, c net.Conn, req *fasthttp.Request) {
 	last := string(req.Header.Peek("Last"))
 	f.mu.Lock()
@@ -194,8 +196,8 @@
 	}
 	f.mu.Unlock()
 	end := f.begin("run behind " + last)
-	if first && f.do.unbegun {
-		f.w.leaves(address)
+	if first && f.faults.unbegun {
+		f.w.markLeaving(address)
 		<-f.stopped
 		if f.onStop != nil {
 			f.onStop()
@@ -211,26 +213,26 @@
 		f.finish(c, from, end)
 		return
 	}
-	for n := 1; n <= movedBehind; n++ {
+	for n := 1; n <= eventsBeforeMove; n++ {
 		fakeChunk(c, fakeEvent(n))
 	}
 	if f.onLeave != nil {
 		f.onLeave()
 	}
-	f.w.leaves(address)
+	f.w.markLeaving(address)
 	select {
 	case <-f.stopped:
-		// It stops in the middle of an event.
+		// The source stops in the middle of an event.
 		fakeChunk(c, "id: 4\nda")
 		end()
-		if f.do.hangs {
-			_, _ = c.Read(make([]byte, 1)) // Until the gateway closes it.
+		if f.faults.streamHangs {
+			_, _ = c.Read(make([]byte, 1)) // Until the gateway closes the connection.
 		}
 		_ = c.Close()
 	case <-f.finished:
-		f.finish(c, movedBehind, end)
-	case <-time.After(patience):
-		f.t.Error("the run was neither stopped nor left alone")
+		f.finish(c, eventsBeforeMove, end)
+	case <-time.After(testTimeout):
+		f.t.Error("the run was neither stopped nor allowed to end")
 		end()
 		_ = c.Close()
 	}
@@ -244,62 +246,62 @@
 	_, _ = io.WriteString(c, "0\r\n\r\n")
 }
 
-// goOn answers a request that goes on from a copy.
-func (f *fakeEngines) goOn(address string, c net.Conn, req *fasthttp.Request) {
+// continueRun answers a request that continues from a copy.
+func (f *fakeEngines) continueRun(address string, c net.Conn, req *fasthttp.Request) {
 	f.mu.Lock()
-	home := address == f.source
+	atSource := address == f.source
 	name := f.source + "/m1"
 	f.mu.Unlock()
 	if got := string(req.Header.Peek("Go-On")); got != name {
-		f.t.Errorf("goes on from %q, want %q", got, name)
+		f.t.Errorf("continues from %q, want %q", got, name)
 	}
-	if got := string(req.Header.Peek("Only-Weights")); (got == "4") == f.do.unbegun {
-		f.t.Errorf("goes on with weights %q", got)
+	if got := string(req.Header.Peek("Only-Weights")); (got == "4") == f.faults.unbegun {
+		f.t.Errorf("continues with weights %q", got)
 	}
-	if home && f.do.shuts {
-		say(c, 503, "Not-Run: 1\r\n", "")
+	if atSource && f.faults.sourceRefuses {
+		writeAnswer(c, 503, "Not-Run: 1\r\n", "")
 		return
 	}
-	if !home {
+	if !atSource {
 		switch {
-		case f.do.holds:
+		case f.faults.targetHangs:
 			close(f.finished)
-			_, _ = c.Read(make([]byte, 1)) // Until the gateway closes it.
+			_, _ = c.Read(make([]byte, 1)) // Until the gateway closes the connection.
 			return
-		case f.do.strange:
+		case f.faults.otherWeights:
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nId: 7\r\nWeights: 5\r\nTransfer-Encoding: chunked\r\n\r\n")
-			fakeChunk(c, fakeEvent(movedBehind+1))
-			_, _ = c.Read(make([]byte, 1)) // Until the gateway closes it.
+			fakeChunk(c, fakeEvent(eventsBeforeMove+1))
+			_, _ = c.Read(make([]byte, 1)) // Until the gateway closes the connection.
 			return
-		case f.do.garbles:
+		case f.faults.targetGarbles:
 			_, _ = io.WriteString(c, "\x00\x01garbage\r\n\r\n")
 			_ = c.Close()
 			return
-		case f.do.target == 0:
+		case f.faults.target == 0:
 			_ = c.Close()
 			return
-		case f.do.target == 500:
-			say(c, 500, "", "failed")
+		case f.faults.target == 500:
+			writeAnswer(c, 500, "", "failed")
 			return
-		case f.do.target == 421:
-			say(c, 421, "Not-Run: 1\r\nForeign: 1\r\n", "")
+		case f.faults.target == 421:
+			writeAnswer(c, 421, "Not-Run: 1\r\nForeign: 1\r\n", "")
 			return
-		case f.do.target != 200:
-			say(c, f.do.target, "Not-Run: 1\r\n", "")
+		case f.faults.target != 200:
+			writeAnswer(c, f.faults.target, "Not-Run: 1\r\n", "")
 			return
 		}
 	}
 	f.mu.Lock()
 	f.copies = map[string]bool{}
 	f.mu.Unlock()
-	end := f.begin(fmt.Sprintf("copy behind %s, home %v", req.Header.Peek("Last"), home))
+	end := f.begin(fmt.Sprintf("copy behind %s, home %v", req.Header.Peek("Last"), atSource))
 	from := 0
 	_, _ = fmt.Sscan(string(req.Header.Peek("Last")), &from)
 	fakeHead(c, address)
 	if from > 0 {
-		fakeChunk(c, fakeEvent(from)) // The caller has it already.
+		fakeChunk(c, fakeEvent(from)) // The caller has already received this event.
 	}
-	if home && f.do.breaks {
+	if atSource && f.faults.sourceBreaks {
 		fakeChunk(c, fakeEvent(from+1))
 		end()
 		_ = c.Close()
@@ -308,8 +310,8 @@
 	f.finish(c, from, end)
 }
 
-// leaves lists the server at an address as one that leaves.
-func (w *world) leaves(address string) {
+// markLeaving lists the server at an address as leaving.
+func (w *testGateway) markLeaving(address string) {
 	for i := range w.servers {
 		if w.servers[i].Address == address {
 			w.servers[i].Leaving, w.servers[i].LeftMS = true, 100
@@ -318,39 +320,39 @@
 	w.g.SetServers(slices.Clone(w.servers))
 }
 
-// TestRunsMove moves a running answer off a leaving server, with one failure at each
-// step, on a route whose callers can resume and on one whose callers cannot. The caller
-// sees one stream with one head, whole where that is promised, never an event twice or
-// out of turn, and no copy is left behind.
-func TestRunsMove(t *testing.T) {
+// TestMoveOffLeavingServer moves a running answer off a leaving server, with one failure at
+// each step, on resumable and non-resumable routes. The caller must see one stream with one
+// head, complete where that is promised, with no event repeated or out of order, and no copy
+// may remain.
+func TestMoveOffLeavingServer(t *testing.T) {
 	resumed := []string{"run behind ", "run behind 3"}
 	moved := []string{"run behind ", "copy behind 3, home false"}
 	home := []string{"run behind ", "copy behind 3, home true"}
-	alone := []string{"run behind "}
+	sourceOnly := []string{"run behind "}
 	for name, c := range map[string]struct {
 		do     moveFaults
-		starts []string // starts are who worked on it.
-		broken bool     // broken says that a caller who cannot resume gets a part.
+		starts []string // starts are the expected starts of the run.
+		broken bool     // broken reports that a caller on a non-resumable route gets only a part.
 	}{
-		"all is well":                     {moveFaults{stop: 200, target: 200}, moved, false},
-		"its stream does not end":         {moveFaults{stop: 200, target: 200, hangs: true}, moved, false},
-		"it has not begun":                {moveFaults{stop: 200, target: 200, unbegun: true}, []string{"run behind ", "copy behind , home false"}, false},
-		"nor is it found at once":         {moveFaults{copies: []int{404}, stop: 200, target: 200, unbegun: true}, []string{"run behind ", "copy behind , home false"}, false},
-		"the first target is full":        {moveFaults{copies: []int{503}, stop: 200, target: 200}, moved, false},
-		"a copy is under way":             {moveFaults{copies: []int{409}, stop: 200, target: 200}, moved, false},
-		"a copy is not answered":          {moveFaults{copies: []int{0}, stop: 200, target: 200}, moved, false},
-		"no such run":                     {moveFaults{copies: []int{404}}, alone, false},
-		"the source dies as it copies":    {moveFaults{dies: true}, resumed, true},
-		"the stop is not answered":        {moveFaults{}, resumed, true},
-		"no room at the stop":             {moveFaults{stop: 503}, home, false},
-		"no room at the stop, no name":    {moveFaults{stop: 503, unnamed: true, runs: true}, alone, false},
-		"the stop fails, the run goes on": {moveFaults{stop: 500, unnamed: true, runs: true}, alone, false},
-		"the target refuses":              {moveFaults{stop: 200, target: 503}, home, false},
-		"the target has other weights":    {moveFaults{stop: 200, target: 421}, home, false},
-		"the target dies":                 {moveFaults{stop: 200}, resumed, true},
-		"the target sends garbage":        {moveFaults{stop: 200, garbles: true}, resumed, true},
-		"the target uses other weights":   {moveFaults{stop: 200, strange: true}, resumed, true},
-		"the target fails":                {moveFaults{stop: 200, target: 500}, resumed, true},
+		"no failure":              {moveFaults{stop: 200, target: 200}, moved, false},
+		"the stream does not end": {moveFaults{stop: 200, target: 200, streamHangs: true}, moved, false},
+		"the run has not started": {moveFaults{stop: 200, target: 200, unbegun: true}, []string{"run behind ", "copy behind , home false"}, false},
+		"the run has not started and is not found at first": {moveFaults{copies: []int{404}, stop: 200, target: 200, unbegun: true}, []string{"run behind ", "copy behind , home false"}, false},
+		"the first target is full":                          {moveFaults{copies: []int{503}, stop: 200, target: 200}, moved, false},
+		"a copy is in progress":                             {moveFaults{copies: []int{409}, stop: 200, target: 200}, moved, false},
+		"a copy is not answered":                            {moveFaults{copies: []int{0}, stop: 200, target: 200}, moved, false},
+		"no such run":                                       {moveFaults{copies: []int{404}}, sourceOnly, false},
+		"the source crashes during the copy":                {moveFaults{sourceDies: true}, resumed, true},
+		"the stop is not answered":                          {moveFaults{}, resumed, true},
+		"no memory at the stop":                             {moveFaults{stop: 503}, home, false},
+		"no memory at the stop, no handle":                  {moveFaults{stop: 503, withoutHandle: true, stopIgnored: true}, sourceOnly, false},
+		"the stop fails, the run continues":                 {moveFaults{stop: 500, withoutHandle: true, stopIgnored: true}, sourceOnly, false},
+		"the target refuses":                                {moveFaults{stop: 200, target: 503}, home, false},
+		"the target has other weights":                      {moveFaults{stop: 200, target: 421}, home, false},
+		"the target crashes":                                {moveFaults{stop: 200}, resumed, true},
+		"the target sends garbage":                          {moveFaults{stop: 200, targetGarbles: true}, resumed, true},
+		"the target uses other weights":                     {moveFaults{stop: 200, otherWeights: true}, resumed, true},
+		"the target fails":                                  {moveFaults{stop: 200, target: 500}, resumed, true},
 	} {
 		for _, resumable := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, resumable %v", name, resumable), func(t *testing.T) {
@@ -359,7 +361,7 @@
 				got := f.w.ask()
 				broken := c.broken && !resumable
 				want, starts := "", c.starts
-				for n := 1; n <= fakeEvents && (!broken || n <= movedBehind); n++ {
+				for n := 1; n <= fakeEvents && (!broken || n <= eventsBeforeMove); n++ {
 					want += fakeEvent(n)
 				}
 				if broken {
@@ -369,27 +371,27 @@
 					t.Errorf("status %d, broken %v, got %q, want %q", got.status, got.broken, got.body, want)
 				}
 				f.mu.Lock()
-				if !slices.Equal(f.starts, starts) || f.most > 1 {
-					t.Errorf("runs %q, %d at once, want %q", f.starts, f.most, starts)
+				if !slices.Equal(f.starts, starts) || f.maxWorking > 1 {
+					t.Errorf("runs %q, %d at once, want %q", f.starts, f.maxWorking, starts)
 				}
 				f.mu.Unlock()
 				f.awaitFreed()
 				for _, id := range []string{"a", "b", "c"} {
 					if c.do.target == 421 && f.w.g.view.Load().Find(id).Stats.Suspect(clock.Now()) {
-						t.Errorf("%s is distrusted for its weights", id)
+						t.Errorf("%s is suspected because of its weights", id)
 					}
 				}
-				if n := f.w.g.meters.moveHeld.Count(); n != 0 {
-					t.Errorf("%d copies count as set aside", n)
+				if n := f.w.g.meters.copiesHeld.Count(); n != 0 {
+					t.Errorf("%d copies still count as held", n)
 				}
 			})
 		}
 	}
 }
 
-// awaitFreed waits until no copy is set aside.
+// awaitFreed waits until no copy exists.
 func (f *fakeEngines) awaitFreed() {
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		f.mu.Lock()
 		left := len(f.copies)
 		f.mu.Unlock()
@@ -397,28 +399,28 @@
 			return
 		}
 		if time.Now().After(end) {
-			f.t.Error("a copy is left behind")
+			f.t.Error("a copy was not freed")
 			return
 		}
 	}
 }
 
-// installMoves puts a route of streams in force whose servers can move runs.
-func (w *world) installMoves(resumable bool, spaces ...protocol.WorkspaceSpec) {
+// installMoves activates a catalog with a stream route whose servers can move runs.
+func (w *testGateway) installMoves(resumable bool, spaces ...protocol.WorkspaceSpec) {
 	w.number++
 	w.g.Install(&protocol.Catalog{
 		Number:     w.number,
-		Routes:     []protocol.PathRoute{{Host: "h", Prefix: "/r/", Kind: protocol.RouteStream, Resumable: resumable, Attempts: 3, Timeout: patience, Split: []protocol.WeightedService{{Service: "s", Weight: 1}}}},
+		Routes:     []protocol.PathRoute{{Host: "h", Prefix: "/r/", Kind: protocol.RouteStream, Resumable: resumable, Attempts: 3, Timeout: testTimeout, Split: []protocol.WeightedService{{Service: "s", Weight: 1}}}},
 		Services:   []protocol.ServiceSpec{{Name: "s", CopyRate: 100}},
 		Workspaces: spaces,
 	})
 }
 
-// TestStreamGetsNoSecondHead checks that a stream which goes on at a server that answers
-// with a failure is cut: the failure's head would stand among its events.
+// TestStreamGetsNoSecondHead checks that a stream is cut off if the server at which it should
+// resume answers with a failure: the failure's head would appear among the events.
 func TestStreamGetsNoSecondHead(t *testing.T) {
 	for _, attempts := range []int{2, 3} {
-		w := newWorld(t)
+		w := newTestGateway(t)
 		w.install(protocol.PathRoute{Kind: protocol.RouteStream, Resumable: true, Attempts: attempts})
 		var first sync.Once
 		serve := func(c net.Conn, _ *fasthttp.Request) {
@@ -430,36 +432,36 @@
 				_ = c.Close()
 			})
 			if !broke {
-				say(c, 500, "", "failed")
+				writeAnswer(c, 500, "", "failed")
 			}
 		}
 		for _, id := range []string{"a", "b", "c"} {
 			w.backend(id, serve)
 		}
-		if got := w.raw(); strings.Count(got, "HTTP/1.1") != 1 || !strings.HasSuffix(got, fakeEvent(1)+"\r\n") {
+		if got := w.sendRaw(); strings.Count(got, "HTTP/1.1") != 1 || !strings.HasSuffix(got, fakeEvent(1)+"\r\n") {
 			t.Errorf("%d attempts: the caller got %q", attempts, got)
 		}
 	}
 }
 
-// raw sends a request and returns all bytes that come until the connection ends.
-func (w *world) raw() string {
+// sendRaw sends a request and returns all bytes until the connection ends.
+func (w *testGateway) sendRaw() string {
 	w.t.Helper()
 	conn := w.dial()
 	defer conn.Close()
 	_, _ = io.WriteString(conn, "POST /r/x HTTP/1.1\r\nHost: h\r\nId: 7\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 	data, err := io.ReadAll(conn)
 	if err != nil {
-		w.t.Logf("read: %v", err) // A reset ends it as well.
+		w.t.Logf("read: %v", err) // A reset also ends the connection.
 	}
 	return string(data)
 }
 
-// TestRefusingTargetIsAskedAgain checks that a server which refused a moved run may run it
-// when the stream can be resumed there and no other is left. The run that came home is moved
-// no second time: by the time that it could be, it has broken off, and the server knows none.
-func TestRefusingTargetIsAskedAgain(t *testing.T) {
-	f := newFakeEngines(t, moveFaults{copies: []int{200, 404, 404, 404, 404}, stop: 200, target: 503, breaks: true}, "a", "b")
+// TestRefusingTargetMayResumeStream checks that a server that refused a moved run may still
+// resume the stream if no other server is left. The run that returned to its source is not
+// moved again: by then its stream has broken, and the server no longer knows the run.
+func TestRefusingTargetMayResumeStream(t *testing.T) {
+	f := newFakeEngines(t, moveFaults{copies: []int{200, 404, 404, 404, 404}, stop: 200, target: 503, sourceBreaks: true}, "a", "b")
 	f.w.installMoves(true)
 	got, want := f.w.ask(), ""
 	for n := 1; n <= fakeEvents; n++ {
@@ -473,77 +475,76 @@
 	}
 }
 
-// namingMover has the fake server see which run a copy is for.
-type namingMover struct{ plainMover }
+// namingMover tells the fake server which run a copy is for.
+type namingMover struct{ testMover }
 
 func (namingMover) CopyRequest(out *fasthttp.Request, c CopyCall) {
-	plainMover{}.CopyRequest(out, c)
+	testMover{}.CopyRequest(out, c)
 	out.SetBodyString(c.Request)
 }
 
-// TestHopelessRunsBlockNoOthers checks that runs which come first and cannot be copied
-// do not keep others of the same server from being moved, however long they go on.
-func TestHopelessRunsBlockNoOthers(t *testing.T) {
-	w := newWorld(t)
+// TestFailingCopiesDoNotBlockOtherRuns checks that runs that are first in order and cannot be
+// copied do not keep other runs of the server from being moved.
+func TestFailingCopiesDoNotBlockOtherRuns(t *testing.T) {
+	w := newTestGateway(t)
 	w.g.moves.mover = namingMover{}
 	var mu sync.Mutex
 	asked := map[string]bool{}
-	w.backend("b", good)
+	w.backend("b", answerOK)
 	w.backend("a", func(c net.Conn, req *fasthttp.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		if strings.HasPrefix(string(req.Body()), "first") {
-			say(c, 503, "", "")
+			writeAnswer(c, 503, "", "")
 			return
 		}
 		asked[string(req.Body())] = true
-		say(c, 404, "", "")
-		if len(asked) == moveAtOnce {
+		writeAnswer(c, 404, "", "")
+		if len(asked) == maxConcurrentMoves {
 			w.g.moves.mu.Lock()
-			w.g.moves.runs = map[string]map[*running]struct{}{} // All runs have ended.
+			w.g.moves.runs = map[string]map[*activeRun]struct{}{} // All runs have ended.
 			w.g.moves.mu.Unlock()
 		}
 	})
 	source := w.g.view.Load().Find("a")
-	runs := map[*running]struct{}{}
-	for i := range moveAtOnce {
+	runs := map[*activeRun]struct{}{}
+	for i := range maxConcurrentMoves {
 		for rank, name := range []string{"first", "second"} {
-			r := &running{g: w.g, server: source, rank: rank, call: protocol.Call{ID: fmt.Sprint(name, i)}}
+			r := &activeRun{g: w.g, server: source, priority: rank, call: protocol.Call{ID: fmt.Sprint(name, i)}}
 			r.begun.Store(true)
 			runs[r] = struct{}{}
 		}
 	}
 	w.g.moves.runs["a"] = runs
-	w.servers[1].Leaving = true // It has no notice: the list alone would move nothing.
+	w.servers[1].Leaving = true // Without a notice, the list alone moves nothing.
 	w.g.SetServers(w.servers)
-	w.g.moveRuns(source, notice{end: time.Now().Add(patience)})
+	w.g.moveRuns(source, departureNotice{end: time.Now().Add(testTimeout)})
 	mu.Lock()
 	defer mu.Unlock()
-	if len(asked) != moveAtOnce {
-		t.Errorf("%d of %d runs behind those that cannot be copied were tried", len(asked), moveAtOnce)
+	if len(asked) != maxConcurrentMoves {
+		t.Errorf("%d of %d later runs were tried", len(asked), maxConcurrentMoves)
 	}
 }
 
-// TestMovesThatCameToNothingWait checks that a move which came to nothing is followed by
-// no other one at once, and one that was made is.
-func TestMovesThatCameToNothingWait(t *testing.T) {
-	done := make(chan bool, moveAtOnce)
+// TestFailedMovesWaitForInterval checks that the next move does not follow a failed move at
+// once, but does follow a successful one.
+func TestFailedMovesWaitForInterval(t *testing.T) {
+	done := make(chan bool, maxConcurrentMoves)
 	done <- false
 	done <- false
 	done <- true
-	if n := awaitMoves(done, patience); n != 3 {
-		t.Errorf("%d moves were waited for, want those until the first that was made", n)
+	if n := awaitMoves(done, testTimeout); n != 3 {
+		t.Errorf("waited for %d moves, want all up to the first successful one", n)
 	}
 	done <- false
-	if n := awaitMoves(done, moveTick); n != 1 {
-		t.Errorf("%d moves were waited for within a tick", n)
+	if n := awaitMoves(done, moveInterval); n != 1 {
+		t.Errorf("waited for %d moves within an interval", n)
 	}
 }
 
-// TestMovedRunNeedsNoNewConfiguration checks that a run which has stopped goes on though
-// the gateway is not sure of its configuration any more: the run was let in once, and it
-// is the same one.
-func TestMovedRunNeedsNoNewConfiguration(t *testing.T) {
+// TestMovedRunIgnoresStaleCatalog checks that a stopped run continues although the gateway's
+// configuration is no longer confirmed: the run was authorized when it started.
+func TestMovedRunIgnoresStaleCatalog(t *testing.T) {
 	f := newFakeEngines(t, moveFaults{stop: 200, target: 200, unbegun: true}, "a", "b")
 	f.w.installMoves(false, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}})
 	f.onStop = func() { f.w.g.confirmed.Store(0) }
@@ -552,10 +553,10 @@
 	}
 }
 
-// TestUnsureBehindAnAttempt checks that a request which may have run, and is not sent again
-// as the gateway is not sure of its configuration any more, is not called unrun.
-func TestUnsureBehindAnAttempt(t *testing.T) {
-	w := newWorld(t)
+// TestStaleCatalogAfterAttempt checks that a request that may have run, and is not retried
+// because the configuration is no longer confirmed, is not reported as not run.
+func TestStaleCatalogAfterAttempt(t *testing.T) {
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Kind: protocol.RouteStream, Resumable: true, Attempts: 3}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}})
 	for _, id := range []string{"a", "b"} {
 		w.backend(id, func(c net.Conn, _ *fasthttp.Request) {
@@ -568,14 +569,14 @@
 	}
 }
 
-// TestMovedRunKeepsItsWeights checks that a moved run goes on only with the weights that
-// made its memory: those of the server that it moves off, also where another one had begun
-// the stream, or where that one told them with an earlier answer and this one has not begun.
-func TestMovedRunKeepsItsWeights(t *testing.T) {
-	for name, unbegun := range map[string]bool{"taken up again": false, "not begun": true} {
+// TestMovedRunKeepsWeights checks that a moved run continues only with the weights that
+// produced its memory: those of the source, even if another server started the stream, or if
+// the source named its weights only in an earlier answer because the run has not started.
+func TestMovedRunKeepsWeights(t *testing.T) {
+	for name, unbegun := range map[string]bool{"resumed": false, "not started": true} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
-			w.g.moves.mover = plainMover{}
+			w := newTestGateway(t)
+			w.g.moves.mover = testMover{}
 			w.installMoves(true)
 			stopped, weights := make(chan struct{}), make(chan string, 1)
 			var runs atomic.Int64
@@ -590,7 +591,7 @@
 					if strings.HasSuffix(string(req.Body()), "true") {
 						close(stopped)
 					}
-					say(c, 200, "", "m1")
+					writeAnswer(c, 200, "", "m1")
 				case len(req.Header.Peek("Go-On")) > 0:
 					weights <- string(req.Header.Peek("Only-Weights"))
 					head(c, 5)
@@ -616,7 +617,7 @@
 						w.backend("b", serve)
 					}
 					w.backend("c", serve)
-					w.leaves(source)
+					w.markLeaving(source)
 					<-stopped
 					_ = c.Close()
 				}
@@ -633,7 +634,7 @@
 			select {
 			case got := <-weights:
 				if got != "5" {
-					t.Errorf("goes on with weights %q, want those that made its memory", got)
+					t.Errorf("continues with weights %q, want those that produced its memory", got)
 				}
 			default:
 				t.Error("the run was not moved")
@@ -642,59 +643,59 @@
 	}
 }
 
-// TestServerThatStaysKeepsItsRuns checks that runs are left alone when their server does
-// not leave after all.
-func TestServerThatStaysKeepsItsRuns(t *testing.T) {
-	w := newWorld(t)
-	w.g.moves.mover = plainMover{}
+// TestStayingServerKeepsRuns checks that runs are not moved if their server turns out not to
+// be leaving.
+func TestStayingServerKeepsRuns(t *testing.T) {
+	w := newTestGateway(t)
+	w.g.moves.mover = testMover{}
 	var copies atomic.Int64
-	w.backend("b", good)
+	w.backend("b", answerOK)
 	w.backend("a", func(c net.Conn, _ *fasthttp.Request) {
 		copies.Add(1)
-		say(c, 503, "", "")
+		writeAnswer(c, 503, "", "")
 	})
 	source := w.g.view.Load().Find("a")
-	r := &running{g: w.g, server: source}
+	r := &activeRun{g: w.g, server: source}
 	r.begun.Store(true)
-	w.g.moves.runs["a"] = map[*running]struct{}{r: {}}
-	w.g.moveRuns(source, notice{end: time.Now().Add(patience)})
+	w.g.moves.runs["a"] = map[*activeRun]struct{}{r: {}}
+	w.g.moveRuns(source, departureNotice{end: time.Now().Add(testTimeout)})
 	if n := copies.Load(); n != 0 {
-		t.Errorf("%d copies were asked for", n)
+		t.Errorf("%d copies were requested", n)
 	}
 }
 
-// TestRestingConnectionIsNoRuns checks that a connection on which an answer came to its
-// end is not closed any more for the run that it belonged to: another request may use it.
-func TestRestingConnectionIsNoRuns(t *testing.T) {
-	w := newWorld(t)
-	w.g.moves.mover = plainMover{}
-	b := w.backend("a", good)
+// TestMoveLeavesIdleConnectionOpen checks that a move does not close the connection of a run
+// whose answer has ended: another request may use it.
+func TestMoveLeavesIdleConnectionOpen(t *testing.T) {
+	w := newTestGateway(t)
+	w.g.moves.mover = testMover{}
+	b := w.backend("a", answerOK)
 	server := w.g.view.Load().Find("a")
-	conn, err := w.g.pool.Get("a", b.address, time.Now().Add(patience))
+	conn, err := w.g.pool.Get("a", b.address, time.Now().Add(testTimeout))
 	if err != nil {
 		t.Fatal(err)
 	}
 	x := &exchange{g: w.g, in: &fasthttp.Request{}}
-	r := &running{g: w.g, server: server, state: move.State{Phase: move.Stopped, Target: "b"}}
-	r.try = &try{x: x, server: server, conn: conn, running: r}
-	r.try.finish(true, func() bool { return true })
-	r.hangUp()
-	again, err := w.g.pool.Get("a", b.address, time.Now().Add(patience))
+	r := &activeRun{g: w.g, server: server, state: move.State{Phase: move.Stopped, Target: "b"}}
+	r.attempt = &serverAttempt{x: x, server: server, conn: conn, activeRun: r}
+	r.attempt.closeOrReuse(true, func() bool { return true })
+	r.closeStream()
+	again, err := w.g.pool.Get("a", b.address, time.Now().Add(testTimeout))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if again != conn {
-		t.Error("the connection that rests was closed")
+		t.Error("the idle connection was closed")
 	}
 	again.Close()
 }
 
-// TestEventsWithoutIdsStay checks that a stream is not moved once the caller has got an
-// event without an id: the next server could not be told where to go on.
-func TestEventsWithoutIdsStay(t *testing.T) {
+// TestStreamWithoutIDsIsNotMoved checks that a stream is not moved after the caller received
+// an event without an ID: the next server could not be told where to resume.
+func TestStreamWithoutIDsIsNotMoved(t *testing.T) {
 	for event, moves := range map[string]bool{"data: x\n\n": false, "id: 1\ndata: x\n\n": true, ": comment\n\n": true} {
-		w := newWorld(t)
-		w.g.moves.mover = plainMover{}
+		w := newTestGateway(t)
+		w.g.moves.mover = testMover{}
 		w.installMoves(false)
 		seen := make(chan struct{})
 		w.backend("a", func(c net.Conn, _ *fasthttp.Request) {
@@ -714,7 +715,7 @@
 		}
 		w.g.moves.mu.Lock()
 		if got := len(w.g.moves.runs) > 0; got != moves {
-			t.Errorf("%q: the run may be moved: %v, want %v", event, got, moves)
+			t.Errorf("%q: the run is movable: %v, want %v", event, got, moves)
 		}
 		w.g.moves.mu.Unlock()
 		close(seen)
@@ -722,11 +723,11 @@
 	}
 }
 
-// TestRunWithoutAPlaceIsNotCalledUnrun checks that a run which had stopped at its server,
-// and which both servers refuse, is not called unrun, and is cut if its answer had begun.
-func TestRunWithoutAPlaceIsNotCalledUnrun(t *testing.T) {
+// TestRefusedMoveIsNotReportedNotRun checks that a stopped run that both servers refuse is
+// not reported as not run, and is cut off if its answer had started.
+func TestRefusedMoveIsNotReportedNotRun(t *testing.T) {
 	for _, unbegun := range []bool{true, false} {
-		f := newFakeEngines(t, moveFaults{stop: 200, target: 503, shuts: true, unbegun: unbegun}, "a", "b")
+		f := newFakeEngines(t, moveFaults{stop: 200, target: 503, sourceRefuses: true, unbegun: unbegun}, "a", "b")
 		f.w.installMoves(false)
 		got := f.w.ask()
 		if unbegun && (got.status != 502 || got.verdict == "not-run") || !unbegun && !got.broken {
@@ -736,10 +737,10 @@
 	}
 }
 
-// TestCallerLeavesInMidMove checks that the copy of a run is freed whose caller leaves
-// while the target has not answered.
-func TestCallerLeavesInMidMove(t *testing.T) {
-	f := newFakeEngines(t, moveFaults{stop: 200, holds: true}, "a", "b")
+// TestCallerHangsUpDuringMove checks that the copy of a run is freed if the caller
+// disconnects before the target answers.
+func TestCallerHangsUpDuringMove(t *testing.T) {
+	f := newFakeEngines(t, moveFaults{stop: 200, targetHangs: true}, "a", "b")
 	f.w.installMoves(false)
 	conn := f.w.dial()
 	_, _ = io.WriteString(conn, "POST /r/x HTTP/1.1\r\nHost: h\r\nId: 7\r\nContent-Length: 0\r\n\r\n")
@@ -748,16 +749,16 @@
 	f.awaitFreed()
 }
 
-// TestSourceIsSentNothingLate checks that a run does not go back to a server whose notice
-// is so old that it may be sent nothing more.
-func TestSourceIsSentNothingLate(t *testing.T) {
+// TestNoReturnToSourceAfterLimit checks that a run does not return to its source if the
+// departure notice is too old.
+func TestNoReturnToSourceAfterLimit(t *testing.T) {
 	f := newFakeEngines(t, moveFaults{stop: 200, target: 503}, "a", "b")
 	f.w.installMoves(false)
 	f.onLeave = func() {
 		f.w.g.moves.mu.Lock()
 		defer f.w.g.moves.mu.Unlock()
 		for _, id := range []string{"a", "b"} {
-			f.w.g.moves.notices[id] = notice{at: time.Now().Add(-sourceLatest), end: time.Now().Add(patience)}
+			f.w.g.moves.notices[id] = departureNotice{at: time.Now().Add(-maxSourceReturn), end: time.Now().Add(testTimeout)}
 		}
 	}
 	got := f.w.ask()
--- a/transport/forward/notice.go
+++ b/transport/forward/notice.go
@@ -13,61 +13,64 @@
 )
 
 const (
-	// noticeEvery is between two rounds of questions to servers. A run is moved a second
-	// before its server's end and takes some 0.2 s, so three rounds fall into the rest.
-	noticeEvery = 250 * time.Millisecond
-	// noticeTime bounds one question: a round has ended when the next one begins.
-	noticeTime = 200 * time.Millisecond
-	// mostNotices bounds the questions of a round. Gateways of the largest fleet that was
-	// played have runs at fewer servers than that.
-	mostNotices = 64
+	// noticeInterval is the interval between two rounds of state requests. A run is moved a
+	// second before its server's end, and a move takes some 0.2 s, so three rounds fit into
+	// the remaining time.
+	noticeInterval = 250 * time.Millisecond
+	// noticeTimeout bounds one state request, so that a round has ended when the next one
+	// starts.
+	noticeTimeout = 200 * time.Millisecond
+	// maxNoticeRequests bounds the state requests of a round. In the largest simulated fleet,
+	// gateways had runs at fewer servers.
+	maxNoticeRequests = 64
 )
 
-// Reporter translates the question by which a server tells its own state.
+// Reporter translates the request by which a server is asked for its state.
 type Reporter interface {
-	// StateRequest makes out the question.
+	// StateRequest builds the request.
 	StateRequest(out *fasthttp.Request)
-	// ReadState reads the answer, whose body is given. It is false for one that tells no state.
+	// ReadState reads the answer. It returns false if the answer contains no state.
 	ReadState(status int, body []byte) (ServerState, bool)
 }
 
-// ServerState is what a server tells of itself.
+// ServerState is a server's state as the server reports it.
 type ServerState struct {
-	Start   int64         // Start is when it started, in ms since 1970; 0 where it does not tell.
-	Leaving bool          // Leaving says that it takes no new requests.
-	Left    time.Duration // Left is how much longer it runs, if it is leaving; 0 where that is not known.
+	Start   int64         // Start is the server's start time in Unix milliseconds; 0 if not reported.
+	Leaving bool          // Leaving reports that the server accepts no new requests.
+	Left    time.Duration // Left is the time until a leaving server ends; 0 if unknown.
 }
 
-// WithReporter sets what translates the questions to servers for their state; without it
-// notices come with the list alone.
+// WithReporter sets the translator of state requests. Without it, departures are known from
+// the list only.
 func WithReporter(r Reporter) Option { return func(g *Gateway) { g.moves.reporter = r } }
 
 // askForNotices asks the servers that have runs whether they are leaving. It is called
-// again and again while the list may be out of date, since no leader answers or the platform
-// does not answer the leader: the servers then are the only ones that tell of their ends. Without it the running answers of a
-// server that is taken away between two leaders were cut: 27 of 360 in 30 notices of 1.2 s
-// beside two deaths of the leader.
+// repeatedly while the list may be out of date because no leader answers, or because the
+// platform does not answer the leader: only the servers can then report their ends. Without
+// it, running answers were cut off when a server was removed between two leaders: 27 of 360
+// in 30 notices of 1.2 s that coincided with two leader crashes.
 func (g *Gateway) askForNotices(now time.Time) {
 	m := &g.moves
 	if m.mover == nil || m.reporter == nil {
 		return
 	}
-	for _, s := range m.toAsk(now) {
+	for _, s := range m.serversToAsk(now) {
 		go g.askForNotice(s)
 	}
 }
 
-// toAsk returns the servers to ask in a round that begins now; none before it is time.
-func (m *moves) toAsk(now time.Time) []*place.Server {
+// serversToAsk returns the servers to ask in a round that starts now, or none if no round is
+// due.
+func (m *runMoves) serversToAsk(now time.Time) []*place.Server {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if now.Sub(m.askedAt) < noticeEvery {
+	if now.Sub(m.askedAt) < noticeInterval {
 		return nil
 	}
 	m.askedAt = now
 	var list []*place.Server
-	for id, runs := range m.runs { // The order is drawn anew each time, so that none is always left out.
-		if _, known := m.notices[id]; known || len(list) == mostNotices {
+	for id, runs := range m.runs { // Map order is random, so that no server is always left out.
+		if _, known := m.notices[id]; known || len(list) == maxNoticeRequests {
 			continue
 		}
 		for r := range runs {
@@ -78,60 +81,61 @@
 	return list
 }
 
-// askForNotice asks one server, and has its runs moved if it is leaving. One that limits
-// its requests is asked only where it takes one more.
+// askForNotice asks one server for its state, and starts to move its runs if it is leaving. A
+// server that limits its requests is asked only if there is a permit.
 func (g *Gateway) askForNotice(s *place.Server) {
-	if !g.spare(s.ID) {
+	if !g.acquireProbePermit(s.ID) {
 		return
 	}
 	out := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(out)
 	g.moves.reporter.StateRequest(out)
-	g.meters.asked.Inc(1)
-	status, body, err := g.ask(s, out, time.Now().Add(noticeTime))
+	g.meters.stateRequests.Inc(1)
+	status, body, err := g.call(s, out, time.Now().Add(noticeTimeout))
 	if err != nil {
 		g.log.Debug().Err(err).Str("server", s.ID).Msg("a server did not tell its state")
-		return // It is asked again in the next round.
+		return // Repeated in the next round.
 	}
 	state, ok := g.moves.reporter.ReadState(status, body)
 	if !ok || !state.Leaving || state.Left <= 0 || !sameStart(s.ID, state.Start) {
 		return
 	}
 	g.log.Info().Str("server", s.ID).Dur("left", state.Left).Msg("server tells that it leaves")
-	g.meters.noticed.Inc(1)
+	g.meters.departureNotices.Inc(1)
 	now := clock.Now()
-	g.moves.addOwn(s.ID, notice{at: now, end: now.Add(state.Left)})
-	g.relist()
-	time.AfterFunc(state.Left+moveGrace, g.relist) // Else a server that stays would count as leaving until the list changes.
+	g.moves.addSelfNotice(s.ID, departureNotice{at: now, end: now.Add(state.Left)})
+	g.refreshView()
+	time.AfterFunc(state.Left+departureGrace, g.refreshView) // Otherwise a server that stays would count as leaving until the list changes.
 }
 
-// sameStart reports whether an answer of the start of a server is of the one that has an id,
-// as far as both are told. Another server may have come to the address.
+// sameStart reports whether an answer from a server that started at the given time belongs to
+// the server with the given ID, as far as both start times are known. Another server may have
+// taken over the address.
 func sameStart(id string, start int64) bool {
 	known := protocol.ParseIncarnation(id).Start
 	return known == 0 || start == 0 || known == start
 }
 
-// addOwn keeps a notice that a server gave itself.
-func (m *moves) addOwn(server string, n notice) {
+// addSelfNotice records a departure notice that a server gave itself.
+func (m *runMoves) addSelfNotice(server string, n departureNotice) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.own[server] = n
+	m.selfNotices[server] = n
 }
 
-// withNotices returns a list with the servers as leaving that told so themselves. The list
-// may be older than that; a server that is still there a while behind its end counts as
-// listed again.
-func (m *moves) withNotices(list []protocol.Instance, now time.Time) []protocol.Instance {
+// applySelfNotices returns the list with servers marked as leaving that announced it
+// themselves. The list may be older than their notices. A server that still exists
+// departureGrace after its announced end follows the list again.
+func (m *runMoves) applySelfNotices(list []protocol.Instance, now time.Time) []protocol.Instance {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	maps.DeleteFunc(m.own, func(_ string, n notice) bool { return now.After(n.end.Add(moveGrace)) })
-	if len(m.own) == 0 {
+	maps.DeleteFunc(m.selfNotices, func(_ string, n departureNotice) bool { return now.After(n.end.Add(departureGrace)) })
+	if len(m.selfNotices) == 0 {
 		return list
 	}
 	list = slices.Clone(list)
 	for i := range list {
-		n, ok := m.own[list[i].ID]
+		n, ok := m.selfNotices[list[i].ID]
 		if ok && (!list[i].Leaving || list[i].LeftMS <= 0) {
 			list[i].Leaving, list[i].LeftMS = true, max(1, n.end.Sub(now).Milliseconds())
 		}
--- a/transport/forward/quarantine.go
+++ b/transport/forward/quarantine.go
@@ -9,98 +9,100 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// aloneAfter is how old the leader's word may be before a gateway goes by what it saw
-// itself: some questions in a row without an answer.
-const aloneAfter = time.Second
+// leaderSilenceLimit is the age of the leader's last answer above which a gateway relies on
+// its own observations. It corresponds to several consecutive unanswered syncs.
+const leaderSilenceLimit = time.Second
 
-// quarantined is what a gateway knows of requests under which servers end.
-type quarantined struct {
-	mu   sync.Mutex // mu guards gate; no other lock is taken under it.
-	gate *quarantine.Filter
+// quarantineState is what a gateway knows of requests that crash servers.
+type quarantineState struct {
+	mu     sync.Mutex // mu guards filter; no other lock is taken while it is held.
+	filter *quarantine.Filter
 }
 
-// SetQuarantine takes the leader's word on requests that are kept from servers.
+// SetQuarantine applies the leader's decisions on held requests.
 func (g *Gateway) SetQuarantine(reply *protocol.SyncReply) {
-	q := &g.quarantined
+	q := &g.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.gate.ApplyUpdate(reply.Quarantine, reply.Watch, clock.Now())
+	q.filter.ApplyUpdate(reply.Quarantine, reply.Watch, clock.Now())
 	if reply.Quarantine != nil {
-		g.log.Info().Uint64("changes", reply.Quarantine.Changes).Int("held", q.gate.Held()).Msg("quarantine")
+		g.log.Info().Uint64("changes", reply.Quarantine.Changes).Int("held", q.filter.Held()).Msg("quarantine")
 	}
 }
 
-// reportQuarantine puts what the leader of a term lacks into a report.
+// reportQuarantine adds to a report the observations that the leader of a term lacks.
 func (g *Gateway) reportQuarantine(term uint64, m *protocol.SyncMsg) {
-	q := &g.quarantined
+	q := &g.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	m.Observations = q.gate.Report(term, clock.Now())
-	changes, watched := q.gate.SyncState()
+	m.Observations = q.filter.Report(term, clock.Now())
+	changes, watched := q.filter.SyncState()
 	m.Quarantined, m.Watched = &changes, watched
 }
 
-// reportedQuarantine notes that the leader of a term has a report.
-func (g *Gateway) reportedQuarantine(term uint64, m *protocol.SyncMsg) {
-	q := &g.quarantined
+// acknowledgeQuarantine records that the leader of a term received a report.
+func (g *Gateway) acknowledgeQuarantine(term uint64, m *protocol.SyncMsg) {
+	q := &g.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.gate.Acknowledged(term, m.Observations)
+	q.filter.Acknowledged(term, m.Observations)
 }
 
-// Held returns how many requests are kept from servers.
+// Held returns the number of requests that are held in quarantine.
 func (g *Gateway) Held() int {
-	q := &g.quarantined
+	q := &g.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.gate.Held()
+	return q.filter.Held()
 }
 
-// sawEnd keeps that a server ended under requests.
-func (g *Gateway) sawEnd(server string, runs []protocol.ObservedRun) {
-	q := &g.quarantined
+// recordCrash records that a server terminated while it had the given requests.
+func (g *Gateway) recordCrash(server string, runs []protocol.ObservedRun) {
+	q := &g.quarantine
 	q.mu.Lock()
-	q.gate.RecordCrash(server, runs, clock.Now())
+	q.filter.RecordCrash(server, runs, clock.Now())
 	q.mu.Unlock()
-	g.syncNow() // Others may be sent the same requests.
+	g.triggerSync() // Other gateways may be sent the same requests.
 }
 
-// endedWell notes that the request ran to an end at a server, which answered it.
-func (x *exchange) endedWell() {
-	q, quick := &x.g.quarantined, x.quickHash()
+// recordSuccess records that a server ran the request to its end and answered it.
+func (x *exchange) recordSuccess() {
+	q, quick := &x.g.quarantine, x.quickHash()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.gate.RecordSuccess(quick, x.fingerprint, clock.Now())
+	q.filter.RecordSuccess(quick, x.fingerprint, clock.Now())
 }
 
-// refusedHeld returns the refusal of a request that is kept from servers, or nil. A
-// request that this gateway may try passes once with use; without, it only would.
-func (x *exchange) refusedHeld(use bool) *protocol.Refusal {
-	q, quick, alone := &x.g.quarantined, x.quickHash(), x.g.alone()
+// quarantineRefusal returns the refusal of a request held in quarantine, or nil. If this
+// gateway may try the request and use is set, the trial is consumed and the request passes
+// once; without use, the trial is only checked.
+func (x *exchange) quarantineRefusal(use bool) *protocol.Refusal {
+	q, quick, alone := &x.g.quarantine, x.quickHash(), x.g.leaderSilent()
 	q.mu.Lock()
-	p := q.gate.Check(quick, x.fingerprint, use, alone, clock.Now())
+	decision := q.filter.Check(quick, x.fingerprint, use, alone, clock.Now())
 	q.mu.Unlock()
 	switch {
-	case p.Held:
-		x.g.meters.refusedHeld.Inc(1)
-		return p.Refusal(time.Now())
-	case use && p.Trial > 0:
-		x.g.meters.triedHeld.Inc(1)
-		x.log.Info().Stringer("fingerprint", x.fingerprint()).Int("trial", p.Trial).Msg("held request is tried")
+	case decision.Held:
+		x.g.meters.quarantineRefused.Inc(1)
+		return decision.Refusal(time.Now())
+	case use && decision.Trial > 0:
+		x.g.meters.quarantineTrials.Inc(1)
+		x.log.Info().Stringer("fingerprint", x.fingerprint()).Int("trial", decision.Trial).Msg("held request is tried")
 	}
 	return nil
 }
 
-// alone reports whether the gateway has not heard from the leader for a while.
-func (g *Gateway) alone() bool {
+// leaderSilent reports whether the gateway has not heard from the leader for longer than
+// leaderSilenceLimit.
+func (g *Gateway) leaderSilent() bool {
 	age, ok := g.Age()
-	return ok && age > aloneAfter
+	return ok && age > leaderSilenceLimit
 }
 
-// quickHash returns the request's quick hash.
+// quickHash returns the request's quick hash, computed on first use.
 func (x *exchange) quickHash() uint64 {
-	if x.quick == 0 {
-		x.quick = max(1, x.request().QuickHash())
+	if x.cachedQuickHash == 0 {
+		x.cachedQuickHash = max(1, x.quarantineRequest().QuickHash())
 	}
-	return x.quick
+	return x.cachedQuickHash
 }
--- a/transport/forward/quota.go
+++ b/transport/forward/quota.go
@@ -7,46 +7,46 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// askQuota has the leader asked for the part of a quota that a request waits for.
-func (g *Gateway) askQuota() {
-	if g.quotaNow != nil {
-		g.quotaNow()
+// requestQuota asks the leader for the quota that a request waits for.
+func (g *Gateway) requestQuota() {
+	if g.triggerQuota != nil {
+		g.triggerQuota()
 		return
 	}
-	g.syncNow()
+	g.triggerSync()
 }
 
 // WantsApart implements uplink.Quotas.
 func (g *Gateway) WantsApart(apart bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.apart = apart
+	g.separateQuota = apart
 }
 
 // ReportWants implements uplink.Quotas.
 func (g *Gateway) ReportWants() (m protocol.QuotaMsg, any bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	m = protocol.QuotaMsg{Gateway: g.cfg.Name, Wants: g.allowance.Wants(clock.Now()), Done: g.done}
-	g.done = nil // One that is lost is forgotten by the leader in time.
+	m = protocol.QuotaMsg{Gateway: g.cfg.Name, Wants: g.allowance.Wants(clock.Now()), Done: g.finishedPlacements}
+	g.finishedPlacements = nil // If the message is lost, the leader forgets the placements after a timeout.
 	return m, len(m.Wants)+len(m.Done) > 0
 }
 
 // GrantedWants implements uplink.Quotas.
 func (g *Gateway) GrantedWants(m *protocol.QuotaMsg, reply *protocol.QuotaReply, asked time.Time) {
 	if reply == nil {
-		return // What was to be given back is lost, as the question may have come through.
+		return // Units that were to be returned are lost, as the leader may have received the request.
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.allowance.Acknowledge(m.Wants)
-	g.grant(reply.Grants, asked)
+	g.applyGrants(reply.Grants, asked)
 }
 
-// grant takes parts of quotas, and has the requests that wait for them look again. It needs
-// g.mu.
-func (g *Gateway) grant(grants []protocol.QuotaGrant, asked time.Time) {
+// applyGrants adds granted quota and wakes the requests that wait for it. The caller must
+// hold g.mu.
+func (g *Gateway) applyGrants(grants []protocol.QuotaGrant, asked time.Time) {
 	g.allowance.AddGrants(grants, asked, clock.Now())
-	close(g.granted)
-	g.granted = make(chan struct{})
+	close(g.grantsReceived)
+	g.grantsReceived = make(chan struct{})
 }
--- a/transport/forward/regions.go
+++ b/transport/forward/regions.go
@@ -13,28 +13,28 @@
 	"github.com/weldstream/weldstream/coordination/topology"
 )
 
-// distances are all distances, each at its own index, the nearest first.
+// distances are all distances, nearest first. Each one is its own index.
 var distances = [...]topology.Distance{topology.SameDomain, topology.SameRegion, topology.OtherRegion}
 
-// distanceMeters are the metrics that are kept for each distance to servers.
+// distanceMeters are the metrics kept for each distance to servers.
 type distanceMeters struct {
-	attempts      [len(distances)]metrics.Counter
-	bytes         [len(distances)]serverBytes
-	unplaced      atomic.Int64 // unplaced are domains of servers that have no region, though there are several.
-	contradicting atomic.Int64 // contradicting are domains whose observed round trips contradict their region.
-	trips         [len(distances)]atomic.Int64
-	lost          [len(distances)]metrics.Counter
+	attempts       [len(distances)]metrics.Counter
+	bytes          [len(distances)]serverBytes
+	unplaced       atomic.Int64 // unplaced is the number of servers' failure domains that have no region although there are several regions.
+	contradicting  atomic.Int64 // contradicting is the number of failure domains whose measured round trips contradict their region.
+	roundTrips     [len(distances)]atomic.Int64
+	failedConnects [len(distances)]metrics.Counter
 }
 
-// paths are the observed round trips to the servers' domains.
-type paths struct {
-	mu            sync.Mutex // mu guards all below.
-	trips         *topology.Trips
-	contradicting []string // contradicting are domains whose round trips contradict their region.
+// domainRoundTrips holds the measured round trips to the servers' failure domains.
+type domainRoundTrips struct {
+	mu            sync.Mutex // mu guards the fields below.
+	roundTrips    *topology.Trips
+	contradicting []string // contradicting are failure domains whose round trips contradict their region.
 }
 
-// serverBytes counts what goes to servers of one distance, and comes back. It implements
-// backend.Meter.
+// serverBytes counts the bytes sent to and received from servers at one distance. It
+// implements backend.Meter.
 type serverBytes struct {
 	requests metrics.Counter
 	answers  metrics.Counter
@@ -52,8 +52,8 @@
 		return metrics.GetOrRegisterCounter(fmt.Sprintf("%s{%sdistance=%q}", name, cause, d), r)
 	}
 	for i, d := range distances {
-		metrics.NewRegisteredFunctionalGauge(fmt.Sprintf("servers.trip.us{distance=%q}", d), r, m.trips[i].Load)
-		m.lost[d] = counter("servers.connects.failed", d, "")
+		metrics.NewRegisteredFunctionalGauge(fmt.Sprintf("servers.trip.us{distance=%q}", d), r, m.roundTrips[i].Load)
+		m.failedConnects[d] = counter("servers.connects.failed", d, "")
 		m.attempts[d] = counter("servers.attempts", d, "")
 		m.bytes[d].requests = counter("servers.bytes", d, `cause="request",`)
 		m.bytes[d].answers = counter("servers.bytes", d, `cause="answer",`)
@@ -63,9 +63,9 @@
 	return m
 }
 
-// noteUnplaced warns of servers in domains whose region the settings do not tell,
-// when there are others than before. They count as near.
-func (g *Gateway) noteUnplaced(view *place.View) {
+// warnUnplaced logs the failure domains of servers that have no region in the settings,
+// whenever the set changes. Such domains count as near.
+func (g *Gateway) warnUnplaced(view *place.View) {
 	domains := make([]string, 0, len(view.Servers))
 	for i := range view.Servers {
 		domains = append(domains, view.Servers[i].Domain)
@@ -84,58 +84,57 @@
 	}
 }
 
-// noteConnect notes how long a new connection to a server took, or that it failed. It
-// warns of domains whose round trips contradict their region, when there are others than
-// before.
-func (g *Gateway) noteConnect(s *place.Server, took time.Duration, failed bool) {
-	d, p, m := g.distance(s), &g.paths, g.meters.distances
+// recordConnect records the duration of a connect to a server, or its failure. It logs the
+// failure domains whose round trips contradict their region, whenever the set changes.
+func (g *Gateway) recordConnect(s *place.Server, took time.Duration, failed bool) {
+	d, p, m := g.distance(s), &g.roundTrips, g.meters.distances
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if failed {
-		p.trips.Lost(s.Domain)
-		m.lost[d].Inc(1)
+		p.roundTrips.Lost(s.Domain)
+		m.failedConnects[d].Inc(1)
 		return
 	}
-	p.trips.Observe(s.Domain, took)
-	m.trips[d].Store(p.trips.Trip(d).Microseconds())
-	contradicting := p.trips.Contradicting()
+	p.roundTrips.Observe(s.Domain, took)
+	m.roundTrips[d].Store(p.roundTrips.Trip(d).Microseconds())
+	contradicting := p.roundTrips.Contradicting()
 	if slices.Equal(contradicting, p.contradicting) {
 		return
 	}
 	p.contradicting = contradicting
 	m.contradicting.Store(int64(len(contradicting)))
 	if len(contradicting) > 0 {
-		g.log.Warn().Strs("domains", contradicting).Dur("across", p.trips.Trip(topology.OtherRegion)).Msg("domains whose round trips contradict their region")
+		g.log.Warn().Strs("domains", contradicting).Dur("across", p.roundTrips.Trip(topology.OtherRegion)).Msg("domains whose round trips contradict their region")
 	}
 }
 
-// Region returns the gateway's region; empty where all domains lie in one.
+// Region returns the gateway's region; empty if all failure domains are in one region.
 func (g *Gateway) Region() string { return g.cfg.Topology.Region(g.cfg.Domain) }
 
-// distance returns how far a server is.
+// distance returns the distance to a server.
 func (g *Gateway) distance(s *place.Server) topology.Distance {
 	return g.cfg.Topology.Distance(g.cfg.Domain, s.Domain)
 }
 
-// DistanceStats is what a gateway has seen of servers at one distance, as dumps show it.
+// DistanceStats are a gateway's statistics on servers at one distance, as shown in dumps.
 type DistanceStats struct {
 	Distance string `json:"distance"`
-	TripUS   int64  `json:"trip_us"` // TripUS is the shortest round trip; 0 where none was seen often enough.
+	TripUS   int64  `json:"trip_us"` // TripUS is the shortest round trip in microseconds; 0 if there are too few samples.
 	Attempts int64  `json:"attempts"`
 	Failed   int64  `json:"connects_failed"`
 	Requests int64  `json:"request_bytes"`
 	Answers  int64  `json:"answer_bytes"`
 }
 
-// StatsByDistance returns what the gateway has seen by distance, the nearest first.
+// StatsByDistance returns the statistics for each distance, nearest first.
 func (g *Gateway) StatsByDistance() []DistanceStats {
 	m, ways := g.meters.distances, make([]DistanceStats, len(distances))
 	for i, d := range distances {
 		ways[i] = DistanceStats{
 			Distance: d.String(),
-			TripUS:   m.trips[d].Load(),
+			TripUS:   m.roundTrips[d].Load(),
 			Attempts: m.attempts[d].Count(),
-			Failed:   m.lost[d].Count(),
+			Failed:   m.failedConnects[d].Count(),
 			Requests: m.bytes[d].requests.Count(),
 			Answers:  m.bytes[d].answers.Count(),
 		}
--- a/transport/forward/regions_test.go
+++ b/transport/forward/regions_test.go
@@ -19,22 +19,22 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// regional makes a world's gateway one of domain a, beside b in its region and c in
+// setRegions puts the gateway into failure domain a, with b in the same region and c in
 // another one.
-func (w *world) regional(log io.Writer) metrics.Registry {
+func (w *testGateway) setRegions(log io.Writer) metrics.Registry {
 	r := metrics.NewRegistry()
 	w.g.cfg.Topology = topology.New(map[string]string{"a": "near", "b": "near", "c": "far"})
-	w.g.paths.trips = topology.NewTrips(w.g.cfg.Topology, w.g.cfg.Domain)
+	w.g.roundTrips.roundTrips = topology.NewTrips(w.g.cfg.Topology, w.g.cfg.Domain)
 	w.g.meters = newMeters(r)
 	w.g.log = zerolog.New(log)
 	return r
 }
 
-// lines are what is logged, as far as there is room.
-type lines chan string
+// logLines receives log lines while there is room in the channel.
+type logLines chan string
 
 // Write implements io.Writer.
-func (l lines) Write(p []byte) (int, error) {
+func (l logLines) Write(p []byte) (int, error) {
 	select {
 	case l <- string(p):
 	default:
@@ -42,16 +42,16 @@
 	return len(p), nil
 }
 
-// in adds a server in a domain.
-func (w *world) in(domain, id string, serve func(net.Conn, *fasthttp.Request)) *backendServer {
+// backendIn adds a server in a failure domain.
+func (w *testGateway) backendIn(domain, id string, serve func(net.Conn, *fasthttp.Request)) *backendServer {
 	b := w.backend(id, serve)
 	w.servers[len(w.servers)-1].Domain = domain
 	w.g.SetServers(w.servers)
 	return b
 }
 
-// counted returns a counter's value.
-func counted(t *testing.T, r metrics.Registry, name string) int64 {
+// counterValue returns a counter's value.
+func counterValue(t *testing.T, r metrics.Registry, name string) int64 {
 	t.Helper()
 	c, ok := r.Get(name).(metrics.Counter)
 	if !ok {
@@ -60,17 +60,17 @@
 	return c.Count()
 }
 
-// TestBytesByDistance checks that attempts and bytes are counted by how far away the
-// server is, those of a kept connection too.
+// TestBytesByDistance checks that attempts and bytes are counted by distance, including those
+// on reused connections.
 func TestBytesByDistance(t *testing.T) {
 	const each = 5000
-	w := newWorld(t)
-	r := w.regional(io.Discard)
+	w := newTestGateway(t)
+	r := w.setRegions(io.Discard)
 	w.install(protocol.PathRoute{Attempts: 1})
-	long := func(c net.Conn, _ *fasthttp.Request) { say(c, 200, "", strings.Repeat("y", each)) }
+	long := func(c net.Conn, _ *fasthttp.Request) { writeAnswer(c, 200, "", strings.Repeat("y", each)) }
 	for i, domain := range []string{"a", "b", "c"} {
 		w.servers = nil
-		w.in(domain, fmt.Sprint("server-", i), long)
+		w.backendIn(domain, fmt.Sprint("server-", i), long)
 		for range 2 {
 			if got := w.send(strings.Repeat("x", each)); got.status != 200 {
 				t.Fatalf("%s: %+v", domain, got)
@@ -78,11 +78,11 @@
 		}
 	}
 	for _, d := range distances {
-		if n := counted(t, r, fmt.Sprintf("servers.attempts{distance=%q}", d)); n != 2 {
+		if n := counterValue(t, r, fmt.Sprintf("servers.attempts{distance=%q}", d)); n != 2 {
 			t.Errorf("%s: %d attempts, want 2", d, n)
 		}
 		for _, cause := range []string{"request", "answer"} {
-			n := counted(t, r, fmt.Sprintf("servers.bytes{cause=%q,distance=%q}", cause, d))
+			n := counterValue(t, r, fmt.Sprintf("servers.bytes{cause=%q,distance=%q}", cause, d))
 			if n < 2*each || n > 2*each+1000 {
 				t.Errorf("%s: %d bytes of %ss, want two of %d with their heads", d, n, cause, each)
 			}
@@ -90,46 +90,46 @@
 	}
 }
 
-// TestRegionCutOff checks that a request is answered from another region at once when
-// the servers of the own one cannot be reached, and from the own region again as soon as
-// one there can be.
-func TestRegionCutOff(t *testing.T) {
-	w := newWorld(t)
-	r := w.regional(io.Discard)
+// TestRegionUnreachable checks that a request is answered from another region at once while
+// the servers of the gateway's region are unreachable, and from its own region as soon as one
+// is reachable again.
+func TestRegionUnreachable(t *testing.T) {
+	w := newTestGateway(t)
+	r := w.setRegions(io.Discard)
 	w.install(protocol.PathRoute{Attempts: 3})
 	once := func(c net.Conn, _ *fasthttp.Request) {
-		say(c, 200, "Connection: close\r\n", "fine") // A connection that is kept would outlast the cut.
+		writeAnswer(c, 200, "Connection: close\r\n", "fine") // A kept connection would survive the partition.
 		_ = c.Close()
 	}
-	near, far := w.in("a", "near", once), w.in("c", "far", once)
-	across := func() int64 { return counted(t, r, `servers.attempts{distance="other region"}`) }
+	near, far := w.backendIn("a", "near", once), w.backendIn("c", "far", once)
+	across := func() int64 { return counterValue(t, r, `servers.attempts{distance="other region"}`) }
 	if got := w.ask(); got.status != 200 || across() != 0 || near.runs.Load() != 1 {
-		t.Fatalf("at first: %+v, %d went across", got, across())
+		t.Fatalf("at first: %+v, %d went to the other region", got, across())
 	}
 	address := w.servers[0].Address
-	w.servers[0].Address = "127.0.0.1:1" // Nobody listens there.
+	w.servers[0].Address = "127.0.0.1:1" // Nothing listens on this port.
 	w.g.SetServers(w.servers)
 	for i := range 3 {
 		if got := w.ask(); got.status != 200 {
-			t.Fatalf("cut off, request %d: %+v", i, got)
+			t.Fatalf("unreachable, request %d: %+v", i, got)
 		}
 	}
 	if across() != 3 || far.runs.Load() != 3 {
-		t.Fatalf("cut off: %d of 3 went across", across())
+		t.Fatalf("unreachable: %d of 3 went to the other region", across())
 	}
 	w.servers[0].Address = address
 	w.g.SetServers(w.servers)
 	if got := w.ask(); got.status != 200 || across() != 3 || near.runs.Load() != 2 {
-		t.Errorf("back again: %+v, %d went across", got, across())
+		t.Errorf("reachable again: %+v, %d went to the other region", got, across())
 	}
 }
 
-// TestUnplacedDomains checks that a server's domain without a region is logged and
-// counted once where there are several regions, and never without.
-func TestUnplacedDomains(t *testing.T) {
+// TestDomainsWithoutRegion checks that a failure domain without a region is logged and
+// counted once if there are several regions, and not at all otherwise.
+func TestDomainsWithoutRegion(t *testing.T) {
 	var log bytes.Buffer
-	w := newWorld(t)
-	r := w.regional(&log)
+	w := newTestGateway(t)
+	r := w.setRegions(&log)
 	gauge := func() int64 { return r.Get("domains.unplaced").(metrics.Gauge).Value() }
 	list := []protocol.Instance{{ID: "1", Service: "s", Domain: "a"}, {ID: "2", Service: "s", Domain: "d"}}
 	w.g.SetServers(list)
@@ -138,7 +138,7 @@
 		t.Errorf("logged %d times, %d domains: %s", n, gauge(), log.String())
 	}
 	if !strings.Contains(log.String(), `"domains":["d"]`) {
-		t.Errorf("the domain is not named: %s", log.String())
+		t.Errorf("the failure domain is not logged: %s", log.String())
 	}
 	w.g.SetServers(list[:1])
 	if gauge() != 0 {
@@ -152,42 +152,42 @@
 	}
 }
 
-// TestAttemptTellsRegion checks that the log line of an attempt has region and distance.
-func TestAttemptTellsRegion(t *testing.T) {
-	log := make(lines, 100)
-	w := newWorld(t)
-	w.regional(log)
+// TestAttemptLogsRegion checks that the log line of an attempt contains region and distance.
+func TestAttemptLogsRegion(t *testing.T) {
+	log := make(logLines, 100)
+	w := newTestGateway(t)
+	w.setRegions(log)
 	w.install(protocol.PathRoute{Attempts: 1})
-	w.in("c", "far", good)
+	w.backendIn("c", "far", answerOK)
 	if got := w.ask(); got.status != 200 {
 		t.Fatalf("%+v", got)
 	}
 	for line := range log {
 		if strings.Contains(line, `"message":"attempt"`) {
 			if !strings.Contains(line, `"region":"far","distance":"other region"`) {
-				t.Errorf("region and distance are not told: %s", line)
+				t.Errorf("region and distance are not logged: %s", line)
 			}
 			return
 		}
 	}
 }
 
-// TestFurtherThanTheirRegion checks that a domain of the own region whose connects take
-// longer than those to another region is logged and counted once, and that connects
-// which fail are counted by distance.
-func TestFurtherThanTheirRegion(t *testing.T) {
+// TestRoundTripsContradictRegion checks that a failure domain of the gateway's region is
+// logged and counted once if connects to it take longer than connects to another region, and
+// that failed connects are counted by distance.
+func TestRoundTripsContradictRegion(t *testing.T) {
 	var log bytes.Buffer
-	w := newWorld(t)
-	r := w.regional(&log)
+	w := newTestGateway(t)
+	r := w.setRegions(&log)
 	server := func(domain string) *place.Server {
 		return &place.Server{Instance: protocol.Instance{Domain: domain}}
 	}
 	for range 30 {
-		w.g.noteConnect(server("a"), time.Millisecond, false)
-		w.g.noteConnect(server("b"), 40*time.Millisecond, false)
-		w.g.noteConnect(server("c"), 16*time.Millisecond, false)
+		w.g.recordConnect(server("a"), time.Millisecond, false)
+		w.g.recordConnect(server("b"), 40*time.Millisecond, false)
+		w.g.recordConnect(server("c"), 16*time.Millisecond, false)
 	}
-	w.g.noteConnect(server("c"), 0, true)
+	w.g.recordConnect(server("c"), 0, true)
 	if n := strings.Count(log.String(), "domains whose round trips contradict their region"); n != 1 || !strings.Contains(log.String(), `"domains":["b"]`) {
 		t.Errorf("logged %d times: %s", n, log.String())
 	}
@@ -196,13 +196,13 @@
 		t.Errorf("%d domains counted", n)
 	}
 	if us := gauge(`servers.trip.us{distance="other region"}`); us != 16_000 {
-		t.Errorf("a round trip across takes %d us, want 16,000", us)
+		t.Errorf("a round trip to the other region takes %d us, want 16,000", us)
 	}
-	if n := counted(t, r, `servers.connects.failed{distance="other region"}`); n != 1 {
-		t.Errorf("%d connects across failed, want 1", n)
+	if n := counterValue(t, r, `servers.connects.failed{distance="other region"}`); n != 1 {
+		t.Errorf("%d connects to the other region failed, want 1", n)
 	}
 	want := []DistanceStats{{Distance: "same domain", TripUS: 1000}, {Distance: "same region", TripUS: 40_000}, {Distance: "other region", TripUS: 16_000, Failed: 1}}
 	if ways := w.g.StatsByDistance(); !slices.Equal(ways, want) {
-		t.Errorf("seen %+v, want %+v", ways, want)
+		t.Errorf("statistics %+v, want %+v", ways, want)
 	}
 }
--- a/transport/forward/restart.go
+++ b/transport/forward/restart.go
@@ -2,18 +2,18 @@
 
 import "github.com/weldstream/weldstream/coordination/place"
 
-// endFormer ends what runs at former starts of servers: it has ended there, and may have
-// run. A server that ended behind a cut closes no connection; its requests would wait for
-// their deadlines.
-func (g *Gateway) endFormer(again []place.Restart) {
-	for _, r := range again {
+// endFormerIncarnations ends the requests at former incarnations of servers: they have ended
+// there and may have run. A server that terminated behind a network partition closes no
+// connection, so its requests would otherwise wait for their deadlines.
+func (g *Gateway) endFormerIncarnations(restarts []place.Restart) {
+	for _, r := range restarts {
 		former := r.Before.String()
 		ended := g.pool.End(former)
-		g.meters.restarted.Inc(1)
+		g.meters.serversRestarted.Inc(1)
 		g.log.Warn().Str("server", r.After.String()).Str("before", former).Int("connections", ended).Msg("server started again")
-		if runs := g.crashes.unsolved(former); len(runs) > 0 {
-			g.meters.serversEnded.Inc(1)
-			g.sawEnd(former, runs)
+		if runs := g.crashes.takeUnresolved(former); len(runs) > 0 {
+			g.meters.serversCrashed.Inc(1)
+			g.recordCrash(former, runs)
 		}
 	}
 }
--- a/transport/forward/restart_test.go
+++ b/transport/forward/restart_test.go
@@ -11,8 +11,8 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// startsAgain lists a server under its next start.
-func (w *world) startsAgain(b *backendServer, start int64) {
+// restart lists a server under a new start time.
+func (w *testGateway) restart(b *backendServer, start int64) {
 	w.t.Helper()
 	for i := range w.servers {
 		if w.servers[i].ID == b.id {
@@ -25,10 +25,10 @@
 	w.g.SetServers(w.servers)
 }
 
-// TestRunsAtAFormerStartHaveEnded checks that a request at a server which started again
-// behind a silent connection does not wait for it: it may have run, and goes on elsewhere
-// where it may.
-func TestRunsAtAFormerStartHaveEnded(t *testing.T) {
+// TestRestartEndsFormerRequests checks that a request at a server that restarted, and whose
+// connection stays silent, does not wait for its deadline: it may have run, and is retried if
+// its route allows.
+func TestRestartEndsFormerRequests(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind   protocol.RouteKind
 		status int
@@ -37,61 +37,62 @@
 		"once":       {protocol.RouteOnce, 502},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
+			w := newTestGateway(t)
 			w.install(protocol.PathRoute{Attempts: 2, Kind: c.kind})
 			var b *backendServer
 			first := true
 			b = w.backend("a@1", func(conn net.Conn, req *fasthttp.Request) {
 				if first {
 					first = false
-					go w.startsAgain(b, 2)
-					_, _ = conn.Read(make([]byte, 1)) // Nothing more comes from the former start.
+					go w.restart(b, 2)
+					_, _ = conn.Read(make([]byte, 1)) // The former incarnation sends nothing more.
 					return
 				}
-				good(conn, req)
+				answerOK(conn, req)
 			})
 			began := time.Now()
 			got := w.ask("Remaining: 8000")
-			if got.status != c.status || time.Since(began) > patience/2 {
+			if got.status != c.status || time.Since(began) > testTimeout/2 {
 				t.Errorf("got %+v after %v", got, time.Since(began))
 			}
 			if len(w.g.Report(1).Observations) != 0 {
-				t.Error("the request is suspected of having ended the server behind the cut")
+				t.Error("the request is suspected of having crashed the partitioned server")
 			}
 		})
 	}
 }
 
-// TestNoServersAreListed checks that an empty list is one: a platform lists none until the
-// first servers stand.
-func TestNoServersAreListed(t *testing.T) {
-	w := newWorld(t)
+// TestEmptyServerList checks that an empty list counts as a list: a platform lists no servers
+// until the first ones have started.
+func TestEmptyServerList(t *testing.T) {
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 1})
 	w.g.SetServers(nil)
 	w.g.SetServers([]protocol.Instance{})
-	if !w.g.known() {
-		t.Error("a gateway that was told of no servers knows no list")
+	if !w.g.configured() {
+		t.Error("an empty list does not count as a list")
 	}
 	if got := w.ask(); got.status != 503 || got.verdict != "not-run" {
 		t.Errorf("got %+v", got)
 	}
 }
 
-// TestFormerStartIsNotListedAgain checks that a list of before, as of a leader that was cut
-// off, does not bring a former start back, and that what was known of that is forgotten.
-func TestFormerStartIsNotListedAgain(t *testing.T) {
-	w := newWorld(t)
+// TestFormerIncarnationIsNotListedAgain checks that an older list, for example from a
+// partitioned leader, does not bring back a former incarnation, and that the former
+// incarnation's statistics are discarded.
+func TestFormerIncarnationIsNotListedAgain(t *testing.T) {
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 1})
-	b := w.backend("a@1", good)
+	b := w.backend("a@1", answerOK)
 	w.g.view.Load().Find("a@1").Stats.RequestFailed(true, clock.Now())
 	former := append([]protocol.Instance(nil), w.servers...)
-	w.startsAgain(b, 2)
+	w.restart(b, 2)
 	if s := w.g.view.Load().Find("a@2"); s == nil || s.Stats.Suspect(clock.Now()) {
-		t.Errorf("the new start is %+v", s)
+		t.Errorf("the new incarnation is %+v", s)
 	}
 	w.g.SetServers(former)
 	if s := w.g.view.Load().Find("a@1"); s != nil {
-		t.Errorf("the former start is back: %+v", s)
+		t.Errorf("the former incarnation is listed again: %+v", s)
 	}
 	w.g.SetServers(w.servers)
 	if got := w.ask(); got.status != 200 {
@@ -99,39 +100,39 @@
 	}
 }
 
-// TestServerBackAtOnceHasEnded checks that a server which was up again when its broken
-// connections were looked at counts as ended once the list tells its new start, and does not
-// where it tells none.
-func TestServerBackAtOnceHasEnded(t *testing.T) {
+// TestQuickRestartCountsAsCrash checks that a server that accepted connections again when it
+// was probed counts as crashed once the list shows a new start time, and does not if the list
+// shows none.
+func TestQuickRestartCountsAsCrash(t *testing.T) {
 	for _, again := range []bool{true, false} {
-		testBackAtOnce(t, again, 0)
+		testQuickRestart(t, again, 0)
 	}
-	testBackAtOnce(t, true, 2*openKept) // Too late: it may have ended since for any reason.
+	testQuickRestart(t, true, 2*unresolvedTTL) // Too late: any other cause may have ended it since.
 }
 
-// testBackAtOnce has a server's connection break and, after a while, the list tell its new
-// start or none.
-func testBackAtOnce(t *testing.T, again bool, after time.Duration) {
+// testQuickRestart breaks a server's connection and, after a while, lists the server with or
+// without a new start time.
+func testQuickRestart(t *testing.T, again bool, after time.Duration) {
 	t.Helper()
-	w := newWorld(t)
-	log := make(lines, 100)
-	w.regional(log)
+	w := newTestGateway(t)
+	log := make(logLines, 100)
+	w.setRegions(log)
 	w.install(protocol.PathRoute{Attempts: 1})
-	b := w.backend("a@1", silent)
+	b := w.backend("a@1", closeSilently)
 	w.send("bad")
-	log.find(t, "connections of a server broke")
+	log.await(t, "connections of a server broke")
 	suspend(t, after)
 	if again {
-		w.startsAgain(b, 2)
+		w.restart(b, 2)
 	} else {
 		w.g.SetServers(w.servers)
 	}
 	told := w.g.Report(1).Observations
-	again = again && after < openKept
-	if again && (len(told) != 1 || told[0].Server != "a@1" || told[0].Runs[0].Fingerprint != bodyPrint("bad")) {
-		t.Errorf("told %+v", told)
+	again = again && after < unresolvedTTL
+	if again && (len(told) != 1 || told[0].Server != "a@1" || told[0].Runs[0].Fingerprint != bodyFingerprint("bad")) {
+		t.Errorf("reported %+v", told)
 	}
 	if !again && len(told) != 0 {
-		t.Errorf("told %+v of a server that did not end", told)
+		t.Errorf("reported a server that did not crash: %+v", told)
 	}
 }
--- a/transport/forward/room.go
+++ b/transport/forward/room.go
@@ -16,7 +16,7 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Owner implements caller.Admitter. A key that is not known belongs to no workspace.
+// Owner implements caller.Admitter. An unknown key belongs to no workspace.
 func (g *Gateway) Owner(req *fasthttp.Request) (request, workspace string) {
 	call := g.dialect.Call(req)
 	if ix := g.index.Load(); ix != nil {
@@ -28,92 +28,95 @@
 }
 
 // NoRoom implements caller.Admitter.
-func (g *Gateway) NoRoom(req *fasthttp.Request, v memory.Decision) *fasthttp.Response {
+func (g *Gateway) NoRoom(req *fasthttp.Request, decision memory.Decision) *fasthttp.Response {
 	call := g.dialect.Call(req)
 	_, workspace := g.Owner(req)
-	r := protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeMemory, "no memory is left for a body of this size").WithRetryAfter(v.RetryAfter)
+	r := protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeMemory, "not enough memory for a body of this size").WithRetryAfter(decision.RetryAfter)
 	g.meters.requests.Inc(1)
 	g.meters.refused.Inc(1)
-	g.meters.end(outcome{"", workspace, r.Verdict})
+	g.meters.countOutcome(outcome{"", workspace, r.Verdict})
 	g.log.Info().Str("request", call.ID).Str("workspace", workspace).Str("outcome", "refused").Str("code", string(r.Code)).Stringer("verdict", r.Verdict).
-		Int("status", r.Status).Str("reason", r.Message).Int64("bytes", v.Bytes).Int64("share", v.Workspace).Bool("own", v.OverShare).Int64("held", v.Held).Int64("bound", v.Bound).
-		Int64("wait", v.RetryAfter.Milliseconds()).Msg("request")
+		Int("status", r.Status).Str("reason", r.Message).Int64("bytes", decision.Bytes).Int64("share", decision.Workspace).Bool("own", decision.OverShare).Int64("held", decision.Held).Int64("bound", decision.Bound).
+		Int64("wait", decision.RetryAfter.Milliseconds()).Msg("request")
 	resp := &fasthttp.Response{}
 	g.dialect.Refuse(resp, call.ID, r)
 	return resp
 }
 
-// smallBody, in bytes, is the largest body that is not counted at servers: as many of
-// them as a server has slots do not use up its memory.
-const smallBody = 4 << 10
+// uncountedBodyBytes is the size of the largest body that is not counted at servers: as many
+// of them as a server has slots do not exhaust its memory.
+const uncountedBodyBytes = 4 << 10
 
-// inFlight counts the bytes at the servers of a service.
+// inFlight counts the body bytes at the servers of a service.
 type inFlight struct {
 	mu sync.Mutex // mu guards the embedded counts.
 	*memory.InFlight
 }
 
-// bytesAt returns the counts of a service, and registers its gauges with the first call.
-func (g *Gateway) bytesAt(service string) *inFlight {
+// inFlightAt returns the counts of a service. The first call for a service registers its
+// gauges.
+func (g *Gateway) inFlightAt(service string) *inFlight {
 	if f, ok := g.inFlight.Load(service); ok {
 		return f.(*inFlight)
 	}
 	f, loaded := g.inFlight.LoadOrStore(service, &inFlight{InFlight: memory.NewInFlight()})
 	if !loaded {
 		name := service
-		_ = g.meters.registry.Register(fmt.Sprintf("servers.bytes{service=%q}", name), metrics.NewFunctionalGauge(func() int64 { return g.bytesAt(name).all() }))
-		_ = g.meters.registry.Register(fmt.Sprintf("servers.bytes_limit{service=%q}", name), metrics.NewFunctionalGauge(func() int64 { return g.bytesAt(name).most() }))
+		_ = g.meters.registry.Register(fmt.Sprintf("servers.bytes{service=%q}", name), metrics.NewFunctionalGauge(func() int64 { return g.inFlightAt(name).totalBytes() }))
+		_ = g.meters.registry.Register(fmt.Sprintf("servers.bytes_limit{service=%q}", name), metrics.NewFunctionalGauge(func() int64 { return g.inFlightAt(name).limitBytes() }))
 	}
 	return f.(*inFlight)
 }
 
-func (f *inFlight) all() int64 {
+func (f *inFlight) totalBytes() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.TotalBytes()
 }
 
-func (f *inFlight) most() int64 {
+func (f *inFlight) limitBytes() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.Limit()
 }
 
-// countedBody is how many bytes of the request count at its server; 0 for a small one.
-func (x *exchange) countedBody() int64 {
-	if n := len(x.in.Body()); n > smallBody {
+// countedBodyBytes returns the body size that is counted at the request's server; 0 for a
+// small body.
+func (x *exchange) countedBodyBytes() int64 {
+	if n := len(x.in.Body()); n > uncountedBodyBytes {
 		return int64(n)
 	}
 	return 0
 }
 
-// fullServers returns the servers that have no room for the request's body.
+// fullServers returns the servers that have no memory left for the request's body.
 func (x *exchange) fullServers() []string {
-	n := x.countedBody()
+	n := x.countedBodyBytes()
 	if n == 0 {
 		return nil
 	}
-	f := x.g.bytesAt(x.service)
+	f := x.g.inFlightAt(x.service)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.Full(n)
 }
 
-// excluded are the servers that are not sent the request: those that had it, those that
-// have no room for its body, and those that take nothing now.
+// excluded returns the servers to which the request is not sent: those that had it before,
+// those without memory for its body, and those that accept no requests at present.
 func (x *exchange) excluded() []string {
-	return slices.Concat(x.avoid, x.fullServers(), x.closed)
+	return slices.Concat(x.tried, x.fullServers(), x.unavailable)
 }
 
-// noRoomAtServers refuses a request that no server has room for.
-func (x *exchange) noRoomAtServers() *protocol.Refusal {
-	f := x.g.bytesAt(x.service)
-	x.log.Info().Str("service", x.service).Int64("bytes", x.countedBody()).Int64("at_servers", f.all()).Int64("limit", f.most()).Msg("no server has room for a body")
-	return protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeMemory, "no server has room for a body of this size").WithRetryAfter(resend.RetryAfter(x.route.Target))
+// refuseServersFull refuses a request whose body fits no server.
+func (x *exchange) refuseServersFull() *protocol.Refusal {
+	f := x.g.inFlightAt(x.service)
+	x.log.Info().Str("service", x.service).Int64("bytes", x.countedBodyBytes()).Int64("at_servers", f.totalBytes()).Int64("limit", f.limitBytes()).Msg("no server has room for a body")
+	return protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeMemory, "no server has memory for a body of this size").WithRetryAfter(resend.RetryAfter(x.route.Target))
 }
 
-// noConnection refuses a request for which no connection may be opened. No server is at fault.
-func (x *exchange) noConnection() *protocol.Refusal {
+// refuseNoConnection refuses a request for which no connection may be opened. This is not a
+// fault of any server.
+func (x *exchange) refuseNoConnection() *protocol.Refusal {
 	r := protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeOverloaded, "the gateway has too many connections to servers").WithRetryAfter(resend.RetryAfter(x.route.Target))
 	if x.state.MayHaveRun {
 		return r.WithVerdict(protocol.MayHaveRun).WithStatus(protocol.StatusBadGateway)
@@ -121,57 +124,60 @@
 	return r
 }
 
-// beginBytes counts the request's body as in flight at its server.
-func (t *try) beginBytes() {
-	if n := t.x.countedBody(); n > 0 {
-		f := t.x.g.bytesAt(t.x.service)
+// addBodyInFlight counts the request's body as in flight at its server.
+func (t *serverAttempt) addBodyInFlight() {
+	if n := t.x.countedBodyBytes(); n > 0 {
+		f := t.x.g.inFlightAt(t.x.service)
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		t.crashes = f.RequestStarted(t.server.ID, n)
+		t.crashesAtSend = f.RequestStarted(t.server.ID, n)
 	}
 }
 
-// endBytes counts it no longer, once the server has done with the request.
-func (t *try) endBytes() {
-	if n := t.x.countedBody(); n > 0 {
-		f := t.x.g.bytesAt(t.x.service)
+// removeBodyInFlight ends the count of the request's body, once the server has finished with
+// the request.
+func (t *serverAttempt) removeBodyInFlight() {
+	if n := t.x.countedBodyBytes(); n > 0 {
+		f := t.x.g.inFlightAt(t.x.service)
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.RequestEnded(t.server.ID, n, t.done)
+		f.RequestEnded(t.server.ID, n, t.complete)
 	}
 }
 
-// isCrash reports whether an error can follow from the bytes that a server has: its
-// process ended, or takes no more of a body. A time-out (an unreachable machine) and an
-// answer too large for the gateway have other causes.
+// isCrash reports whether an error can be caused by the bytes in flight at a server: its
+// process terminated, or it no longer reads a body. A time-out (an unreachable machine) and
+// an answer too large for the gateway have other causes.
 func isCrash(err error) bool { return !errors.Is(err, errTooLarge) && tcp.EndedByPeer(err) }
 
-// crashed lowers the limit of bytes if the server ended the request as a crash does. A
-// server that is leaving ends requests for that reason, and teaches nothing.
-func (t *try) crashed(err error) {
-	if t.x.countedBody() == 0 || !isCrash(err) {
+// recordBodyCrash lowers the limit of body bytes if the server ended the request as in a
+// crash. A leaving server ends requests because it leaves, which says nothing about its
+// memory.
+func (t *serverAttempt) recordBodyCrash(err error) {
+	if t.x.countedBodyBytes() == 0 || !isCrash(err) {
 		return
 	}
 	if s := t.x.g.view.Load().Find(t.server.ID); s != nil && s.Leaving {
 		return
 	}
-	f := t.x.g.bytesAt(t.x.service)
+	f := t.x.g.inFlightAt(t.x.service)
 	f.mu.Lock()
-	bytes, lower := f.Bytes()[t.server.ID], f.Crashed(t.server.ID, t.crashes)
+	bytes, lowered := f.Bytes()[t.server.ID], f.Crashed(t.server.ID, t.crashesAtSend)
 	limit := f.Limit()
 	f.mu.Unlock()
-	if lower {
+	if lowered {
 		t.x.log.Warn().Str("server", t.server.ID).Str("service", t.x.service).Int64("bytes", bytes).Int64("limit", limit).Msg("server failed with many bytes under way")
 	}
 }
 
-// InFlightRow is what this gateway has in flight at the servers of a service, as dumps show it.
+// InFlightRow is what this gateway has in flight at the servers of a service, as shown in
+// dumps.
 type InFlightRow struct {
-	Limit   int64            `json:"limit"` // Limit is what one server gets, in bytes; 0 before one failed with many.
+	Limit   int64            `json:"limit"` // Limit is the limit in bytes for one server; 0 before a crash with large bodies in flight.
 	Servers map[string]int64 `json:"servers"`
 }
 
-// InFlight returns the bytes at servers, by service.
+// InFlight returns the body bytes in flight at servers, by service.
 func (g *Gateway) InFlight() map[string]InFlightRow {
 	out := map[string]InFlightRow{}
 	g.inFlight.Range(func(service, value any) bool {
@@ -184,25 +190,25 @@
 	return out
 }
 
-// answerPiece, in bytes, is the first buffer of an answer without a length. Answers that fit into
-// it, as most do, are a part of what the connection costs.
-const answerPiece = 16 << 10
+// answerBufferBytes is the size of the first buffer for an answer of unknown length. Most
+// answers fit into it; it is accounted for as part of the connection's cost.
+const answerBufferBytes = 16 << 10
 
-// errNoRoom ends the reading of an answer that the account of memory has no room for.
-var errNoRoom = errors.New("no memory is left for the answer")
+// errOutOfMemory ends the reading of an answer that exceeds the memory account.
+var errOutOfMemory = errors.New("not enough memory for the answer")
 
-// readWhole reads an answer to its end, each piece taken from the account first. The
-// answer's length, where it is told, is taken at once.
+// readWhole reads an answer to its end, reserving memory before each buffer is allocated. If
+// the answer's length is known, it is reserved at once.
 func (x *exchange) readWhole(body io.Reader, length int) ([]byte, error) {
-	size := answerPiece
+	size := answerBufferBytes
 	if length >= 0 {
-		size = length + 1 // The last byte finds the end.
+		size = length + 1 // The extra byte detects the end of the body.
 	}
-	if size > maxAnswer+1 {
+	if size > maxAnswerBytes+1 {
 		return nil, errTooLarge
 	}
-	if size > answerPiece {
-		if err := x.takeRoom(size); err != nil {
+	if size > answerBufferBytes {
+		if err := x.reserveMemory(size); err != nil {
 			return nil, err
 		}
 	}
@@ -219,37 +225,37 @@
 		if len(data) < cap(data) {
 			continue
 		}
-		if data, err = x.grow(data); err != nil {
+		if data, err = x.growAnswer(data); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// grow returns the answer with more room.
-func (x *exchange) grow(data []byte) ([]byte, error) {
-	size := memory.GrownSize(cap(data), answerPiece, maxAnswer+1)
+// growAnswer returns the answer in a larger buffer.
+func (x *exchange) growAnswer(data []byte) ([]byte, error) {
+	size := memory.GrownSize(cap(data), answerBufferBytes, maxAnswerBytes+1)
 	if size <= cap(data) {
 		return nil, errTooLarge
 	}
-	if err := x.takeRoom(size - cap(data)); err != nil {
+	if err := x.reserveMemory(size - cap(data)); err != nil {
 		return nil, err
 	}
 	return append(make([]byte, 0, size), data...), nil
 }
 
-// takeRoom takes bytes for the answer from the account of memory.
-func (x *exchange) takeRoom(n int) error {
-	v := x.answer.Hold(n)
-	if v.Granted {
+// reserveMemory reserves bytes for the answer in the memory account.
+func (x *exchange) reserveMemory(n int) error {
+	decision := x.answer.Hold(n)
+	if decision.Granted {
 		return nil
 	}
-	x.log.Info().Int64("bytes", v.Bytes).Int64("share", v.Workspace).Bool("own", v.OverShare).Int64("held", v.Held).Int64("bound", v.Bound).Msg("no room for an answer")
-	return errNoRoom
+	x.log.Info().Int64("bytes", decision.Bytes).Int64("share", decision.Workspace).Bool("own", decision.OverShare).Int64("held", decision.Held).Int64("bound", decision.Bound).Msg("no room for an answer")
+	return errOutOfMemory
 }
 
-// noRoomForAnswer ends an attempt whose answer does not fit into the account. The server
-// is not at fault, and the answer of another one would not fit either.
-func (t *try) noRoomForAnswer() *protocol.Refusal {
+// refuseForAnswerMemory ends an attempt whose answer exceeds the memory account. The server
+// is not at fault, and the answer of another server would not fit either.
+func (t *serverAttempt) refuseForAnswerMemory() *protocol.Refusal {
 	t.conn.Close()
-	return protocol.NewRefusal(protocol.StatusBadGateway, protocol.CodeMemory, "no memory is left for the answer").WithVerdict(protocol.MayHaveRun)
+	return protocol.NewRefusal(protocol.StatusBadGateway, protocol.CodeMemory, "not enough memory for the answer").WithVerdict(protocol.MayHaveRun)
 }
--- a/transport/forward/room_test.go
+++ b/transport/forward/room_test.go
@@ -23,12 +23,12 @@
 	"github.com/weldstream/weldstream/transport/caller"
 )
 
-// TestAnswerWithoutRoom checks what becomes of whole answers that find no memory: the
-// request may have run, its server is not blamed, and nothing stays held. What fits
-// arrives, with its length told and without.
-func TestAnswerWithoutRoom(t *testing.T) {
+// TestAnswerExceedsMemory checks how complete answers that exceed the memory account end: the
+// request may have run, its server is not suspected, and all memory is returned. Answers that
+// fit arrive, with and without a known length.
+func TestAnswerExceedsMemory(t *testing.T) {
 	m := caller.NewMemory(4<<20, metrics.NewRegistry())
-	w := newWorld(t, caller.WithMemory(m))
+	w := newTestGateway(t, caller.WithMemory(m))
 	w.install(protocol.PathRoute{Kind: protocol.RouteRepeatable, Attempts: 3})
 	var size int
 	var chunked bool
@@ -38,10 +38,10 @@
 			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 X\r\nId: 7\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", size, text)
 			return
 		}
-		say(c, 200, "", text)
+		writeAnswer(c, 200, "", text)
 	})
 	for _, chunked = range []bool{false, true} {
-		for _, size = range []int{1, answerPiece - 1, answerPiece, answerPiece + 1, 1 << 20} {
+		for _, size = range []int{1, answerBufferBytes - 1, answerBufferBytes, answerBufferBytes + 1, 1 << 20} {
 			if got := w.ask(); got.status != 200 || len(got.body) != size {
 				t.Errorf("%d bytes, chunked %v: %d, %d bytes", size, chunked, got.status, len(got.body))
 			}
@@ -49,26 +49,25 @@
 		b.runs.Store(0)
 		size = 3 << 20
 		if got := w.ask(); got.status != 502 || got.verdict != "may-have-run" || b.runs.Load() != 1 {
-			t.Errorf("chunked %v: beyond the share: %+v after %d runs", chunked, got, b.runs.Load())
+			t.Errorf("chunked %v: above the share: %+v after %d runs", chunked, got, b.runs.Load())
 		}
 		if s := w.g.view.Load().Find("a"); s.Stats.Suspect(clock.Now()) || s.Stats.Outstanding() != 0 {
-			t.Errorf("the server is blamed (%v), or has %d requests", s.Stats.Suspect(clock.Now()), s.Stats.Outstanding())
+			t.Errorf("the server is suspected (%v), or has %d requests", s.Stats.Suspect(clock.Now()), s.Stats.Outstanding())
 		}
 	}
-	// What was given back is counted as the connection ends, which its caller may see
-	// before.
-	for end := time.Now().Add(patience); m.Row().Held != 0; time.Sleep(time.Millisecond) {
+	// Memory is returned when the connection ends, which the caller may see earlier.
+	for end := time.Now().Add(testTimeout); m.Row().Held != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("at rest: %+v", m.Row())
+			t.Fatalf("memory is still held: %+v", m.Row())
 		}
 	}
 }
 
-// TestAnswerOfNoLengthFits checks that an answer without a length, which would fit, does
-// not end for a buffer of twice its size: its request has run.
-func TestAnswerOfNoLengthFits(t *testing.T) {
+// TestAnswerWithoutLengthFits checks that an answer of unknown length that fits does not fail
+// because a buffer of twice its size would not: the request has already run.
+func TestAnswerWithoutLengthFits(t *testing.T) {
 	const bound, size = 24 << 20, 9 << 20
-	w := newWorld(t, caller.WithMemory(caller.NewMemory(bound, metrics.NewRegistry())))
+	w := newTestGateway(t, caller.WithMemory(caller.NewMemory(bound, metrics.NewRegistry())))
 	w.install(protocol.PathRoute{Attempts: 1})
 	w.backend("a", func(c net.Conn, _ *fasthttp.Request) {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 X\r\nId: 7\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", size, strings.Repeat("x", size))
@@ -78,16 +77,16 @@
 	}
 }
 
-// TestBodyWithoutRoom checks that a body for which the workspace has no memory left is
-// refused as not run before any server sees it, and that another workspace's is served.
-func TestBodyWithoutRoom(t *testing.T) {
+// TestBodyExceedsMemory checks that a body that exceeds its workspace's memory is refused as
+// not run before any server sees it, and that another workspace is served.
+func TestBodyExceedsMemory(t *testing.T) {
 	m := caller.NewMemory(4<<20, metrics.NewRegistry())
-	w := newWorld(t, caller.WithMemory(m))
+	w := newTestGateway(t, caller.WithMemory(m))
 	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "one", Keys: []string{"1"}}, protocol.WorkspaceSpec{Name: "two", Keys: []string{"2"}})
-	b := w.backend("a", good)
+	b := w.backend("a", answerOK)
 	hold := memory.Hold{Workspace: "one"}
 	if !m.Take(&hold, memory.Lag, 3<<19).Granted {
-		t.Fatal("nothing was taken")
+		t.Fatal("the memory was not granted")
 	}
 	body := strings.Repeat("x", 1<<20)
 	if got := w.send(body, "Key: 1"); got.status != 503 || got.verdict != "not-run" || got.retry == "" || b.runs.Load() != 0 {
@@ -98,19 +97,21 @@
 	}
 	m.End(&hold)
 	if got := w.send(body, "Key: 1"); got.status != 200 {
-		t.Errorf("with room again got %+v", got)
+		t.Errorf("with memory available again: %+v", got)
 	}
 }
 
-// TestSlowCallerFreesTheServer checks that a server is read to the end of its answer
-// while the caller reads none of it, whole or in pieces: its slot and its connection
-// serve the next request.
-func TestSlowCallerFreesTheServer(t *testing.T) {
-	// A stream fits into the store of its caller; a whole answer need not.
+// TestSlowCallerReleasesServer checks that a server's answer is read to the end although the
+// caller reads nothing, whether it is relayed whole or as a stream: the server's slot and
+// connection then serve the next request.
+func TestSlowCallerReleasesServer(t *testing.T) {
+	// A stream fits into the caller's buffer; a whole answer does not have to.
 	for kind, size := range map[protocol.RouteKind]int{protocol.RouteStream: 200_000, protocol.RouteRepeatable: 600_000} {
-		w := newWorld(t, caller.WithSocket(8<<10))
+		w := newTestGateway(t, caller.WithSocket(8<<10))
 		w.install(protocol.PathRoute{Kind: kind, Attempts: 1})
-		w.backend("a", func(c net.Conn, _ *fasthttp.Request) { say(c, 200, "", strings.Repeat("data: xy\n\n", size/10)) })
+		w.backend("a", func(c net.Conn, _ *fasthttp.Request) {
+			writeAnswer(c, 200, "", strings.Repeat("data: xy\n\n", size/10))
+		})
 		slow, err := net.Dial("tcp", w.address)
 		if err != nil {
 			t.Fatal(err)
@@ -119,7 +120,7 @@
 		_ = slow.(*net.TCPConn).SetReadBuffer(32 << 10)
 		_, _ = io.WriteString(slow, "POST /r/x HTTP/1.1\r\nHost: h\r\nId: 7\r\nContent-Length: 0\r\n\r\n")
 		cell := w.g.view.Load().Find("a").Stats
-		for end := time.Now().Add(patience); w.g.meters.answered.Count() == 0 || cell.Outstanding() > 0; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); w.g.meters.answered.Count() == 0 || cell.Outstanding() > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("route kind %v: the server has %d requests", kind, cell.Outstanding())
 			}
@@ -127,7 +128,7 @@
 		if got := w.ask(); got.status != 200 || w.g.pool.Opens() != 1 {
 			t.Errorf("route kind %v: the next request got %d over %d connections", kind, got.status, w.g.pool.Opens())
 		}
-		_ = slow.SetReadDeadline(time.Now().Add(patience))
+		_ = slow.SetReadDeadline(time.Now().Add(testTimeout))
 		var resp fasthttp.Response
 		if err := resp.Read(bufio.NewReader(slow)); err != nil || len(resp.Body()) != size {
 			t.Errorf("route kind %v: the slow caller got %d bytes, %v", kind, len(resp.Body()), err)
@@ -135,18 +136,18 @@
 	}
 }
 
-// TestBytesAtServers has a server fall over while it has large bodies, and checks that
-// its service's servers get no more than half as many at once from then on, that what
-// cannot be placed is refused as not run, and that small requests go on.
-func TestBytesAtServers(t *testing.T) {
+// TestBodyLimitAfterCrash crashes a server that has large bodies in flight. From then on, the
+// servers of its service must get at most half as many bytes at once, requests that do not
+// fit must be refused as not run, and small requests must be served.
+func TestBodyLimitAfterCrash(t *testing.T) {
 	const size = 2 << 20
-	w := newWorld(t)
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 1})
 	var large atomic.Int64
 	arrived, fall, release := make(chan struct{}, 8), make(chan struct{}), make(chan struct{})
 	serve := func(c net.Conn, req *fasthttp.Request) {
 		if len(req.Body()) < size {
-			good(c, req)
+			answerOK(c, req)
 			return
 		}
 		first := large.Add(1) <= 2
@@ -157,7 +158,7 @@
 			return
 		}
 		<-release
-		good(c, req)
+		answerOK(c, req)
 	}
 	w.backend("a", serve)
 	replies := make(chan reply, 8)
@@ -169,16 +170,16 @@
 		<-arrived
 	}
 	if got := w.g.InFlight()["s"]; got.Limit != 0 || got.Servers["a"] != 2*size {
-		t.Errorf("with two bodies under way: %+v", got)
+		t.Errorf("with two bodies in flight: %+v", got)
 	}
 	close(fall)
 	for range 2 {
 		if got := <-replies; got.status != 502 || got.verdict != "may-have-run" {
-			t.Errorf("the server fell over: %+v", got)
+			t.Errorf("after the server's crash: %+v", got)
 		}
 	}
 	if got := w.g.InFlight()["s"]; got.Limit != size || len(got.Servers) != 0 {
-		t.Errorf("behind the failure: %+v", got)
+		t.Errorf("after the crash: %+v", got)
 	}
 	go send()
 	<-arrived
@@ -190,24 +191,24 @@
 	}
 	close(release)
 	if got := <-replies; got.status != 200 {
-		t.Errorf("the one within the limit: %+v", got)
+		t.Errorf("the request within the limit: %+v", got)
 	}
 }
 
-// TestFailuresThatDoNotFollowBytes checks that a server whose answer is too large, and one
-// that stops as it was told to, teach nothing of the bytes that servers bear.
-func TestFailuresThatDoNotFollowBytes(t *testing.T) {
-	for name, serve := range map[string]func(w *world, c net.Conn){
-		"too large an answer": func(_ *world, c net.Conn) {
-			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 X\r\nId: 7\r\nContent-Length: %d\r\n\r\n", maxAnswer+1)
+// TestFailuresUnrelatedToBodySize checks that an answer that is too large, and a planned stop
+// of a server, do not set a limit of body bytes.
+func TestFailuresUnrelatedToBodySize(t *testing.T) {
+	for name, serve := range map[string]func(w *testGateway, c net.Conn){
+		"answer too large": func(_ *testGateway, c net.Conn) {
+			_, _ = fmt.Fprintf(c, "HTTP/1.1 200 X\r\nId: 7\r\nContent-Length: %d\r\n\r\n", maxAnswerBytes+1)
 		},
-		"planned stop": func(w *world, c net.Conn) {
+		"planned stop": func(w *testGateway, c net.Conn) {
 			w.servers[0].Leaving = true
 			w.g.SetServers(w.servers)
 			_ = c.Close()
 		},
 	} {
-		w := newWorld(t)
+		w := newTestGateway(t)
 		w.install(protocol.PathRoute{Attempts: 1})
 		w.backend("a", func(c net.Conn, _ *fasthttp.Request) { serve(w, c) })
 		if got := w.send(strings.Repeat("x", 2<<20)); got.status != 502 || got.verdict != "may-have-run" {
@@ -219,13 +220,13 @@
 	}
 }
 
-// TestFellOver checks which errors say that a server's process ended.
-func TestFellOver(t *testing.T) {
+// TestIsCrashAfterLargeBody checks which errors mean that a server's process terminated.
+func TestIsCrashAfterLargeBody(t *testing.T) {
 	for err, want := range map[error]bool{
 		io.ErrUnexpectedEOF:    true,
 		syscall.ECONNRESET:     true,
 		backend.ErrStalled:     true,
-		syscall.ETIMEDOUT:      false, // Its machine is silent, or the way to it.
+		syscall.ETIMEDOUT:      false, // The machine or the network path does not respond.
 		os.ErrDeadlineExceeded: false,
 		errTooLarge:            false,
 	} {
@@ -236,16 +237,16 @@
 }
 
 // TestTooManyConnections checks that a request for which no connection may be opened is
-// refused as not run, and that its server is not blamed.
+// refused as not run, and that its server is not suspected.
 func TestTooManyConnections(t *testing.T) {
-	w := newWorld(t)
-	w.g.pool = backend.NewPool(patience, backend.WithConnections(1))
+	w := newTestGateway(t)
+	w.g.pool = backend.NewPool(testTimeout, backend.WithConnections(1))
 	w.install(protocol.PathRoute{Attempts: 2})
 	arrived, release := make(chan struct{}), make(chan struct{})
 	w.backend("a", func(c net.Conn, req *fasthttp.Request) {
 		close(arrived)
 		<-release
-		good(c, req)
+		answerOK(c, req)
 	})
 	first := make(chan reply, 1)
 	go func() { first <- w.ask() }()
@@ -254,7 +255,7 @@
 		t.Errorf("got %+v", got)
 	}
 	if w.g.view.Load().Find("a").Stats.Suspect(clock.Now()) {
-		t.Error("the server is blamed")
+		t.Error("the server is suspected")
 	}
 	close(release)
 	if got := <-first; got.status != 200 {
@@ -262,12 +263,13 @@
 	}
 }
 
-// TestUnreadAnswerIsNotCutOff has a server cut off what is left unread for a moment, and a
-// caller who reads nothing for longer: it still gets the whole answer.
+// TestUnreadAnswerIsNotCutOff uses a server that drops an answer if its writes block for too
+// long, and a caller that reads nothing for longer than that. The caller must still get the
+// whole answer.
 func TestUnreadAnswerIsNotCutOff(t *testing.T) {
 	const size, unread = 250_000, 2 * time.Second
-	w := newWorld(t, caller.WithSocket(8<<10))
-	w.g.pool = backend.NewPool(patience, backend.WithSocket(32<<10))
+	w := newTestGateway(t, caller.WithSocket(8<<10))
+	w.g.pool = backend.NewPool(testTimeout, backend.WithSocket(32<<10))
 	w.install(protocol.PathRoute{Kind: protocol.RouteStream, Attempts: 1})
 	written := make(chan error, 1)
 	w.backend("a", func(c net.Conn, _ *fasthttp.Request) {
@@ -289,10 +291,10 @@
 	defer slow.Close()
 	_ = slow.(*net.TCPConn).SetReadBuffer(16 << 10)
 	_, _ = io.WriteString(slow, "POST /r/x HTTP/1.1\r\nHost: h\r\nId: 7\r\nContent-Length: 0\r\n\r\n")
-	if err := <-written; err != nil { // Nothing is read before the server is done.
+	if err := <-written; err != nil { // Nothing is read before the server has finished.
 		t.Fatalf("the server cut the answer off: %v", err)
 	}
-	_ = slow.SetReadDeadline(time.Now().Add(patience))
+	_ = slow.SetReadDeadline(time.Now().Add(testTimeout))
 	var resp fasthttp.Response
 	if err := resp.Read(bufio.NewReader(slow)); err != nil || len(resp.Body()) != size {
 		t.Errorf("the caller got %d bytes, %v", len(resp.Body()), err)
--- a/transport/forward/says_move_test.go
+++ b/transport/forward/says_move_test.go
@@ -7,25 +7,25 @@
 	"github.com/weldstream/weldstream/internal/clock"
 )
 
-// rest has a server ask the gateway for rest.
-func (w *world) rest(server string, d time.Duration) {
-	w.g.words.mu.Lock()
-	defer w.g.words.mu.Unlock()
-	w.g.words.rests.Add(server, d, clock.Now())
+// setRest makes a server ask the gateway for backoff.
+func (w *testGateway) setRest(server string, d time.Duration) {
+	w.g.feedback.mu.Lock()
+	defer w.g.feedback.mu.Unlock()
+	w.g.feedback.backoffs.Add(server, d, clock.Now())
 }
 
-// TestRunsAreMovedToWillingServers checks that a run is not moved to a server that rests: it
-// ends at its own.
-func TestRunsAreMovedToWillingServers(t *testing.T) {
+// TestRunIsNotMovedToRestingServer checks that a run is not moved to a server that asked for
+// backoff, and ends at its own server.
+func TestRunIsNotMovedToRestingServer(t *testing.T) {
 	f := newFakeEngines(t, moveFaults{stop: 200, target: 200}, "a", "b")
 	f.w.installMoves(false)
 	f.onLeave = func() {
 		for _, s := range f.w.servers {
 			if s.Address != f.source {
-				f.w.rest(s.ID, patience)
+				f.w.setRest(s.ID, testTimeout)
 			}
 		}
-		time.AfterFunc(5*moveTick, func() { close(f.finished) })
+		time.AfterFunc(5*moveInterval, func() { close(f.finished) })
 	}
 	if got := f.w.ask(); got.status != 200 || got.broken {
 		t.Fatalf("got %+v", got)
@@ -33,14 +33,14 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.copied != 0 || len(f.starts) != 1 {
-		t.Errorf("%d copies were asked for, and %q ran", f.copied, f.starts)
+		t.Errorf("%d copies were requested, and %q ran", f.copied, f.starts)
 	}
 }
 
-// TestRestingSourceIsNotCalled checks that a run is not moved off a server while that wants
-// nothing from the gateway, and is moved once it does.
-func TestRestingSourceIsNotCalled(t *testing.T) {
-	const rest = 200 * time.Millisecond // The move begins well before the server is taken for gone.
+// TestRunIsNotMovedOffRestingServer checks that a run is not moved while its server wants no
+// requests from the gateway, and is moved afterwards.
+func TestRunIsNotMovedOffRestingServer(t *testing.T) {
+	const rest = 200 * time.Millisecond // The move starts well before the server is considered gone.
 	f := newFakeEngines(t, moveFaults{stop: 200, target: 200}, "a", "b")
 	f.w.installMoves(false)
 	var asked time.Time
@@ -48,7 +48,7 @@
 		for _, s := range f.w.servers {
 			if s.Address == f.source {
 				asked = time.Now()
-				f.w.rest(s.ID, rest)
+				f.w.setRest(s.ID, rest)
 			}
 		}
 	}
@@ -56,6 +56,6 @@
 		t.Fatalf("got %+v", got)
 	}
 	if took := time.Since(asked); took < rest {
-		t.Errorf("the run was moved and ended %v behind the wish for %v of rest", took, rest)
+		t.Errorf("the run was moved and ended %v after the request for %v of backoff", took, rest)
 	}
 }
--- a/transport/forward/says_test.go
+++ b/transport/forward/says_test.go
@@ -13,62 +13,63 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// restingOnce turns the first request away and asks for rest, and answers well from then on.
-func restingOnce(seconds string) func(net.Conn, *fasthttp.Request) {
+// restOnce returns a server that refuses its first request, asks for backoff, and answers all
+// later requests.
+func restOnce(seconds string) func(net.Conn, *fasthttp.Request) {
 	var turned atomic.Bool
 	return func(c net.Conn, req *fasthttp.Request) {
 		if !turned.Swap(true) {
-			say(c, 503, "Not-Run: 1\r\nRest: "+seconds+"\r\n", "")
+			writeAnswer(c, 503, "Not-Run: 1\r\nRest: "+seconds+"\r\n", "")
 			return
 		}
-		good(c, req)
+		answerOK(c, req)
 	}
 }
 
-// TestRestIsKept checks that a server which asked for rest gets nothing before its end, that
-// it is not distrusted for it, and that it gets requests again behind it.
-func TestRestIsKept(t *testing.T) {
+// TestRestIsHonored checks that a server that asked for backoff gets no requests until its
+// end, is not suspected because of it, and gets requests again afterwards.
+func TestRestIsHonored(t *testing.T) {
 	const rest = time.Second
-	w := newWorld(t)
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 2})
-	tired := w.backend("tired", restingOnce("1"))
-	w.backend("other", good)
+	tired := w.backend("tired", restOnce("1"))
+	w.backend("other", answerOK)
 	for tired.runs.Load() == 0 {
 		if got := w.ask(); got.status != 200 {
 			t.Fatalf("got %+v", got)
 		}
 	}
 	if w.g.view.Load().Find("tired").Stats.Suspect(clock.Now()) {
-		t.Error("the server is distrusted")
+		t.Error("the server is suspected")
 	}
 	asked := time.Now()
 	for tired.runs.Load() == 1 {
-		if time.Since(asked) > patience {
-			t.Fatal("no request came behind the rest")
+		if time.Since(asked) > testTimeout {
+			t.Fatal("no request arrived after the backoff")
 		}
 		if got := w.ask(); got.status != 200 {
 			t.Fatalf("got %+v", got)
 		}
 	}
 	if d := time.Since(asked); d < rest*9/10 {
-		t.Errorf("a request came %v behind the wish for %v of rest", d, rest)
+		t.Errorf("a request arrived %v after the request for %v of backoff", d, rest)
 	}
 }
 
 // TestAllServersRest checks that a request is refused at once as not run while all servers
-// rest, with a time at which one takes it.
+// ask for backoff, with a retry delay after which one accepts it.
 func TestAllServersRest(t *testing.T) {
-	w := newWorld(t)
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 2})
-	a, b := w.backend("a", restingOnce("3")), w.backend("b", restingOnce("5"))
-	w.ask() // Both turn it away.
+	a, b := w.backend("a", restOnce("3")), w.backend("b", restOnce("5"))
+	w.ask() // Both servers refuse it.
 	if a.runs.Load() != 1 || b.runs.Load() != 1 {
-		t.Fatalf("%d and %d requests came", a.runs.Load(), b.runs.Load())
+		t.Fatalf("received %d and %d requests", a.runs.Load(), b.runs.Load())
 	}
 	began := time.Now()
 	got := w.ask()
 	if took := time.Since(began); took > 2*time.Second {
-		t.Errorf("the refusal took %v, as long as the servers rest", took)
+		t.Errorf("the refusal took %v, as long as the servers' backoff", took)
 	}
 	wait, _ := strconv.ParseFloat(got.retry, 64)
 	if got.status != 503 || got.verdict != "not-run" || wait < 0.5 {
@@ -76,24 +77,24 @@
 	}
 	time.Sleep(time.Duration(wait * float64(time.Second)))
 	if got := w.ask(); got.status != 200 {
-		t.Errorf("behind the time that it was told: %+v", got)
+		t.Errorf("after the retry delay: %+v", got)
 	}
 }
 
-// TestServerSaysItLeaves checks that a server which says in an answer that it leaves gets
-// nothing more, also no brief request while the others are full, and that no list takes
-// that back for the same start of it.
-func TestServerSaysItLeaves(t *testing.T) {
-	w := newWorld(t)
+// TestDepartureInAnswer checks that a server that announces its departure in an answer gets
+// no more requests, not even short ones while all others are full, and that no later list
+// reverts this for the same incarnation.
+func TestDepartureInAnswer(t *testing.T) {
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Kind: protocol.RouteRepeatable, Attempts: 1})
-	leaver := w.backend("leaver@1", func(c net.Conn, _ *fasthttp.Request) { say(c, 200, "Leaving: 1\r\n", "fine") })
-	w.backend("other@1", good)
+	leaver := w.backend("leaver@1", func(c net.Conn, _ *fasthttp.Request) { writeAnswer(c, 200, "Leaving: 1\r\n", "fine") })
+	w.backend("other@1", answerOK)
 	for leaver.runs.Load() == 0 {
 		w.ask()
 	}
 	other := w.g.view.Load().Find("other@1")
 	for range 100 {
-		other.Stats.RequestStarted() // It has more to do than it does at once.
+		other.Stats.RequestStarted() // The server has more requests than it runs at once.
 	}
 	ask := func(when string) {
 		t.Helper()
@@ -103,7 +104,7 @@
 			}
 		}
 		if n := leaver.runs.Load(); n != 1 {
-			t.Errorf("%s: %d requests came to it", when, n)
+			t.Errorf("%s: it received %d requests", when, n)
 		}
 	}
 	ask("at once")
@@ -122,22 +123,22 @@
 	ask("listed again")
 }
 
-// TestUnreadIsLoggedOnce checks that what a server says of itself and cannot be read is logged
-// once for each start, and anew behind a list that no longer had the server.
-func TestUnreadIsLoggedOnce(t *testing.T) {
-	w := newWorld(t)
-	w.backend("a", good)
-	words := &w.g.words
+// TestUnparsedFeedbackIsLoggedOnce checks that unparsable feedback is logged once for each
+// incarnation of a server, and again after a list without the server.
+func TestUnparsedFeedbackIsLoggedOnce(t *testing.T) {
+	w := newTestGateway(t)
+	w.backend("a", answerOK)
+	feedback := &w.g.feedback
 	for _, c := range []struct {
 		server string
 		want   bool
 	}{{"a", true}, {"a", false}, {"b", true}, {"a", false}} {
-		if got := words.firstUnread(c.server); got != c.want {
+		if got := feedback.firstUnparsed(c.server); got != c.want {
 			t.Errorf("server %s: logged %v, want %v", c.server, got, c.want)
 		}
 	}
-	words.keep(w.g.view.Load(), time.Now()) // Server a is listed.
-	if words.firstUnread("a") || !words.firstUnread("b") {
-		t.Error("what was logged is not kept for the listed servers alone")
+	feedback.prune(w.g.view.Load(), time.Now()) // Server a is listed.
+	if feedback.firstUnparsed("a") || !feedback.firstUnparsed("b") {
+		t.Error("prune did not keep exactly the listed servers")
 	}
 }
--- a/transport/forward/stream.go
+++ b/transport/forward/stream.go
@@ -11,22 +11,22 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// pieceBytes, in bytes, is the most that is read of a stream at a time: several events.
-const pieceBytes = 4 << 10
+// streamReadBytes is the size of the largest read from a stream: several events.
+const streamReadBytes = 4 << 10
 
-// stream relays events as they arrive. The head waits for the first of them, so
-// that a stream that ends before can still become a refusal.
-func (t *try) stream(stop func() bool) *protocol.Refusal {
+// relayStream relays events as they arrive. The head is written with the first of them, so
+// that a stream that ends before that can still become a refusal.
+func (t *serverAttempt) relayStream(stop func() bool) *protocol.Refusal {
 	x := t.x
 	body, err := t.conn.Body(x.resp)
 	if err != nil {
-		return t.lost(err)
+		return t.answerLost(err)
 	}
-	buf := make([]byte, pieceBytes)
+	buf := make([]byte, streamReadBytes)
 	for {
 		n, err := body.Read(buf)
-		if whole := x.events.take(buf[:n]); len(whole) > 0 {
-			if refusal := t.relay(whole); refusal != nil {
+		if whole := x.events.append(buf[:n]); len(whole) > 0 {
+			if refusal := t.relayEvents(whole); refusal != nil {
 				return refusal
 			}
 		}
@@ -34,81 +34,82 @@
 			return t.streamEnded(stop)
 		}
 		if err != nil {
-			return t.streamBroke(err)
+			return t.streamBroken(err)
 		}
 	}
 }
 
-// relay passes whole events on.
-func (t *try) relay(whole []byte) *protocol.Refusal {
+// relayEvents passes complete events on to the caller.
+func (t *serverAttempt) relayEvents(whole []byte) *protocol.Refusal {
 	x := t.x
-	t.hasRead()
-	if x.events.bare {
-		t.untrack() // It is not moved.
+	t.markPrefillDone()
+	if x.events.withoutID {
+		t.untrack() // A stream without event IDs is not moved.
 	}
-	if err := x.head(); err != nil {
+	if err := x.writeHead(); err != nil {
 		t.conn.Close()
 		return callerGone().WithVerdict(protocol.MayHaveRun)
 	}
 	now := time.Now()
-	t.eventsCame(now)
-	if !x.pieceAt.IsZero() {
-		x.gap = max(x.gap, now.Sub(x.pieceAt))
+	t.recordEvents(now)
+	if !x.eventsAt.IsZero() {
+		x.maxGap = max(x.maxGap, now.Sub(x.eventsAt))
 	}
-	x.pieceAt = now
+	x.eventsAt = now
 	if err := x.answer.Piece(whole); err != nil {
-		t.observe(t.times(now))
+		t.observe(t.answerTimes(now))
 		t.conn.Close()
 		return callerGone().WithVerdict(protocol.MayHaveRun)
 	}
 	return nil
 }
 
-// head writes the head of the answer once: that of the first server.
-func (x *exchange) head() error {
-	if x.headed {
+// writeHead writes the head of the answer once, taken from the first server's answer.
+func (x *exchange) writeHead() error {
+	if x.headWritten {
 		return nil
 	}
-	x.headed = true
-	x.first = clock.Since(x.start)
-	x.g.begun(x.service, clock.Since(x.start), x.route.Target)
+	x.headWritten = true
+	x.firstByte = clock.Since(x.start)
+	x.g.recordAnswerStart(x.service, clock.Since(x.start), x.route.Target)
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
 	x.g.dialect.Answer(resp, x.resp)
 	return x.answer.Head(resp)
 }
 
-// streamEnded ends the answer: the server said that it is whole.
-func (t *try) streamEnded(stop func() bool) *protocol.Refusal {
+// streamEnded ends the answer after the server ended its stream properly.
+func (t *serverAttempt) streamEnded(stop func() bool) *protocol.Refusal {
 	x := t.x
-	if len(x.events.rest) > 0 {
-		// The server ended in the middle of an event, and called it whole.
-		if refusal := t.relay(x.events.rest); refusal != nil {
+	if len(x.events.partial) > 0 {
+		// The server ended its stream properly in the middle of an event.
+		if refusal := t.relayEvents(x.events.partial); refusal != nil {
 			return refusal
 		}
 	}
 	t.x.trust(t.server)
-	t.observe(t.times(time.Now()))
-	t.finish(true, stop)
-	x.endedWell()
-	if err := x.head(); err != nil {
+	t.observe(t.answerTimes(time.Now()))
+	t.closeOrReuse(true, stop)
+	x.recordSuccess()
+	if err := x.writeHead(); err != nil {
 		return callerGone().WithVerdict(protocol.MayHaveRun)
 	}
-	x.note()
+	x.recordAnswered()
 	if err := x.answer.End(); err != nil {
 		x.log.Info().Err(err).Msg("answer not taken")
 	}
 	return nil
 }
 
-// streamBroke goes on elsewhere behind the last whole event, if the route allows.
-func (t *try) streamBroke(err error) *protocol.Refusal {
+// streamBroken continues at another server after the last complete event, if the route allows
+// it.
+func (t *serverAttempt) streamBroken(err error) *protocol.Refusal {
 	x := t.x
-	x.events.rest = x.events.rest[:0]
-	if t.continuesElsewhere() {
+	x.events.partial = x.events.partial[:0]
+	if t.startContinuation() {
 		t.conn.Close()
-		return errAgain
+		return errRetry
 	}
-	x.g.meters.broken.Inc(1)
-	return t.lost(err)
+	x.g.meters.brokenStreams.Inc(1)
+	return t.answerLost(err)
 }
--- a/transport/forward/stream_test.go
+++ b/transport/forward/stream_test.go
@@ -15,8 +15,8 @@
 	"github.com/weldstream/weldstream/transport/caller"
 )
 
-// BenchmarkStream tells what an event costs from a server through a gateway to its
-// caller, one at a time: each is sent when the one before has arrived.
+// BenchmarkStream measures the cost of relaying one event from a server through a gateway to
+// its caller. Each event is sent after the previous one has arrived.
 func BenchmarkStream(b *testing.B) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,7 +40,7 @@
 			_, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(event), event)
 		}
 	}()
-	g := New(Config{Name: "g", Domain: "a", KeyRevocationBound: time.Hour, RetryWindow: time.Second, UsageWindow: time.Second, UsageReportDelay: time.Second}, plain{})
+	g := New(Config{Name: "g", Domain: "a", KeyRevocationBound: time.Hour, RetryWindow: time.Second, UsageWindow: time.Second, UsageReportDelay: time.Second}, testDialect{})
 	g.Confirm(clock.Now(), 1)
 	g.SetServers([]protocol.Instance{{ID: "a", Service: "s", Address: server.Addr().String(), Domain: "a", Slots: 4}})
 	g.Install(&protocol.Catalog{Number: 1, Services: []protocol.ServiceSpec{{Name: "s"}}, Routes: []protocol.PathRoute{{
--- a/transport/forward/suspend_test.go
+++ b/transport/forward/suspend_test.go
@@ -13,38 +13,38 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// suspend has the machine be suspended for a time: the steady clock does not count it.
+// suspend simulates a suspension of the machine, which the steady clock does not count.
 func suspend(t *testing.T, d time.Duration) {
 	t.Helper()
 	clock.Skip(d)
 	t.Cleanup(func() { clock.Skip(-d) })
 }
 
-// TestSuspendedGatewayTrustsNoKey checks that a gateway which was suspended for longer than
-// a key that was taken away may be used refuses keys until it hears from the leader.
+// TestSuspendedGatewayTrustsNoKey checks that a gateway that was suspended for longer than
+// the revocation bound refuses keys until it hears from the leader.
 func TestSuspendedGatewayTrustsNoKey(t *testing.T) {
-	w := newWorld(t)
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}})
-	w.backend("a", good)
+	w.backend("a", answerOK)
 	if got := w.ask("Key: k", "Remaining: 100"); got.status != 200 {
 		t.Fatalf("got %+v", got)
 	}
 	suspend(t, w.g.cfg.KeyRevocationBound)
 	if got := w.ask("Key: k", "Remaining: 100"); got.status != 503 || got.verdict != "not-run" {
-		t.Errorf("behind a suspension got %+v", got)
+		t.Errorf("after a suspension: %+v", got)
 	}
 	w.g.Confirm(clock.Now(), 1)
 	if got := w.ask("Key: k", "Remaining: 100"); got.status != 200 {
-		t.Errorf("confirmed again got %+v", got)
+		t.Errorf("after another confirmation: %+v", got)
 	}
 }
 
-// TestSuspendedRequestHasLessLeft checks that the second server of a request that was under
-// way during a suspension is told what is left of its caller's time.
+// TestSuspendedRequestHasLessLeft checks that the second server of a request that was in
+// progress during a suspension is told the caller's actual remaining time.
 func TestSuspendedRequestHasLessLeft(t *testing.T) {
-	w := newWorld(t)
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 2, Kind: protocol.RouteRepeatable})
-	var sent, left atomic.Int64
+	var sent, remaining atomic.Int64
 	serve := func(c net.Conn, req *fasthttp.Request) {
 		if sent.Add(1) == 1 {
 			suspend(t, 6*time.Second)
@@ -52,23 +52,23 @@
 			return
 		}
 		ms, _ := strconv.Atoi(string(req.Header.Peek("Remaining")))
-		left.Store(int64(ms))
-		good(c, req)
+		remaining.Store(int64(ms))
+		answerOK(c, req)
 	}
 	w.backend("a", serve)
 	w.backend("b", serve)
 	got := w.ask("Remaining: 9000")
-	if got.status != 200 || left.Load() <= 0 || left.Load() > 3000 {
-		t.Errorf("got %+v; the second server was told %d ms", got, left.Load())
+	if got.status != 200 || remaining.Load() <= 0 || remaining.Load() > 3000 {
+		t.Errorf("got %+v; the second server was told %d ms", got, remaining.Load())
 	}
 }
 
-// TestSuspendedQuotaExpires checks that a part of a quota is not used up behind a suspension
-// that it does not outlast.
+// TestSuspendedQuotaExpires checks that granted quota that expired during a suspension is not
+// used.
 func TestSuspendedQuotaExpires(t *testing.T) {
-	w := newWorld(t)
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 1}, protocol.WorkspaceSpec{Name: "w", Keys: []string{"k"}, Rate: 1})
-	w.backend("a", good)
+	w.backend("a", answerOK)
 	m := w.g.Report(1)
 	m.Wants = []protocol.QuotaRequest{{Workspace: "w", Units: 5}}
 	reply := &protocol.SyncReply{Term: 1, Grants: []protocol.QuotaGrant{{Workspace: "w", Units: 5, Lasts: 10 * time.Second}}}
@@ -79,23 +79,23 @@
 	suspend(t, 20*time.Second)
 	w.ask("Key: k")
 	if wants := w.g.Report(1).Wants; len(wants) != 1 || wants[0].Back < 4 {
-		t.Errorf("behind a suspension it gives back %+v", wants)
+		t.Errorf("after a suspension, returned %+v", wants)
 	}
 }
 
-// TestSuspendedLeavingServerGetsNothing checks that a server which was about to leave when
-// the gateway was suspended is taken to have left.
+// TestSuspendedLeavingServerGetsNothing checks that a server that was about to leave when the
+// gateway was suspended counts as gone.
 func TestSuspendedLeavingServerGetsNothing(t *testing.T) {
-	w := newWorld(t)
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 1, Kind: protocol.RouteRepeatable})
-	b := w.backend("a", good)
+	b := w.backend("a", answerOK)
 	w.servers[0].Leaving, w.servers[0].LeftMS = true, 5000
 	w.g.SetServers(w.servers)
 	if got := w.ask(); got.status != 200 {
-		t.Fatalf("a brief request to the last server: %+v", got)
+		t.Fatalf("a short request to the last server: %+v", got)
 	}
 	suspend(t, time.Minute)
 	if got := w.ask(); got.status != 503 || b.runs.Load() != 1 {
-		t.Errorf("behind a suspension got %+v after %d runs", got, b.runs.Load())
+		t.Errorf("after a suspension: %+v after %d runs", got, b.runs.Load())
 	}
 }
--- a/transport/forward/trial.go
+++ b/transport/forward/trial.go
@@ -8,29 +8,29 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// trial is a roll-out that runs, as this gateway takes part in it.
+// trial is a running rollout as seen by this gateway.
 type trial struct {
-	record  protocol.Rollout
-	share   float64 // share is the part of the requests that the trial takes, as the leader told last.
-	credits rollout.Credits
-	arrived int64 // arrived are the service's requests that were sent to a server.
-	tried   int64 // tried are sends to the new version.
-	told    int64 // told is arrived as it was in the report before.
-	rows    map[evidenceKey]*evidence
+	record          protocol.Rollout
+	share           float64 // share is the fraction of requests assigned to the trial, according to the leader's last answer.
+	credits         rollout.Credits
+	arrived         int64 // arrived counts the service's requests that were sent to a server.
+	sentToNew       int64 // sentToNew counts the attempts sent to the new version.
+	reportedArrived int64 // reportedArrived is the value of arrived in the previous report.
+	rows            map[evidenceKey]*evidence
 }
 
-// evidenceKey names one row of a report.
+// evidenceKey identifies one row of a report.
 type evidenceKey struct {
 	route  string
-	server string // server is empty for those of the former versions.
+	server string // server is empty for the former versions.
 	isNew  bool
 }
 
-// evidence are the answers of one row, and how many of them the leader has.
+// evidence holds the answers of one row, and how many of them the leader has.
 type evidence struct {
-	answers protocol.AnswerCounts
-	taken   int64
-	term    uint64 // term is of the leader that has them.
+	answers      protocol.AnswerCounts
+	acknowledged int64
+	term         uint64 // term is the term of the leader that has them.
 }
 
 func newTrial(r protocol.Rollout) *trial {
@@ -38,64 +38,65 @@
 }
 
 const (
-	// wantMost are the most credits that a gateway asks for ahead of its requests, and
-	// wantPart how many of those of the last report: about as many requests come until the
-	// next one.
-	wantMost = 16
-	wantPart = 0.5
+	// maxCreditsWanted bounds the credits that a gateway requests in advance, and
+	// creditsWantedFraction is their number relative to the requests since the last report:
+	// about as many requests are expected until the next one.
+	maxCreditsWanted      = 16
+	creditsWantedFraction = 0.5
 )
 
-// wants returns how many credits the gateway can use until the next answer.
-func (t *trial) wants(now time.Time) int {
-	if t.arrived == t.told {
+// creditsWanted returns how many more credits the gateway can use until the next answer.
+func (t *trial) creditsWanted(now time.Time) int {
+	if t.arrived == t.reportedArrived {
 		return 0
 	}
-	want := min(wantMost, 1+int(wantPart*float64(t.arrived-t.told)))
+	want := min(maxCreditsWanted, 1+int(creditsWantedFraction*float64(t.arrived-t.reportedArrived)))
 	return max(0, want-int(t.credits.Available(now)))
 }
 
-// report returns what the leader of a term lacks.
+// report returns the rows that the leader of a term lacks.
 func (t *trial) report(term uint64, now time.Time) protocol.TrialReport {
-	m := protocol.TrialReport{Number: t.record.Number, Held: t.record.Stage, Arrived: t.arrived, Tried: t.tried, Wants: t.wants(now)}
-	t.told = t.arrived
+	m := protocol.TrialReport{Number: t.record.Number, Held: t.record.Stage, Arrived: t.arrived, Tried: t.sentToNew, Wants: t.creditsWanted(now)}
+	t.reportedArrived = t.arrived
 	for key, row := range t.rows {
-		if row.term != term || row.taken != row.answers.Good+row.answers.Bad {
+		if row.term != term || row.acknowledged != row.answers.Good+row.answers.Bad {
 			m.Rows = append(m.Rows, protocol.EvidenceRow{Route: key.route, New: key.isNew, Server: key.server, Answers: copyAnswers(row.answers)})
 		}
 	}
 	return m
 }
 
-// copyAnswers returns a copy that later answers do not change.
+// copyAnswers returns a copy that is not affected by later answers.
 func copyAnswers(a protocol.AnswerCounts) protocol.AnswerCounts {
 	a.First = append([]int64(nil), a.First...)
 	a.Pace = append([]int64(nil), a.Pace...)
 	return a
 }
 
-// reported notes that the leader of a term has a report.
-func (t *trial) reported(term uint64, m *protocol.TrialReport) {
+// acknowledge records that the leader of a term received a report.
+func (t *trial) acknowledge(term uint64, m *protocol.TrialReport) {
 	for i := range m.Rows {
 		r := &m.Rows[i]
 		if row := t.rows[evidenceKey{route: r.Route, server: r.Server, isNew: r.New}]; row != nil {
-			row.term, row.taken = term, r.Answers.Good+r.Answers.Bad
+			row.term, row.acknowledged = term, r.Answers.Good+r.Answers.Bad
 		}
 	}
 }
 
-// SetRollouts takes the leader's answer on roll-outs to a question that was sent at a
-// time. A state older than the one that is kept to changes nothing.
+// SetRollouts applies the rollout part of the leader's answer to a sync sent at the given
+// time. A state older than the current one changes nothing.
 func (g *Gateway) SetRollouts(reply *protocol.SyncReply, asked time.Time) {
-	if !g.takeRollouts(reply, asked) {
+	if !g.applyRollouts(reply, asked) {
 		return
 	}
-	g.listing.Lock()
-	defer g.listing.Unlock()
-	g.renewView()
+	g.viewMu.Lock()
+	defer g.viewMu.Unlock()
+	g.rebuildView()
 }
 
-// takeRollouts reports whether the versions that get requests may have changed.
-func (g *Gateway) takeRollouts(reply *protocol.SyncReply, asked time.Time) bool {
+// applyRollouts applies the answer, and reports whether the versions that receive requests
+// may have changed.
+func (g *Gateway) applyRollouts(reply *protocol.SyncReply, asked time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, grant := range reply.Trials {
@@ -106,10 +107,10 @@
 			}
 		}
 	}
-	if reply.Changes <= g.rolled {
+	if reply.Changes <= g.rolloutChange {
 		return false
 	}
-	g.rolled, g.rollouts = reply.Changes, reply.Rollouts
+	g.rolloutChange, g.rollouts = reply.Changes, reply.Rollouts
 	trials := map[string]*trial{}
 	for _, r := range reply.Rollouts {
 		before := g.trials[r.Service]
@@ -129,11 +130,11 @@
 	return true
 }
 
-// chooseTrial returns a server of a version on trial if the request is to go to one,
-// and takes the credit for it.
+// chooseTrial returns a server of the version on trial if the request is to go to one, and
+// spends a credit for it.
 func (x *exchange) chooseTrial(view *place.View, m place.ChooseMsg) *place.Server {
 	g := x.g
-	x.credited = false
+	x.trialCredited = false
 	g.mu.Lock()
 	t := g.trials[x.service]
 	spend := t != nil && t.record.Stage == protocol.RolloutTrial && t.credits.Spend(m.Now)
@@ -148,7 +149,7 @@
 	}
 	canaries := func(ready int) int { return rollout.CanaryCount(ready, share) }
 	if i, ok := place.ChooseTrial(view, place.TrialMsg{ChooseMsg: m, Number: number, Canaries: canaries}); ok {
-		x.credited = true
+		x.trialCredited = true
 		return &view.Servers[i]
 	}
 	g.mu.Lock()
@@ -157,12 +158,12 @@
 	return nil
 }
 
-// creditBack gives back the credit for a trial that is not sent.
-func (x *exchange) creditBack() {
-	if !x.credited {
+// refundTrialCredit returns the credit for a trial request that is not sent.
+func (x *exchange) refundTrialCredit() {
+	if !x.trialCredited {
 		return
 	}
-	x.credited = false
+	x.trialCredited = false
 	x.g.mu.Lock()
 	defer x.g.mu.Unlock()
 	if t := x.g.trials[x.service]; t != nil {
@@ -170,25 +171,25 @@
 	}
 }
 
-// sentTo counts a request that is sent to a server, for the roll-out of its service.
-func (x *exchange) sentTo(s *place.Server) {
+// countTrialSend counts a request sent to a server for the rollout of its service.
+func (x *exchange) countTrialSend(s *place.Server) {
 	g := x.g
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	t := g.trials[x.service]
 	if t == nil || x.continuation != nil {
-		return // A moved run is the same run.
+		return // A moved run is still the same run.
 	}
 	if x.state.Sent == 0 && x.state.FailedConnects == 0 {
 		t.arrived++
 	}
 	if s.Version == t.record.Version {
-		t.tried++
+		t.sentToNew++
 	}
 }
 
-// observe counts how an answer of a server went, for the roll-out of its service.
-func (t *try) observe(a rollout.Answer) {
+// observe records the outcome of a server's answer for the rollout of its service.
+func (t *serverAttempt) observe(a rollout.Answer) {
 	g := t.x.g
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -209,34 +210,34 @@
 	rollout.RecordAnswer(&row.answers, a)
 }
 
-// eventsCame notes that events came.
-func (t *try) eventsCame(now time.Time) {
-	if t.first.IsZero() {
-		t.first = now
+// recordEvents records the arrival of events.
+func (t *serverAttempt) recordEvents(now time.Time) {
+	if t.firstEventAt.IsZero() {
+		t.firstEventAt = now
 	}
-	t.last = now
-	t.pieces++
+	t.lastEventAt = now
+	t.eventReads++
 }
 
-// times returns how long the server took to begin its answer, and between its events.
-func (t *try) times(now time.Time) rollout.Answer {
-	a := rollout.Answer{FirstEvent: now.Sub(t.began)}
-	if !t.first.IsZero() {
-		a.FirstEvent = t.first.Sub(t.began)
+// answerTimes returns the server's time to first event and the interval between its events.
+func (t *serverAttempt) answerTimes(now time.Time) rollout.Answer {
+	a := rollout.Answer{FirstEvent: now.Sub(t.sentAt)}
+	if !t.firstEventAt.IsZero() {
+		a.FirstEvent = t.firstEventAt.Sub(t.sentAt)
 	}
-	if t.pieces > 1 {
-		a.EventInterval = t.last.Sub(t.first) / time.Duration(t.pieces-1)
+	if t.eventReads > 1 {
+		a.EventInterval = t.lastEventAt.Sub(t.firstEventAt) / time.Duration(t.eventReads-1)
 	}
 	return a
 }
 
-// failedAnswer counts an answer that failed.
-func (t *try) failedAnswer() { t.observe(rollout.Answer{Failed: true}) }
+// observeFailure records a failed answer.
+func (t *serverAttempt) observeFailure() { t.observe(rollout.Answer{Failed: true}) }
 
-// callerLeft counts an answer that its caller did not wait for: behind the target it took
-// as long at the least.
-func (t *try) callerLeft(now time.Time) {
-	if t.first.IsZero() && now.Sub(t.began) > t.x.route.Target {
-		t.observe(t.times(now))
+// observeCallerGone records an answer whose caller disconnected. It counts only after the
+// target latency: the answer then took at least that long.
+func (t *serverAttempt) observeCallerGone(now time.Time) {
+	if t.firstEventAt.IsZero() && now.Sub(t.sentAt) > t.x.route.Target {
+		t.observe(t.answerTimes(now))
 	}
 }
--- a/transport/forward/trial_test.go
+++ b/transport/forward/trial_test.go
@@ -13,21 +13,21 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// versioned adds a server of a version and counts its runs.
-func (w *world) versioned(id, version string, serve func(net.Conn, *fasthttp.Request)) *backendServer {
+// backendVersion adds a server of the given version.
+func (w *testGateway) backendVersion(id, version string, serve func(net.Conn, *fasthttp.Request)) *backendServer {
 	b := w.backend(id, serve)
 	w.servers[len(w.servers)-1].Version = version
 	w.g.SetServers(w.servers)
 	return b
 }
 
-// tell hands the gateway a leader's answer on a roll-out to v2.
-func (w *world) tell(changes uint64, r protocol.Rollout, credits int64) {
+// setRollout applies a leader's answer with a rollout to v2.
+func (w *testGateway) setRollout(changes uint64, r protocol.Rollout, credits int64) {
 	r.Number, r.Service, r.Version, r.LimitMS = 1, "s", "v2", 60_000
 	w.g.SetRollouts(&protocol.SyncReply{Term: 1, Changes: changes, Rollouts: []protocol.Rollout{r}, Trials: []protocol.TrialGrant{{Number: 1, Share: 0.05, Credits: credits}}}, clock.Now())
 }
 
-func (w *world) askMany(n int) {
+func (w *testGateway) askMany(n int) {
 	w.t.Helper()
 	for range n {
 		if got := w.ask(); got.status != 200 {
@@ -36,14 +36,14 @@
 	}
 }
 
-// TestTrialGetsItsCreditsOnly checks which version gets the requests in each stage:
-// on trial the new one gets as many as the leader granted, and none without a word of
-// it, also from a gateway that has just started.
-func TestTrialGetsItsCreditsOnly(t *testing.T) {
-	w := newWorld(t)
+// TestTrialUsesGrantedCredits checks which version gets the requests in each stage: during
+// the trial, the new version gets as many as the leader granted. It gets none without a
+// grant, even from a gateway that has just started.
+func TestTrialUsesGrantedCredits(t *testing.T) {
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 1})
-	w.tell(1, protocol.Rollout{Stage: protocol.RolloutTrial}, 0)
-	before, after := w.versioned("a", "v1", good), w.versioned("b", "v2", good)
+	w.setRollout(1, protocol.Rollout{Stage: protocol.RolloutTrial}, 0)
+	before, after := w.backendVersion("a", "v1", answerOK), w.backendVersion("b", "v2", answerOK)
 	counts := func(want1, want2 int64) {
 		t.Helper()
 		if got1, got2 := before.runs.Load(), after.runs.Load(); got1 != want1 || got2 != want2 {
@@ -52,33 +52,33 @@
 	}
 	w.askMany(5)
 	counts(5, 0)
-	w.tell(1, protocol.Rollout{Stage: protocol.RolloutTrial}, 3) // The list of roll-outs is not newer, the credits are.
+	w.setRollout(1, protocol.Rollout{Stage: protocol.RolloutTrial}, 3) // The rollout list is not newer, but the credits are.
 	w.askMany(5)
 	counts(7, 3)
-	w.tell(2, protocol.Rollout{Stage: protocol.RolloutMoving, Former: []string{"v1"}}, 0)
+	w.setRollout(2, protocol.Rollout{Stage: protocol.RolloutMoving, Former: []string{"v1"}}, 0)
 	w.askMany(4)
 	counts(7, 7)
-	w.tell(1, protocol.Rollout{Stage: protocol.RolloutTrial}, 0) // An old answer.
+	w.setRollout(1, protocol.Rollout{Stage: protocol.RolloutTrial}, 0) // An outdated answer.
 	w.askMany(1)
 	counts(7, 8)
-	w.tell(3, protocol.Rollout{Stage: protocol.RolloutRolledBack, Former: []string{"v1"}}, 0)
+	w.setRollout(3, protocol.Rollout{Stage: protocol.RolloutRolledBack, Former: []string{"v1"}}, 0)
 	w.askMany(4)
 	counts(11, 8)
 }
 
-// TestTrialRetriesCount checks that a request which is sent again takes another credit
-// to reach the version on trial.
-func TestTrialRetriesCount(t *testing.T) {
-	w := newWorld(t)
+// TestTrialRetriesTakeCredits checks that a retry needs another credit to reach the version
+// on trial.
+func TestTrialRetriesTakeCredits(t *testing.T) {
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 5, Kind: protocol.RouteRepeatable})
-	w.tell(1, protocol.Rollout{Stage: protocol.RolloutTrial}, 0)
-	w.versioned("a", "v1", good)
-	tried := w.versioned("b", "v2", full)
-	w.versioned("c", "v2", full)
-	w.tell(1, protocol.Rollout{Stage: protocol.RolloutTrial}, 1)
+	w.setRollout(1, protocol.Rollout{Stage: protocol.RolloutTrial}, 0)
+	w.backendVersion("a", "v1", answerOK)
+	tried := w.backendVersion("b", "v2", answerNotRun)
+	w.backendVersion("c", "v2", answerNotRun)
+	w.setRollout(1, protocol.Rollout{Stage: protocol.RolloutTrial}, 1)
 	w.askMany(3)
 	if got := tried.runs.Load(); got > 1 {
-		t.Errorf("%d sends for one credit", got)
+		t.Errorf("%d attempts for one credit", got)
 	}
 	m := w.g.Report(1)
 	if len(m.Trials) != 1 || m.Trials[0].Tried != 1 || m.Trials[0].Arrived != 3 || m.Trials[0].Held != protocol.RolloutTrial {
@@ -86,29 +86,29 @@
 	}
 }
 
-// TestEvidenceIsReported checks what is counted of either version's answers: failures,
-// answers that break off, times, and nothing of requests that were turned away.
+// TestEvidenceIsReported checks what is counted for the answers of either version: failures,
+// truncated answers and latencies, but no refused requests.
 func TestEvidenceIsReported(t *testing.T) {
-	fails := func(c net.Conn, _ *fasthttp.Request) { say(c, 500, "", "") }
+	fails := func(c net.Conn, _ *fasthttp.Request) { writeAnswer(c, 500, "", "") }
 	for name, c := range map[string]struct {
 		serve     func(net.Conn, *fasthttp.Request)
 		kind      protocol.RouteKind
 		good, bad int64
 		paced     bool
 	}{
-		"good":            {serve: good, good: 1},
-		"fails":           {serve: fails, bad: 1},
-		"closes":          {serve: silent, bad: 1},
-		"turned away":     {serve: full},
-		"a whole stream":  {serve: streamOf(6, true), kind: protocol.RouteStream, good: 1, paced: true},
-		"a broken stream": {serve: streamOf(6, false), kind: protocol.RouteStream, bad: 1},
+		"good":              {serve: answerOK, good: 1},
+		"fails":             {serve: fails, bad: 1},
+		"closes":            {serve: closeSilently, bad: 1},
+		"refused":           {serve: answerNotRun},
+		"a complete stream": {serve: streamOf(6, true), kind: protocol.RouteStream, good: 1, paced: true},
+		"a broken stream":   {serve: streamOf(6, false), kind: protocol.RouteStream, bad: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
+			w := newTestGateway(t)
 			w.install(protocol.PathRoute{Name: "r", Attempts: 1, Kind: c.kind})
-			w.tell(1, protocol.Rollout{Stage: protocol.RolloutTrial}, 0)
-			w.versioned("b", "v2", c.serve)
-			w.tell(1, protocol.Rollout{Stage: protocol.RolloutTrial}, 1)
+			w.setRollout(1, protocol.Rollout{Stage: protocol.RolloutTrial}, 0)
+			w.backendVersion("b", "v2", c.serve)
+			w.setRollout(1, protocol.Rollout{Stage: protocol.RolloutTrial}, 1)
 			w.ask()
 			rows := w.awaitRows(c.good + c.bad)
 			if c.good+c.bad == 0 {
@@ -128,9 +128,10 @@
 	}
 }
 
-// awaitRows reports until as many answers are told, or once where none are expected.
-func (w *world) awaitRows(answers int64) []protocol.EvidenceRow {
-	for end := time.Now().Add(patience); ; {
+// awaitRows reports until the given number of answers is reported, or once if none are
+// expected.
+func (w *testGateway) awaitRows(answers int64) []protocol.EvidenceRow {
+	for end := time.Now().Add(testTimeout); ; {
 		rows := w.g.Report(1).Trials[0].Rows
 		told := int64(0)
 		for _, r := range rows {
@@ -142,14 +143,14 @@
 	}
 }
 
-// streamOf answers with some events, and ends the stream or breaks off.
+// streamOf returns a server that streams events, and then ends the stream or breaks it.
 func streamOf(events int, whole bool) func(net.Conn, *fasthttp.Request) {
 	return func(c net.Conn, _ *fasthttp.Request) {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: 7\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for n := range events {
 			event := fmt.Sprintf("id: %d\ndata: x\n\n", n+1)
 			_, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(event), event)
-			time.Sleep(20 * time.Millisecond) // An engine makes its events one by one.
+			time.Sleep(20 * time.Millisecond) // An engine generates its events one by one.
 		}
 		if !whole {
 			_ = c.Close()
@@ -159,13 +160,13 @@
 	}
 }
 
-// TestEvidenceIsToldOnce checks that rows which the leader has are not told again, that
-// a row is told whole once it changed, and that another leader is told all.
-func TestEvidenceIsToldOnce(t *testing.T) {
-	w := newWorld(t)
+// TestEvidenceIsReportedOnce checks that rows that the leader has are not reported again,
+// that a changed row is reported in full, and that a new leader gets all rows.
+func TestEvidenceIsReportedOnce(t *testing.T) {
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Name: "r", Attempts: 1})
-	w.tell(1, protocol.Rollout{Stage: protocol.RolloutTrial}, 0)
-	w.versioned("a", "v1", good)
+	w.setRollout(1, protocol.Rollout{Stage: protocol.RolloutTrial}, 0)
+	w.backendVersion("a", "v1", answerOK)
 	w.askMany(2)
 	told := func(term uint64, want ...int64) protocol.SyncMsg {
 		t.Helper()
@@ -175,7 +176,7 @@
 			got = append(got, r.Answers.Good)
 		}
 		if !slices.Equal(got, want) {
-			t.Errorf("term %d is told %v, want %v", term, got, want)
+			t.Errorf("reported to term %d: %v, want %v", term, got, want)
 		}
 		return m
 	}
@@ -189,19 +190,19 @@
 	told(2, 3)
 }
 
-// TestMovedRunCountsOnce checks that a run which is sent on to where its memory lies is
-// not counted for a roll-out once more.
+// TestMovedRunCountsOnce checks that a moved run that continues at another server is not
+// counted again for a rollout.
 func TestMovedRunCountsOnce(t *testing.T) {
-	w := newWorld(t)
+	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 1})
-	w.versioned("a", "v1", good)
-	w.versioned("b", "v2", good)
-	w.tell(1, protocol.Rollout{Stage: protocol.RolloutTrial}, 1)
+	w.backendVersion("a", "v1", answerOK)
+	w.backendVersion("b", "v2", answerOK)
+	w.setRollout(1, protocol.Rollout{Stage: protocol.RolloutTrial}, 1)
 	x := &exchange{g: w.g, service: "s"}
 	server := w.g.view.Load().Find("b")
-	x.sentTo(server)
+	x.countTrialSend(server)
 	x.continuation = &continuation{server: server}
-	x.sentTo(server)
+	x.countTrialSend(server)
 	if m := w.g.Report(1); len(m.Trials) != 1 || m.Trials[0].Arrived != 1 || m.Trials[0].Tried != 1 {
 		t.Errorf("reported %+v", m.Trials)
 	}
