--- a/transport/backend/backend.go
+++ b/transport/backend/backend.go
@@ -72,8 +72,8 @@
 	Received(n int)
 }
 
-// Count has a meter count the bytes from now on, until another one is set.
-func (c *Conn) Count(m Meter) { c.meter = m }
+// SetMeter has a meter count the bytes from now on, until another one is set.
+func (c *Conn) SetMeter(m Meter) { c.meter = m }
 
 // Write implements io.Writer and counts.
 func (c *Conn) Write(p []byte) (int, error) {
@@ -141,7 +141,7 @@
 		if err := c.send(req); err != nil {
 			return false, c.earlyAnswer(resp, err)
 		}
-		return false, c.Head(resp)
+		return false, c.ReadHead(resp)
 	}
 	sent := make(chan bool, 1)
 	var stalled error
@@ -153,7 +153,7 @@
 		}
 		sent <- err == nil
 	}()
-	err = c.Head(resp)
+	err = c.ReadHead(resp)
 	select {
 	case whole := <-sent:
 		if err != nil && stalled != nil {
@@ -190,14 +190,14 @@
 // earlyAnswer reads an answer that a server sent before it closed its side under the
 // request. Without an answer the write's error stands.
 func (c *Conn) earlyAnswer(resp *fasthttp.Response, failed error) error {
-	if !c.Wrote() || c.Head(resp) != nil {
+	if !c.Wrote() || c.ReadHead(resp) != nil {
 		return failed
 	}
 	return nil
 }
 
-// Head reads the head of an answer; its body is left in the connection.
-func (c *Conn) Head(resp *fasthttp.Response) error {
+// ReadHead reads the head of an answer; its body is left in the connection.
+func (c *Conn) ReadHead(resp *fasthttp.Response) error {
 	for {
 		if err := resp.Header.Read(c.br); err != nil {
 			return eris.Wrap(err, "read answer")
@@ -252,8 +252,8 @@
 	return p
 }
 
-// Opens counts the connections opened since the start.
-func (p *Pool) Opens() int64 { return p.opens.Load() }
+// Opened counts the connections opened since the start.
+func (p *Pool) Opened() int64 { return p.opens.Load() }
 
 // Get returns a connection to a server: one that rests and is sound, or a new
 // one, to be opened by a deadline.
@@ -296,9 +296,9 @@
 	}
 }
 
-// End closes the connections that are in use to a server which has ended, and returns how
+// CloseInUse closes the connections that are in use to a server which has ended, and returns how
 // many: one that ended behind a cut closes none itself.
-func (p *Pool) End(server string) int {
+func (p *Pool) CloseInUse(server string) int {
 	p.usedMu.Lock()
 	list := slices.Collect(maps.Keys(p.used[server]))
 	p.usedMu.Unlock()
@@ -314,7 +314,7 @@
 		return nil, eris.New("no time is left to connect")
 	}
 	if !p.reserve() {
-		return nil, ErrFull
+		return nil, ErrTooManyConnections
 	}
 	began := time.Now()
 	conn, err := tcp.Dial(address, limit, silentServer)
@@ -367,8 +367,8 @@
 	p.idle[server] = append(p.idle[server], c)
 }
 
-// Keep closes the idle connections to all servers but those named.
-func (p *Pool) Keep(server func(id string) bool) {
+// Retain closes the idle connections to all servers but those named.
+func (p *Pool) Retain(server func(id string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := clock.Now()
--- a/transport/backend/backend_test.go
+++ b/transport/backend/backend_test.go
@@ -120,8 +120,8 @@
 		if text, _ := ask(t, p, address); text != "ok" {
 			t.Errorf("%s: the second answer is %q", name, text)
 		}
-		if p.Opens() != c.opens {
-			t.Errorf("%s: %d connections were opened, want %d", name, p.Opens(), c.opens)
+		if p.Opened() != c.opens {
+			t.Errorf("%s: %d connections were opened, want %d", name, p.Opened(), c.opens)
 		}
 		if strings.Contains(name, "later") {
 			go func() { late <- struct{}{} }()
@@ -227,8 +227,8 @@
 	p.Put("s", conn, 0)
 	conn.until = clock.Now()
 	ask(t, p, address)
-	if p.Opens() != 2 {
-		t.Errorf("%d connections were opened, want 2", p.Opens())
+	if p.Opened() != 2 {
+		t.Errorf("%d connections were opened, want 2", p.Opened())
 	}
 }
 
@@ -245,8 +245,8 @@
 	clock.Skip(time.Minute)
 	defer clock.Skip(-time.Minute)
 	ask(t, p, address)
-	if p.Opens() != 2 {
-		t.Errorf("%d connections were opened, want 2", p.Opens())
+	if p.Opened() != 2 {
+		t.Errorf("%d connections were opened, want 2", p.Opened())
 	}
 }
 
@@ -267,11 +267,11 @@
 		}
 		conns = append(conns, c)
 	}
-	if n := p.End("a"); n != 2 || !conns[0].closed.Load() || !conns[1].closed.Load() || conns[2].closed.Load() {
+	if n := p.CloseInUse("a"); n != 2 || !conns[0].closed.Load() || !conns[1].closed.Load() || conns[2].closed.Load() {
 		t.Errorf("%d were closed", n)
 	}
 	p.Put("b", conns[2], 0)
-	if n := p.End("b"); n != 0 || len(p.used) != 0 {
+	if n := p.CloseInUse("b"); n != 0 || len(p.used) != 0 {
 		t.Errorf("%d that rest were closed, %d servers are kept in mind", n, len(p.used))
 	}
 }
@@ -297,7 +297,7 @@
 		if !tc.rest {
 			conn.until = clock.Now()
 		}
-		p.Keep(func(string) bool { return tc.listed })
+		p.Retain(func(string) bool { return tc.listed })
 		if kept := len(p.idle["s"]) == 1; kept != (tc.listed && tc.rest) {
 			t.Errorf("%s: kept %v", tc.name, kept)
 		}
--- a/transport/backend/progress.go
+++ b/transport/backend/progress.go
@@ -61,19 +61,19 @@
 // PoolOption changes a new pool.
 type PoolOption func(*Pool)
 
-// WithStall sets how long a server may take nothing of a body.
-func WithStall(d time.Duration) PoolOption { return func(p *Pool) { p.stall = d } }
+// WithStallTimeout sets how long a server may take nothing of a body.
+func WithStallTimeout(d time.Duration) PoolOption { return func(p *Pool) { p.stall = d } }
 
-// WithSocket bounds what the kernel keeps of a connection each way, in bytes; 0 leaves
+// WithSocketBuffer bounds what the kernel keeps of a connection each way, in bytes; 0 leaves
 // it to the kernel.
-func WithSocket(bytes int) PoolOption { return func(p *Pool) { p.socket = bytes } }
+func WithSocketBuffer(bytes int) PoolOption { return func(p *Pool) { p.socket = bytes } }
 
-// WithConnections bounds the connections to all servers together; 0 sets no bound.
-func WithConnections(most int) PoolOption { return func(p *Pool) { p.most = most } }
+// WithMaxConnections bounds the connections to all servers together; 0 sets no bound.
+func WithMaxConnections(most int) PoolOption { return func(p *Pool) { p.most = most } }
 
-// ErrFull is returned when no connection may be opened, and none rests that could be
+// ErrTooManyConnections is returned when no connection may be opened, and none rests that could be
 // closed for it.
-var ErrFull = eris.New("there are too many connections to servers")
+var ErrTooManyConnections = eris.New("there are too many connections to servers")
 
 // reserve counts a connection that is to be opened. Where there are too many, the one that
 // may rest for the shortest time yet is closed for it.
--- a/transport/backend/progress_test.go
+++ b/transport/backend/progress_test.go
@@ -24,7 +24,7 @@
 		_, _ = br.ReadByte()
 		time.Sleep(patience) // It lives, its kernel acknowledges, and it reads nothing.
 	})
-	p := NewPool(patience, WithStall(quickStall), WithSocket(16<<10))
+	p := NewPool(patience, WithStallTimeout(quickStall), WithSocketBuffer(16<<10))
 	deadline := time.Now().Add(10 * patience)
 	c, err := p.Get("s", address, deadline)
 	if err != nil {
@@ -66,7 +66,7 @@
 		}
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
-	p := NewPool(patience, WithStall(quickStall), WithSocket(16<<10))
+	p := NewPool(patience, WithStallTimeout(quickStall), WithSocketBuffer(16<<10))
 	deadline := time.Now().Add(patience)
 	c, err := p.Get("s", address, deadline)
 	if err != nil {
@@ -82,14 +82,14 @@
 // rests is closed for a new one, the oldest first, and without one there is no room.
 func TestConnectionsAreBounded(t *testing.T) {
 	address := server(t, func(_ net.Conn, br *bufio.Reader) { _, _ = br.ReadByte() })
-	p := NewPool(patience, WithConnections(2))
+	p := NewPool(patience, WithMaxConnections(2))
 	get := func(server string) (*Conn, error) { return p.Get(server, address, time.Now().Add(patience)) }
 	first, errFirst := get("a")
 	second, errSecond := get("b")
 	if errFirst != nil || errSecond != nil {
 		t.Fatal(errFirst, errSecond)
 	}
-	if _, err := get("c"); !errors.Is(err, ErrFull) {
+	if _, err := get("c"); !errors.Is(err, ErrTooManyConnections) {
 		t.Errorf("a third connection beside two in use: %v", err)
 	}
 	p.Put("a", first, 2*time.Second)
@@ -106,7 +106,7 @@
 	if _, err := get("a"); err != nil {
 		t.Errorf("where one was closed: %v", err)
 	}
-	if _, err := get("a"); !errors.Is(err, ErrFull) {
+	if _, err := get("a"); !errors.Is(err, ErrTooManyConnections) {
 		t.Errorf("beside two in use again: %v", err)
 	}
 }
@@ -118,9 +118,9 @@
 		t.Fatal(err)
 	}
 	_ = ln.Close()
-	p := NewPool(patience, WithConnections(1))
+	p := NewPool(patience, WithMaxConnections(1))
 	for range 3 {
-		if _, err := p.Get("a", ln.Addr().String(), time.Now().Add(patience)); err == nil || errors.Is(err, ErrFull) {
+		if _, err := p.Get("a", ln.Addr().String(), time.Now().Add(patience)); err == nil || errors.Is(err, ErrTooManyConnections) {
 			t.Errorf("got %v", err)
 		}
 	}
@@ -130,7 +130,7 @@
 // opened at once.
 func TestConnectionsAreBoundedAtOnce(t *testing.T) {
 	const most, rounds = 4, 2000
-	p := NewPool(patience, WithConnections(most))
+	p := NewPool(patience, WithMaxConnections(most))
 	for range rounds {
 		var all sync.WaitGroup
 		var got atomic.Int64
--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -86,7 +86,7 @@
 // why there is none.
 func (x *exchange) connect(server *place.Server) (*backend.Conn, *protocol.Refusal) {
 	conn, err := x.g.pool.Get(server.ID, server.Address, clock.Steady(x.deadline))
-	if errors.Is(err, backend.ErrFull) {
+	if errors.Is(err, backend.ErrTooManyConnections) {
 		return nil, x.refuseNoConnection()
 	}
 	if err != nil {
@@ -108,7 +108,7 @@
 // recordAttempt counts and logs an attempt that is about to be sent.
 func (x *exchange) recordAttempt(server *place.Server, conn *backend.Conn) {
 	distance := x.g.distance(server)
-	conn.Count(&x.g.meters.distances.bytes[distance])
+	conn.SetMeter(&x.g.meters.distances.bytes[distance])
 	x.g.meters.distances.attempts[distance].Inc(1)
 	x.log.Info().Str("server", server.ID).Str("domain", server.Domain).Str("region", x.g.cfg.Topology.Region(server.Domain)).
 		Stringer("distance", distance).Int("outstanding", server.Stats.Outstanding()).Bool("placed", x.placement.Server != "").
@@ -260,7 +260,7 @@
 		return err
 	}
 	t.x.resp.Reset()
-	return t.conn.Head(t.x.resp)
+	return t.conn.ReadHead(t.x.resp)
 }
 
 // answerLost ends an attempt whose answer did not arrive.
--- a/transport/forward/forward.go
+++ b/transport/forward/forward.go
@@ -138,7 +138,7 @@
 		cfg:              cfg,
 		dialect:          d,
 		log:              zerolog.Nop(),
-		pool:             backend.NewPool(dialTimeout, backend.WithSocket(cfg.SocketBuffer), backend.WithConnections(cfg.MaxConnections)),
+		pool:             backend.NewPool(dialTimeout, backend.WithSocketBuffer(cfg.SocketBuffer), backend.WithMaxConnections(cfg.MaxConnections)),
 		triggerSync:      func() {},
 		triggerLimits:    func() {},
 		requestPlacement: func(protocol.PlaceMsg) (protocol.PlaceReply, bool) { return protocol.PlaceReply{}, false },
@@ -237,7 +237,7 @@
 	g.log.Info().Int("servers", len(view.Servers)).Int("leaving", leaving).Msg("list of servers")
 	g.moveFromLeaving(view, now)
 	g.feedback.prune(view, now)
-	g.pool.Keep(func(id string) bool {
+	g.pool.Retain(func(id string) bool {
 		s := view.Find(id)
 		return s != nil && !s.Leaving
 	})
--- a/transport/forward/forward_test.go
+++ b/transport/forward/forward_test.go
@@ -411,7 +411,7 @@
 			w.backend("a", c.serve)
 			w.ask()
 			w.ask()
-			if opens := w.g.pool.Opens(); opens != c.opened {
+			if opens := w.g.pool.Opened(); opens != c.opened {
 				t.Errorf("%d connections were opened, want %d", opens, c.opened)
 			}
 		})
@@ -453,7 +453,7 @@
 			t.Errorf("got %+v", got)
 		}
 	}
-	if opens := w.g.pool.Opens(); opens != 2 {
+	if opens := w.g.pool.Opened(); opens != 2 {
 		t.Errorf("%d connections were opened, want 2", opens)
 	}
 }
--- a/transport/forward/quarantine_test.go
+++ b/transport/forward/quarantine_test.go
@@ -133,7 +133,7 @@
 	if runs := a.runs.Load() + b.runs.Load(); got.status != 502 || got.verdict != "may-have-run" || runs != 1 {
 		t.Errorf("got %+v after %d runs", got, runs)
 	}
-	if n := w.g.pool.Opens(); n != 1 {
+	if n := w.g.pool.Opened(); n != 1 {
 		t.Errorf("%d connections were opened for it", n)
 	}
 }
@@ -322,7 +322,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newTestGateway(t)
-			w.g.pool = backend.NewPool(dialTimeout, backend.WithSocket(smallSocketBytes)) // A large body does not fit into the buffer.
+			w.g.pool = backend.NewPool(dialTimeout, backend.WithSocketBuffer(smallSocketBytes)) // A large body does not fit into the buffer.
 			log := make(logLines, 100)
 			w.setRegions(log)
 			w.install(protocol.PathRoute{Attempts: 1, Kind: protocol.RouteRepeatable})
--- a/transport/forward/restart.go
+++ b/transport/forward/restart.go
@@ -8,7 +8,7 @@
 func (g *Gateway) endFormerIncarnations(restarts []place.Restart) {
 	for _, r := range restarts {
 		former := r.Before.String()
-		ended := g.pool.End(former)
+		ended := g.pool.CloseInUse(former)
 		g.meters.serversRestarted.Inc(1)
 		g.log.Warn().Str("server", r.After.String()).Str("before", former).Int("connections", ended).Msg("server started again")
 		if runs := g.crashes.takeUnresolved(former); len(runs) > 0 {
--- a/transport/forward/room_test.go
+++ b/transport/forward/room_test.go
@@ -125,8 +125,8 @@
 				t.Fatalf("route kind %v: the server has %d requests", kind, cell.Outstanding())
 			}
 		}
-		if got := w.ask(); got.status != 200 || w.g.pool.Opens() != 1 {
-			t.Errorf("route kind %v: the next request got %d over %d connections", kind, got.status, w.g.pool.Opens())
+		if got := w.ask(); got.status != 200 || w.g.pool.Opened() != 1 {
+			t.Errorf("route kind %v: the next request got %d over %d connections", kind, got.status, w.g.pool.Opened())
 		}
 		_ = slow.SetReadDeadline(time.Now().Add(testTimeout))
 		var resp fasthttp.Response
@@ -240,7 +240,7 @@
 // refused as not run, and that its server is not suspected.
 func TestTooManyConnections(t *testing.T) {
 	w := newTestGateway(t)
-	w.g.pool = backend.NewPool(testTimeout, backend.WithConnections(1))
+	w.g.pool = backend.NewPool(testTimeout, backend.WithMaxConnections(1))
 	w.install(protocol.PathRoute{Attempts: 2})
 	arrived, release := make(chan struct{}), make(chan struct{})
 	w.backend("a", func(c net.Conn, req *fasthttp.Request) {
@@ -269,7 +269,7 @@
 func TestUnreadAnswerIsNotCutOff(t *testing.T) {
 	const size, unread = 250_000, 2 * time.Second
 	w := newTestGateway(t, caller.WithSocket(8<<10))
-	w.g.pool = backend.NewPool(testTimeout, backend.WithSocket(32<<10))
+	w.g.pool = backend.NewPool(testTimeout, backend.WithSocketBuffer(32<<10))
 	w.install(protocol.PathRoute{Kind: protocol.RouteStream, Attempts: 1})
 	written := make(chan error, 1)
 	w.backend("a", func(c net.Conn, _ *fasthttp.Request) {
