--- a/transport/backend/backend.go
+++ b/transport/backend/backend.go
@@ -1,13 +1,12 @@
-// Package backend holds the connections of a gateway to backend servers.
+// Package backend manages a gateway's connections to backend servers.
 //
-// A [Conn] is one HTTP/1.1 connection. The codec is fasthttp's; the connection
-// is ours, because a verdict needs to know whether a byte of a request was
-// written, and because a caller that hangs up must end its request at the server
-// at once. A pooled client hides both.
+// A [Conn] is one HTTP/1.1 connection. It uses fasthttp's codec but manages the network
+// connection itself: a verdict needs to know whether any byte of a request was written,
+// and the request of a caller that disconnects must end at the server at once. A client
+// with a pool of its own hides both.
 //
-// Connections are kept by the server's identity, not by its address: an address
-// may come to belong to another server. One that delivered anything that was
-// not asked for is closed, never reused.
+// Connections are kept by server ID, not by address, as an address may be reassigned to
+// another server. A connection that delivered unsolicited data is closed, never reused.
 package backend
 
 import (
@@ -28,42 +27,43 @@
 )
 
 const (
-	// idleMargin is taken off the time that a server says it keeps a connection.
+	// idleMargin is subtracted from the idle timeout that a server announces.
 	idleMargin = 500 * time.Millisecond
-	// idleUsual is how long a connection may rest where the server says nothing.
-	idleUsual = 4 * time.Second
-	// idleMost bounds what a server says.
-	idleMost   = 30 * time.Second
-	readBuffer = 4 << 10
-	// silentServer is how long a server's kernel may acknowledge nothing: three packets
-	// in a row must be lost, repeated after 0.2 and 0.6 s. A request that was sent into
-	// a silent connection ends then, and not at its deadline of up to 15 s; one that
-	// rests is found closed before it is used.
-	silentServer = time.Second
+	// defaultIdleTimeout is how long a connection may stay idle if the server announces no
+	// timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// maxIdleTimeout bounds the idle timeout that a server announces.
+	maxIdleTimeout = 30 * time.Second
+	readBuffer     = 4 << 10
+	// ackTimeout is how long a server's kernel may acknowledge nothing: three packets in a
+	// row must be lost, with retransmissions after 0.2 and 0.6 s. A request sent on a dead
+	// connection then ends early, not at its deadline of up to 15 s, and a dead idle
+	// connection is found closed before it is used.
+	ackTimeout = time.Second
 )
 
-// ErrNotIdle is returned when a connection that rested turned out to be closed
-// or to have delivered something.
-var ErrNotIdle = eris.New("the connection did not rest")
+// ErrNotIdle is returned when an idle connection turned out to be closed or to have delivered
+// data.
+var ErrNotIdle = eris.New("the connection is not idle")
 
 // Conn is one connection to a backend server.
 type Conn struct {
 	net         net.Conn
 	br          *bufio.Reader
 	bw          *bufio.Writer
-	wrote       atomic.Int64  // wrote counts the bytes of the request that the kernel took.
-	sent        atomic.Bool   // sent says that the kernel took all of the request.
-	used        bool          // used says that a request went over it before.
+	written     atomic.Int64  // written counts the bytes of the request that the kernel accepted.
+	sent        atomic.Bool   // sent reports that the kernel accepted the whole request.
+	used        bool          // used reports that an earlier request was sent on the connection.
 	meter       Meter         // meter counts the bytes; nil for none.
-	connectTime time.Duration // connectTime is how long the connect took.
-	until       time.Time     // until is when it may rest no longer.
+	connectTime time.Duration // connectTime is the duration of the connect.
+	idleUntil   time.Time     // idleUntil is when the connection must no longer be reused.
 
-	stall        time.Duration // stall is how long a server may take nothing of a body.
-	deadline     time.Time     // deadline is the current request's.
+	stallTimeout time.Duration // stallTimeout is how long a server may accept nothing of a body.
+	deadline     time.Time     // deadline is the deadline of the current request.
 	pool         *Pool
-	server       string // server is the one that the connection was taken for.
+	server       string // server is the ID of the server that the connection was taken for.
 	closed       atomic.Bool
-	bodyUnwanted atomic.Bool // bodyUnwanted says that the rest of its body is not wanted.
+	bodyAborted  atomic.Bool // bodyAborted reports that the rest of the body is not needed.
 }
 
 // Meter counts the bytes that a connection carries.
@@ -72,28 +72,28 @@
 	Received(n int)
 }
 
-// SetMeter has a meter count the bytes from now on, until another one is set.
+// SetMeter sets the meter that counts bytes from now on.
 func (c *Conn) SetMeter(m Meter) { c.meter = m }
 
-// Write implements io.Writer and counts.
+// Write implements io.Writer and counts the bytes.
 func (c *Conn) Write(p []byte) (int, error) {
-	if len(p) > bodyAlone {
-		return c.writeAll(p)
+	if len(p) > concurrentBodyBytes {
+		return c.writeChunks(p)
 	}
 	n, err := c.net.Write(p)
-	c.count(n)
+	c.countWritten(n)
 	return n, err
 }
 
-// count counts bytes that the kernel took.
-func (c *Conn) count(n int) {
-	c.wrote.Add(int64(n))
+// countWritten counts bytes that the kernel accepted.
+func (c *Conn) countWritten(n int) {
+	c.written.Add(int64(n))
 	if c.meter != nil {
 		c.meter.Sent(n)
 	}
 }
 
-// Read implements io.Reader and counts.
+// Read implements io.Reader and counts the bytes.
 func (c *Conn) Read(p []byte) (int, error) {
 	n, err := c.net.Read(p)
 	if c.meter != nil {
@@ -104,79 +104,80 @@
 
 // Wrote reports whether any byte of the current request may have reached the
 // server.
-func (c *Conn) Wrote() bool { return c.wrote.Load() > 0 }
+func (c *Conn) Wrote() bool { return c.written.Load() > 0 }
 
-// ConnectTime returns how long the connect took: a round trip, and the server's wait.
+// ConnectTime returns the duration of the connect: one round trip plus the server's delay in
+// accepting.
 func (c *Conn) ConnectTime() time.Duration { return c.connectTime }
 
-// Sent reports whether all of the current request was written.
+// Sent reports whether the whole current request was written.
 func (c *Conn) Sent() bool { return c.sent.Load() }
 
-// Used reports whether an earlier request went over the connection.
+// Used reports whether an earlier request was sent on the connection.
 func (c *Conn) Used() bool { return c.used }
 
-// Close closes the connection, which a server takes as a cancellation. It may
-// be called from any goroutine.
+// Close closes the connection, which a server treats as a cancellation. It may be called from
+// any goroutine.
 func (c *Conn) Close() {
 	if !c.closed.Swap(true) {
-		c.pool.count.Add(-1)
-		c.pool.release(c)
+		c.pool.openCount.Add(-1)
+		c.pool.unmarkInUse(c)
 	}
 	_ = c.net.Close()
 }
 
-// bodyAlone is the size of a body above which the answer is read while the body
-// is still written: a server may answer before it has read all.
-const bodyAlone = 8 << 10
+// concurrentBodyBytes is the body size from which the answer is read while the body is still
+// being written: a server may answer before it has read the whole body.
+const concurrentBodyBytes = 8 << 10
 
-// Exchange writes a request, to be done by a deadline, and reads the head of
-// the answer. Early says that the answer came before all of the request was
-// written; the connection is of no further use then.
+// Exchange writes a request, which must end by the deadline, and reads the head of the
+// answer. early reports that the answer arrived before the whole request was written; the
+// connection cannot be reused then.
 func (c *Conn) Exchange(req *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) (early bool, err error) {
 	if err := c.net.SetDeadline(deadline); err != nil {
 		return false, eris.Wrap(err, "set deadline")
 	}
 	c.deadline = deadline
-	if len(req.Body()) < bodyAlone {
-		if err := c.send(req); err != nil {
-			return false, c.earlyAnswer(resp, err)
+	if len(req.Body()) < concurrentBodyBytes {
+		if err := c.writeRequest(req); err != nil {
+			return false, c.readEarlyAnswer(resp, err)
 		}
 		return false, c.ReadHead(resp)
 	}
 	sent := make(chan bool, 1)
 	var stalled error
 	go func() {
-		err := c.send(req)
+		err := c.writeRequest(req)
 		if errors.Is(err, ErrStalled) {
 			stalled = err
-			c.Close() // No answer is waited for: the head's read ends.
+			c.Close() // Ends the read of the answer's head.
 		}
 		sent <- err == nil
 	}()
 	err = c.ReadHead(resp)
 	select {
-	case whole := <-sent:
+	case complete := <-sent:
 		if err != nil && stalled != nil {
 			err = stalled
 		}
-		return !whole, err
+		return !complete, err
 	default:
 	}
 	if err == nil {
-		// The rest of the body is not wanted. A write that waits ends here.
-		c.bodyUnwanted.Store(true)
+		// The rest of the body is not needed. This ends a blocked write.
+		c.bodyAborted.Store(true)
 		_ = c.net.SetWriteDeadline(time.Unix(1, 0))
 	} else {
 		c.Close()
 	}
-	<-sent // The request must not be used any more when this returns.
+	<-sent // The request must not be in use after the return.
 	if err != nil && stalled != nil {
 		err = stalled
 	}
 	return true, err
 }
 
-func (c *Conn) send(req *fasthttp.Request) error {
+func (c *Conn) writeRequest(req *fasthttp.Request) error {
 	if err := req.Write(c.bw); err != nil {
 		return eris.Wrap(err, "write request")
 	}
@@ -187,16 +188,16 @@
 	return nil
 }
 
-// earlyAnswer reads an answer that a server sent before it closed its side under the
-// request. Without an answer the write's error stands.
-func (c *Conn) earlyAnswer(resp *fasthttp.Response, failed error) error {
+// readEarlyAnswer reads an answer that a server sent before it closed its side of the
+// connection during the request. Without an answer, it returns the write's error.
+func (c *Conn) readEarlyAnswer(resp *fasthttp.Response, failed error) error {
 	if !c.Wrote() || c.ReadHead(resp) != nil {
 		return failed
 	}
 	return nil
 }
 
-// ReadHead reads the head of an answer; its body is left in the connection.
+// ReadHead reads the head of an answer and leaves the body in the connection.
 func (c *Conn) ReadHead(resp *fasthttp.Response) error {
 	for {
 		if err := resp.Header.Read(c.br); err != nil {
@@ -205,12 +206,12 @@
 		if resp.StatusCode() >= fasthttp.StatusOK {
 			return nil
 		}
-		resp.Header.Reset() // An interim answer.
+		resp.Header.Reset() // An informational answer.
 	}
 }
 
-// Body returns the reader of an answer's body. Its end is io.EOF only when the
-// body is whole.
+// Body returns a reader for an answer's body. It returns io.EOF only at the end of a complete
+// body.
 func (c *Conn) Body(resp *fasthttp.Response) (*Body, error) {
 	resp.StreamBody = true
 	if resp.Header.ContentLength() == 0 || !hasBody(resp.StatusCode()) {
@@ -226,82 +227,82 @@
 	return status != fasthttp.StatusNoContent && status != fasthttp.StatusNotModified
 }
 
-// Clean reports whether the connection holds nothing that was not asked for.
+// Clean reports whether the connection has delivered no unsolicited data.
 func (c *Conn) Clean() bool { return c.br.Buffered() == 0 }
 
-// Pool keeps idle connections by the server's identity.
+// Pool keeps idle connections by server ID.
 type Pool struct {
-	dial   time.Duration
-	stall  time.Duration
-	socket int
-	most   int          // most bounds the open connections; 0 sets no bound.
-	count  atomic.Int64 // count are the open connections.
-	opens  atomic.Int64
-	mu     sync.Mutex // mu guards idle.
-	idle   map[string][]*Conn
-	usedMu sync.Mutex // usedMu guards used; no other lock is taken under it.
-	used   map[string]map[*Conn]struct{}
+	dialTimeout    time.Duration
+	stallTimeout   time.Duration
+	socketBuffer   int
+	maxConnections int          // maxConnections bounds the open connections; 0 for no bound.
+	openCount      atomic.Int64 // openCount is the number of open connections.
+	opened         atomic.Int64
+	mu             sync.Mutex // mu guards idle.
+	idle           map[string][]*Conn
+	inUseMu        sync.Mutex // inUseMu guards inUse; no other lock is taken while it is held.
+	inUse          map[string]map[*Conn]struct{}
 }
 
-// NewPool returns a pool that gives up a connect after a time.
+// NewPool returns a pool with the given timeout for connects.
 func NewPool(dial time.Duration, opts ...PoolOption) *Pool {
-	p := &Pool{dial: dial, stall: stallTime, idle: map[string][]*Conn{}, used: map[string]map[*Conn]struct{}{}}
+	p := &Pool{dialTimeout: dial, stallTimeout: defaultStallTimeout, idle: map[string][]*Conn{}, inUse: map[string]map[*Conn]struct{}{}}
 	for _, opt := range opts {
 		opt(p)
 	}
 	return p
 }
 
-// Opened counts the connections opened since the start.
-func (p *Pool) Opened() int64 { return p.opens.Load() }
+// Opened returns the number of connections opened so far.
+func (p *Pool) Opened() int64 { return p.opened.Load() }
 
-// Get returns a connection to a server: one that rests and is sound, or a new
-// one, to be opened by a deadline.
+// Get returns a connection to a server: a usable idle one, or a new one that is opened before
+// the deadline.
 func (p *Pool) Get(server, address string, deadline time.Time) (*Conn, error) {
 	for {
 		c := p.pop(server)
 		if c == nil {
 			c, err := p.open(address, deadline)
 			if err == nil {
-				p.use(server, c)
+				p.markInUse(server, c)
 			}
 			return c, err
 		}
-		if clock.Now().Before(c.until) && resting(c.net) {
-			p.use(server, c)
+		if clock.Now().Before(c.idleUntil) && idleAndQuiet(c.net) {
+			p.markInUse(server, c)
 			return c, nil
 		}
 		c.Close()
 	}
 }
 
-// use notes a connection that is taken for a request.
-func (p *Pool) use(server string, c *Conn) {
-	p.usedMu.Lock()
-	defer p.usedMu.Unlock()
+// markInUse records that a connection is taken for a request.
+func (p *Pool) markInUse(server string, c *Conn) {
+	p.inUseMu.Lock()
+	defer p.inUseMu.Unlock()
 	c.server = server
-	if p.used[server] == nil {
-		p.used[server] = map[*Conn]struct{}{}
+	if p.inUse[server] == nil {
+		p.inUse[server] = map[*Conn]struct{}{}
 	}
-	p.used[server][c] = struct{}{}
+	p.inUse[server][c] = struct{}{}
 }
 
-// release notes that a connection is in use no more.
-func (p *Pool) release(c *Conn) {
-	p.usedMu.Lock()
-	defer p.usedMu.Unlock()
-	delete(p.used[c.server], c)
-	if len(p.used[c.server]) == 0 {
-		delete(p.used, c.server)
+// unmarkInUse records that a connection is no longer in use.
+func (p *Pool) unmarkInUse(c *Conn) {
+	p.inUseMu.Lock()
+	defer p.inUseMu.Unlock()
+	delete(p.inUse[c.server], c)
+	if len(p.inUse[c.server]) == 0 {
+		delete(p.inUse, c.server)
 	}
 }
 
-// CloseInUse closes the connections that are in use to a server which has ended, and returns how
-// many: one that ended behind a cut closes none itself.
+// CloseInUse closes the connections in use to a server that has terminated, and returns their
+// number. A server that terminated behind a network partition does not close them itself.
 func (p *Pool) CloseInUse(server string) int {
-	p.usedMu.Lock()
-	list := slices.Collect(maps.Keys(p.used[server]))
-	p.usedMu.Unlock()
+	p.inUseMu.Lock()
+	list := slices.Collect(maps.Keys(p.inUse[server]))
+	p.inUseMu.Unlock()
 	for _, c := range list {
 		c.Close()
 	}
@@ -309,22 +310,22 @@
 }
 
 func (p *Pool) open(address string, deadline time.Time) (*Conn, error) {
-	limit := min(p.dial, time.Until(deadline))
+	limit := min(p.dialTimeout, time.Until(deadline))
 	if limit <= 0 {
-		return nil, eris.New("no time is left to connect")
+		return nil, eris.New("deadline passed before the connect")
 	}
 	if !p.reserve() {
 		return nil, ErrTooManyConnections
 	}
-	began := time.Now()
-	conn, err := tcp.Dial(address, limit, silentServer)
+	started := time.Now()
+	conn, err := tcp.Dial(address, limit, ackTimeout)
 	if err != nil {
-		p.count.Add(-1)
+		p.openCount.Add(-1)
 		return nil, eris.Wrap(err, "connect")
 	}
-	p.opens.Add(1)
+	p.opened.Add(1)
 	p.limitBuffers(conn)
-	c := &Conn{net: conn, connectTime: time.Since(began), stall: p.stall, pool: p}
+	c := &Conn{net: conn, connectTime: time.Since(started), stallTimeout: p.stallTimeout, pool: p}
 	c.br, c.bw = bufio.NewReaderSize(c, readBuffer), bufio.NewWriterSize(c, readBuffer)
 	return c, nil
 }
@@ -341,41 +342,40 @@
 	return c
 }
 
-// Put keeps a connection whose answer was read to its end, unless the server or
-// what it sent says otherwise. Keeps is how long the server keeps it; 0 where it
-// did not say.
-func (p *Pool) Put(server string, c *Conn, keeps time.Duration) {
+// Put keeps a connection whose answer was read to its end, unless it cannot be reused.
+// idleTimeout is how long the server keeps it idle; 0 if unknown.
+func (p *Pool) Put(server string, c *Conn, idleTimeout time.Duration) {
 	if !c.Clean() || c.net.SetDeadline(time.Time{}) != nil {
 		c.Close()
 		return
 	}
-	rest := idleUsual
-	if keeps > 0 {
-		rest = min(keeps-idleMargin, idleMost)
+	idle := defaultIdleTimeout
+	if idleTimeout > 0 {
+		idle = min(idleTimeout-idleMargin, maxIdleTimeout)
 	}
-	if rest <= 0 {
+	if idle <= 0 {
 		c.Close()
 		return
 	}
 	c.used = true
-	c.wrote.Store(0)
+	c.written.Store(0)
 	c.sent.Store(false)
-	c.until = clock.Now().Add(rest)
-	p.release(c)
+	c.idleUntil = clock.Now().Add(idle)
+	p.unmarkInUse(c)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle[server] = append(p.idle[server], c)
 }
 
-// Retain closes the idle connections to all servers but those named.
-func (p *Pool) Retain(server func(id string) bool) {
+// Retain closes the idle connections that have expired or whose server is not listed.
+func (p *Pool) Retain(listed func(id string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := clock.Now()
 	for id, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if server(id) && now.Before(c.until) {
+			if listed(id) && now.Before(c.idleUntil) {
 				kept = append(kept, c)
 				continue
 			}
--- a/transport/backend/backend_test.go
+++ b/transport/backend/backend_test.go
@@ -14,10 +14,10 @@
 	"github.com/weldstream/weldstream/internal/clock"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// server accepts connections and hands each to a func.
-func server(t *testing.T, serve func(c net.Conn, br *bufio.Reader)) string {
+// startServer accepts connections and passes each one to serve.
+func startServer(t *testing.T, serve func(c net.Conn, br *bufio.Reader)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,10 +48,10 @@
 	return req
 }
 
-// ask makes one request and returns the body and the connection.
+// ask sends a request and returns the body and the connection.
 func ask(t *testing.T, p *Pool, address string) (string, *Conn) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	c, err := p.Get("s", address, deadline)
 	if err != nil {
 		t.Fatal(err)
@@ -80,25 +80,25 @@
 	return err == nil
 }
 
-// TestKeptConnection checks that a connection whose answer was read to its end
-// is used again, and that one over which the server sent more, then or later, is
-// not: those bytes belong to no request.
-func TestKeptConnection(t *testing.T) {
+// TestConnectionReuse checks that a connection whose answer was read to its end is reused,
+// and that a connection on which the server sent more data, at once or later, is not: those
+// bytes belong to no request.
+func TestConnectionReuse(t *testing.T) {
 	const good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	late := make(chan struct{})
 	for name, c := range map[string]struct {
 		serve func(c net.Conn, br *bufio.Reader)
 		opens int64
 	}{
-		"good": {func(c net.Conn, br *bufio.Reader) {
+		"complete": {func(c net.Conn, br *bufio.Reader) {
 			for answer(c, br, good) {
 			}
 		}, 1},
-		"more at once": {func(c net.Conn, br *bufio.Reader) {
+		"more data at once": {func(c net.Conn, br *bufio.Reader) {
 			for answer(c, br, good+good) {
 			}
 		}, 2},
-		"more later": {func(c net.Conn, br *bufio.Reader) {
+		"more data later": {func(c net.Conn, br *bufio.Reader) {
 			answer(c, br, good)
 			<-late
 			_, _ = io.WriteString(c, good)
@@ -109,7 +109,7 @@
 			<-late
 		}, 2},
 	} {
-		address := server(t, c.serve)
+		address := startServer(t, c.serve)
 		p := NewPool(time.Second)
 		_, conn := ask(t, p, address)
 		p.Put("s", conn, 0)
@@ -129,17 +129,17 @@
 	}
 }
 
-// waitReadable waits until something has arrived at a connection that rests.
+// waitReadable waits until data has arrived on an idle connection.
 func waitReadable(t *testing.T, c *Conn) {
 	t.Helper()
-	for end := time.Now().Add(patience); resting(c.net); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); idleAndQuiet(c.net); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("nothing arrived")
+			t.Fatal("no data arrived")
 		}
 	}
 }
 
-// TestBodyEnds checks which bodies are whole: those whose framing says so.
+// TestBodyEnds checks which bodies count as complete according to their framing.
 func TestBodyEnds(t *testing.T) {
 	for name, c := range map[string]struct {
 		text  string
@@ -151,8 +151,8 @@
 		"no last chunk": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", false},
 		"no length":     {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok", true},
 	} {
-		address := server(t, func(conn net.Conn, br *bufio.Reader) { answer(conn, br, c.text) })
-		deadline := time.Now().Add(patience)
+		address := startServer(t, func(conn net.Conn, br *bufio.Reader) { answer(conn, br, c.text) })
+		deadline := time.Now().Add(testTimeout)
 		conn, err := NewPool(time.Second).Get("s", address, deadline)
 		if err != nil {
 			t.Fatal(err)
@@ -172,18 +172,18 @@
 	}
 }
 
-// TestEarlyAnswer checks that an answer that comes before a long body was read is
-// taken at once, and that the connection is known to be of no further use.
+// TestEarlyAnswer checks that an answer that arrives before a long body was read is returned
+// at once, and that the connection is reported as not reusable.
 func TestEarlyAnswer(t *testing.T) {
 	done := make(chan struct{})
 	defer close(done)
-	address := server(t, func(c net.Conn, br *bufio.Reader) {
+	address := startServer(t, func(c net.Conn, br *bufio.Reader) {
 		var h fasthttp.RequestHeader
 		_ = h.Read(br)
 		_, _ = io.WriteString(c, "HTTP/1.1 413 Too Large\r\nContent-Length: 0\r\n\r\n")
-		<-done // It keeps the connection and reads nothing.
+		<-done // Keeps the connection open without reading.
 	})
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	conn, err := NewPool(time.Second).Get("s", address, deadline)
 	if err != nil {
 		t.Fatal(err)
@@ -197,11 +197,11 @@
 	}
 }
 
-// TestWrote checks that a request of which nothing could be sent is known to be
-// one, and that one that was sent is not.
+// TestWrote checks that Wrote tells a request of which nothing was sent from one that was
+// sent.
 func TestWrote(t *testing.T) {
-	address := server(t, func(_ net.Conn, br *bufio.Reader) { _, _ = br.ReadByte() })
-	deadline := time.Now().Add(patience)
+	address := startServer(t, func(_ net.Conn, br *bufio.Reader) { _, _ = br.ReadByte() })
+	deadline := time.Now().Add(testTimeout)
 	p := NewPool(time.Second)
 	sent, _ := p.Get("s", address, deadline)
 	var resp fasthttp.Response
@@ -215,27 +215,27 @@
 	}
 }
 
-// TestRestEnds checks that a connection which rested for as long as it may is
-// not used again, though nothing has come over it.
-func TestRestEnds(t *testing.T) {
-	address := server(t, func(c net.Conn, br *bufio.Reader) {
+// TestIdleTimeout checks that a connection is not reused after its idle timeout, even if no
+// data has arrived on it.
+func TestIdleTimeout(t *testing.T) {
+	address := startServer(t, func(c net.Conn, br *bufio.Reader) {
 		for answer(c, br, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") {
 		}
 	})
 	p := NewPool(time.Second)
 	_, conn := ask(t, p, address)
 	p.Put("s", conn, 0)
-	conn.until = clock.Now()
+	conn.idleUntil = clock.Now()
 	ask(t, p, address)
 	if p.Opened() != 2 {
 		t.Errorf("%d connections were opened, want 2", p.Opened())
 	}
 }
 
-// TestRestCountsSuspensions checks that a connection which rested while the machine was
-// suspended is not used again: its server has closed it meanwhile.
-func TestRestCountsSuspensions(t *testing.T) {
-	address := server(t, func(c net.Conn, br *bufio.Reader) {
+// TestIdleTimeoutIncludesSuspensions checks that a connection that was idle while the machine
+// was suspended is not reused: its server has closed it in the meantime.
+func TestIdleTimeoutIncludesSuspensions(t *testing.T) {
+	address := startServer(t, func(c net.Conn, br *bufio.Reader) {
 		for answer(c, br, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") {
 		}
 	})
@@ -250,15 +250,15 @@
 	}
 }
 
-// TestEndClosesWhatIsInUse checks that the connections in use to a server that has ended
-// are closed, those to others and those that rest are not, and that none is kept in mind.
-func TestEndClosesWhatIsInUse(t *testing.T) {
-	address := server(t, func(c net.Conn, br *bufio.Reader) {
+// TestCloseInUse checks that the connections in use to a terminated server are closed, that
+// those to other servers and idle ones are not, and that no entry remains.
+func TestCloseInUse(t *testing.T) {
+	address := startServer(t, func(c net.Conn, br *bufio.Reader) {
 		for answer(c, br, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") {
 		}
 	})
 	p := NewPool(time.Second)
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	var conns []*Conn
 	for _, id := range []string{"a", "a", "b"} {
 		c, err := p.Get(id, address, deadline)
@@ -268,18 +268,18 @@
 		conns = append(conns, c)
 	}
 	if n := p.CloseInUse("a"); n != 2 || !conns[0].closed.Load() || !conns[1].closed.Load() || conns[2].closed.Load() {
-		t.Errorf("%d were closed", n)
+		t.Errorf("%d connections were closed", n)
 	}
 	p.Put("b", conns[2], 0)
-	if n := p.CloseInUse("b"); n != 0 || len(p.used) != 0 {
-		t.Errorf("%d that rest were closed, %d servers are kept in mind", n, len(p.used))
+	if n := p.CloseInUse("b"); n != 0 || len(p.inUse) != 0 {
+		t.Errorf("%d idle connections were closed, %d servers have entries", n, len(p.inUse))
 	}
 }
 
-// TestKeep checks that connections are kept to servers that are still listed, and
-// only for as long as they may rest.
-func TestKeep(t *testing.T) {
-	address := server(t, func(c net.Conn, br *bufio.Reader) {
+// TestRetain checks that idle connections are kept only to listed servers, and only until
+// their idle timeout.
+func TestRetain(t *testing.T) {
+	address := startServer(t, func(c net.Conn, br *bufio.Reader) {
 		for answer(c, br, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") {
 		}
 	})
@@ -289,13 +289,13 @@
 	}{
 		{"listed", true, true},
 		{"not listed", false, true},
-		{"rested long enough", true, false},
+		{"expired", true, false},
 	} {
 		p := NewPool(time.Second)
 		_, conn := ask(t, p, address)
 		p.Put("s", conn, 0)
 		if !tc.rest {
-			conn.until = clock.Now()
+			conn.idleUntil = clock.Now()
 		}
 		p.Retain(func(string) bool { return tc.listed })
 		if kept := len(p.idle["s"]) == 1; kept != (tc.listed && tc.rest) {
--- a/transport/backend/body.go
+++ b/transport/backend/body.go
@@ -2,12 +2,12 @@
 
 import "io"
 
-// Body reads an answer's body.
+// Body reads the body of an answer.
 type Body struct {
 	stream io.Reader
 }
 
-// Read implements io.Reader. Only a whole body ends in io.EOF.
+// Read implements io.Reader. It returns io.EOF only at the end of a complete body.
 func (b *Body) Read(p []byte) (int, error) {
 	if b.stream == nil {
 		return 0, io.EOF
--- a/transport/backend/progress.go
+++ b/transport/backend/progress.go
@@ -12,43 +12,43 @@
 	"github.com/weldstream/weldstream/internal/tcp"
 )
 
-// ErrStalled is returned when a server takes no more of a request's body.
-var ErrStalled = eris.New("the server has stopped taking the body")
+// ErrStalled is returned when a server stops accepting a request's body.
+var ErrStalled = eris.New("server stopped accepting the request body")
 
 const (
-	// stallTime is how long a server may take nothing of a body. Its kernel acknowledges
-	// meanwhile, so that the bound on silence does not see it. A pause of a server that
+	// defaultStallTimeout is how long a server may accept nothing of a body. Its kernel still
+	// acknowledges packets, so ackTimeout does not detect this. The pause of a server that
 	// moves or restarts threads is far shorter, and the deadlines of requests with large
 	// bodies are several times as long.
-	stallTime = 3 * time.Second
-	// pieceBytes, in bytes, are handed to the kernel at a time. Each piece has to be taken
-	// within stallTime.
-	pieceBytes = 32 << 10
+	defaultStallTimeout = 3 * time.Second
+	// writeChunkBytes is the number of bytes passed to the kernel at a time. Each chunk must
+	// be accepted within the stall timeout.
+	writeChunkBytes = 32 << 10
 )
 
-// writeAll writes a large part of a request piece by piece, so that a server which takes
-// nothing any more is noticed before the deadline.
-func (c *Conn) writeAll(p []byte) (written int, err error) {
+// writeChunks writes a large part of a request in chunks, so that a stalled server is
+// detected before the deadline.
+func (c *Conn) writeChunks(p []byte) (written int, err error) {
 	for len(p) > 0 {
-		end := time.Now().Add(c.stall)
-		last := !c.deadline.IsZero() && c.deadline.Before(end)
-		if last {
+		end := time.Now().Add(c.stallTimeout)
+		atDeadline := !c.deadline.IsZero() && c.deadline.Before(end)
+		if atDeadline {
 			end = c.deadline
 		}
 		if err := c.net.SetWriteDeadline(end); err != nil {
 			return written, err
 		}
-		if c.bodyUnwanted.Load() { // Set before the deadline that wakes a write, which this one replaced.
+		if c.bodyAborted.Load() { // It was set before the write deadline that aborts the body, which the deadline above has replaced.
 			return written, os.ErrDeadlineExceeded
 		}
-		n, err := c.net.Write(p[:min(len(p), pieceBytes)])
-		c.count(n)
+		n, err := c.net.Write(p[:min(len(p), writeChunkBytes)])
+		c.countWritten(n)
 		written += n
 		p = p[n:]
-		stalled := errors.Is(err, os.ErrDeadlineExceeded) && !last && !c.bodyUnwanted.Load()
+		stalled := errors.Is(err, os.ErrDeadlineExceeded) && !atDeadline && !c.bodyAborted.Load()
 		switch {
 		case stalled && (n > 0 || tcp.Late(end, time.Now())):
-			continue // A part was taken, or may have been while this process stood still.
+			continue // Some bytes were accepted, or may have been while this process was paused.
 		case stalled:
 			return written, ErrStalled
 		case err != nil:
@@ -58,49 +58,49 @@
 	return written, c.net.SetWriteDeadline(c.deadline)
 }
 
-// PoolOption changes a new pool.
+// PoolOption configures a new pool.
 type PoolOption func(*Pool)
 
-// WithStallTimeout sets how long a server may take nothing of a body.
-func WithStallTimeout(d time.Duration) PoolOption { return func(p *Pool) { p.stall = d } }
+// WithStallTimeout sets how long a server may accept nothing of a body.
+func WithStallTimeout(d time.Duration) PoolOption { return func(p *Pool) { p.stallTimeout = d } }
 
-// WithSocketBuffer bounds what the kernel keeps of a connection each way, in bytes; 0 leaves
-// it to the kernel.
-func WithSocketBuffer(bytes int) PoolOption { return func(p *Pool) { p.socket = bytes } }
+// WithSocketBuffer sets the size in bytes of the kernel's buffer for each direction of a
+// connection; 0 for the kernel's default.
+func WithSocketBuffer(bytes int) PoolOption { return func(p *Pool) { p.socketBuffer = bytes } }
 
-// WithMaxConnections bounds the connections to all servers together; 0 sets no bound.
-func WithMaxConnections(most int) PoolOption { return func(p *Pool) { p.most = most } }
+// WithMaxConnections bounds the connections to all servers together; 0 for no bound.
+func WithMaxConnections(n int) PoolOption { return func(p *Pool) { p.maxConnections = n } }
 
-// ErrTooManyConnections is returned when no connection may be opened, and none rests that could be
-// closed for it.
-var ErrTooManyConnections = eris.New("there are too many connections to servers")
+// ErrTooManyConnections is returned when no connection may be opened and there is no idle one
+// to close.
+var ErrTooManyConnections = eris.New("too many connections to servers")
 
-// reserve counts a connection that is to be opened. Where there are too many, the one that
-// may rest for the shortest time yet is closed for it.
+// reserve counts a connection that is about to be opened. If there are too many, it closes
+// the idle connection that expires first.
 func (p *Pool) reserve() bool {
 	for {
-		n := p.count.Load()
-		if p.most == 0 || n < int64(p.most) {
-			if p.count.CompareAndSwap(n, n+1) {
+		n := p.openCount.Load()
+		if p.maxConnections == 0 || n < int64(p.maxConnections) {
+			if p.openCount.CompareAndSwap(n, n+1) {
 				return true
 			}
 			continue
 		}
-		if !p.closeOldest() {
+		if !p.closeIdle() {
 			return false
 		}
 	}
 }
 
-// closeOldest closes the connection whose rest ends first, and reports whether one rested.
-func (p *Pool) closeOldest() bool {
+// closeIdle closes the idle connection that expires first, and reports whether there was one.
+func (p *Pool) closeIdle() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var server string
 	var oldest *Conn
 	for id, list := range p.idle {
 		for _, c := range list {
-			if oldest == nil || c.until.Before(oldest.until) {
+			if oldest == nil || c.idleUntil.Before(oldest.idleUntil) {
 				server, oldest = id, c
 			}
 		}
@@ -116,9 +116,9 @@
 	return true
 }
 
-// limitBuffers bounds what the kernel keeps of a connection.
+// limitBuffers sets the kernel's buffer sizes for a connection.
 func (p *Pool) limitBuffers(conn net.Conn) {
-	if tcp, ok := conn.(*net.TCPConn); ok && p.socket > 0 {
-		_, _ = tcp.SetReadBuffer(p.socket), tcp.SetWriteBuffer(p.socket) // A connection that ended says so when it is used.
+	if tcp, ok := conn.(*net.TCPConn); ok && p.socketBuffer > 0 {
+		_, _ = tcp.SetReadBuffer(p.socketBuffer), tcp.SetWriteBuffer(p.socketBuffer) // A closed connection reports its error when it is used.
 	}
 }
--- a/transport/backend/progress_test.go
+++ b/transport/backend/progress_test.go
@@ -15,17 +15,17 @@
 	"github.com/valyala/fasthttp"
 )
 
-const quickStall = 300 * time.Millisecond
+const shortStallTimeout = 300 * time.Millisecond
 
-// TestStalledServerIsGivenUp checks that a server which takes no more of a body is given
-// up long before the deadline, and that what was sent of it counts as sent.
-func TestStalledServerIsGivenUp(t *testing.T) {
-	address := server(t, func(_ net.Conn, br *bufio.Reader) {
+// TestStalledServerIsDetected checks that a request to a server that accepts no more of its
+// body fails long before the deadline, and that the written part counts as written.
+func TestStalledServerIsDetected(t *testing.T) {
+	address := startServer(t, func(_ net.Conn, br *bufio.Reader) {
 		_, _ = br.ReadByte()
-		time.Sleep(patience) // It lives, its kernel acknowledges, and it reads nothing.
+		time.Sleep(testTimeout) // The server stays up and its kernel acknowledges, but it reads nothing.
 	})
-	p := NewPool(patience, WithStallTimeout(quickStall), WithSocketBuffer(16<<10))
-	deadline := time.Now().Add(10 * patience)
+	p := NewPool(testTimeout, WithStallTimeout(shortStallTimeout), WithSocketBuffer(16<<10))
+	deadline := time.Now().Add(10 * testTimeout)
 	c, err := p.Get("s", address, deadline)
 	if err != nil {
 		t.Fatal(err)
@@ -41,16 +41,16 @@
 		if !errors.Is(err, ErrStalled) || !c.Wrote() {
 			t.Errorf("got %v, wrote %v", err, c.Wrote())
 		}
-	case <-time.After(patience):
-		t.Fatal("the server is still waited for")
+	case <-time.After(testTimeout):
+		t.Fatal("the stall was not detected")
 	}
 }
 
-// TestSlowServerIsWaitedFor checks that a server which takes a body slowly, for longer
-// than it may take nothing, gets all of it.
-func TestSlowServerIsWaitedFor(t *testing.T) {
+// TestSlowServerIsNotStalled checks that a server that reads a body slowly, for longer than
+// the stall timeout, gets all of it.
+func TestSlowServerIsNotStalled(t *testing.T) {
 	const size = 1 << 20
-	address := server(t, func(c net.Conn, br *bufio.Reader) {
+	address := startServer(t, func(c net.Conn, br *bufio.Reader) {
 		var req fasthttp.Request
 		if req.Header.Read(br) != nil {
 			return
@@ -62,12 +62,12 @@
 				return
 			}
 			n += m
-			time.Sleep(time.Duration(m) * 2 * quickStall / size)
+			time.Sleep(time.Duration(m) * 2 * shortStallTimeout / size)
 		}
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 	})
-	p := NewPool(patience, WithStallTimeout(quickStall), WithSocketBuffer(16<<10))
-	deadline := time.Now().Add(patience)
+	p := NewPool(testTimeout, WithStallTimeout(shortStallTimeout), WithSocketBuffer(16<<10))
+	deadline := time.Now().Add(testTimeout)
 	c, err := p.Get("s", address, deadline)
 	if err != nil {
 		t.Fatal(err)
@@ -78,19 +78,19 @@
 	}
 }
 
-// TestConnectionsAreBounded checks that no more connections are open than may be: one that
-// rests is closed for a new one, the oldest first, and without one there is no room.
-func TestConnectionsAreBounded(t *testing.T) {
-	address := server(t, func(_ net.Conn, br *bufio.Reader) { _, _ = br.ReadByte() })
-	p := NewPool(patience, WithMaxConnections(2))
-	get := func(server string) (*Conn, error) { return p.Get(server, address, time.Now().Add(patience)) }
+// TestMaxConnections checks the bound on open connections: for a new connection the idle one
+// that expires first is closed, and without an idle one the connection is refused.
+func TestMaxConnections(t *testing.T) {
+	address := startServer(t, func(_ net.Conn, br *bufio.Reader) { _, _ = br.ReadByte() })
+	p := NewPool(testTimeout, WithMaxConnections(2))
+	get := func(server string) (*Conn, error) { return p.Get(server, address, time.Now().Add(testTimeout)) }
 	first, errFirst := get("a")
 	second, errSecond := get("b")
 	if errFirst != nil || errSecond != nil {
 		t.Fatal(errFirst, errSecond)
 	}
 	if _, err := get("c"); !errors.Is(err, ErrTooManyConnections) {
-		t.Errorf("a third connection beside two in use: %v", err)
+		t.Errorf("a third connection with two in use: %v", err)
 	}
 	p.Put("a", first, 2*time.Second)
 	p.Put("b", second, 20*time.Second)
@@ -99,38 +99,39 @@
 		t.Fatal(err)
 	}
 	if c, err := get("b"); c != second || err != nil {
-		t.Errorf("the one that rested for less was closed: %v", err)
+		t.Errorf("the connection with the longer idle timeout was closed: %v", err)
 	}
 	third.Close()
-	third.Close() // It counts once.
+	third.Close() // Closing twice counts once.
 	if _, err := get("a"); err != nil {
-		t.Errorf("where one was closed: %v", err)
+		t.Errorf("after a connection was closed: %v", err)
 	}
 	if _, err := get("a"); !errors.Is(err, ErrTooManyConnections) {
-		t.Errorf("beside two in use again: %v", err)
+		t.Errorf("with two in use again: %v", err)
 	}
 }
 
-// TestFailedConnectIsNotCounted checks that a server that cannot be reached takes no room.
+// TestFailedConnectIsNotCounted checks that a failed connect does not count as an open
+// connection.
 func TestFailedConnectIsNotCounted(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = ln.Close()
-	p := NewPool(patience, WithMaxConnections(1))
+	p := NewPool(testTimeout, WithMaxConnections(1))
 	for range 3 {
-		if _, err := p.Get("a", ln.Addr().String(), time.Now().Add(patience)); err == nil || errors.Is(err, ErrTooManyConnections) {
+		if _, err := p.Get("a", ln.Addr().String(), time.Now().Add(testTimeout)); err == nil || errors.Is(err, ErrTooManyConnections) {
 			t.Errorf("got %v", err)
 		}
 	}
 }
 
-// TestConnectionsAreBoundedAtOnce checks that the bound holds where many connections are
-// opened at once.
-func TestConnectionsAreBoundedAtOnce(t *testing.T) {
+// TestMaxConnectionsConcurrently checks the bound when many connections are opened at the
+// same time.
+func TestMaxConnectionsConcurrently(t *testing.T) {
 	const most, rounds = 4, 2000
-	p := NewPool(patience, WithMaxConnections(most))
+	p := NewPool(testTimeout, WithMaxConnections(most))
 	for range rounds {
 		var all sync.WaitGroup
 		var got atomic.Int64
@@ -145,37 +146,37 @@
 		}
 		close(begin)
 		all.Wait()
-		if n := got.Load(); n != most || p.count.Load() != most {
-			t.Fatalf("%d got room, and %d are counted", n, p.count.Load())
+		if n := got.Load(); n != most || p.openCount.Load() != most {
+			t.Fatalf("%d connections were reserved, and %d are counted", n, p.openCount.Load())
 		}
-		p.count.Store(0)
+		p.openCount.Store(0)
 	}
 }
 
-// frozen is a connection whose process stands still in the first write, until its
-// time-out is long past. What comes behind it is taken.
-type frozen struct {
+// pausedConn is a connection whose process is paused in the first write until long after the
+// write deadline. Later writes succeed.
+type pausedConn struct {
 	net.Conn
-	end   time.Time
-	stood bool
+	end    time.Time
+	paused bool
 }
 
-func (f *frozen) SetWriteDeadline(t time.Time) error { f.end = t; return nil }
+func (f *pausedConn) SetWriteDeadline(t time.Time) error { f.end = t; return nil }
 
-func (f *frozen) Write(p []byte) (int, error) {
-	if !f.stood {
-		f.stood = true
+func (f *pausedConn) Write(p []byte) (int, error) {
+	if !f.paused {
+		f.paused = true
 		time.Sleep(time.Until(f.end) + 500*time.Millisecond)
 		return 0, os.ErrDeadlineExceeded
 	}
 	return len(p), nil
 }
 
-// TestStandingStillBlamesNoServer checks that a process which stood still for longer than
-// a server may take nothing does not give the server up for it.
-func TestStandingStillBlamesNoServer(t *testing.T) {
-	const size = 4 * pieceBytes
-	c := &Conn{net: &frozen{}, stall: 20 * time.Millisecond}
+// TestProcessPauseIsNotAStall checks that a pause of this process that exceeds the stall
+// timeout does not count as a stall of the server.
+func TestProcessPauseIsNotAStall(t *testing.T) {
+	const size = 4 * writeChunkBytes
+	c := &Conn{net: &pausedConn{}, stallTimeout: 20 * time.Millisecond}
 	if n, err := c.Write(make([]byte, size)); n != size || err != nil {
 		t.Errorf("%d bytes were written: %v", n, err)
 	}
--- a/transport/backend/resting_unix.go
+++ b/transport/backend/resting_unix.go
@@ -8,9 +8,9 @@
 	"syscall"
 )
 
-// resting reports whether an idle connection is open and has delivered
-// nothing: a server that sends without being asked is not to be trusted on it.
-func resting(conn net.Conn) bool {
+// idleAndQuiet reports whether an idle connection is open and has delivered no data: a server
+// that sends unsolicited data on it cannot be trusted.
+func idleAndQuiet(conn net.Conn) bool {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -24,7 +24,7 @@
 	err = raw.Read(func(fd uintptr) bool {
 		_, _, err := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		quiet = errors.Is(err, syscall.EAGAIN)
-		return true // Never waits.
+		return true // Do not wait for the socket to become readable.
 	})
 	return err == nil && quiet
 }
