--- a/transport/forward/exchange.go
+++ b/transport/forward/exchange.go
@@ -114,15 +114,15 @@
 // admit resolves the request's route and workspace, and decides whether it may proceed.
 func (x *exchange) admit() *protocol.Refusal {
 	if x.g.closed.Load() {
-		return protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeLeaving, "the gateway is shutting down").WithRetryAfter(shutdownRetryAfter)
+		return protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeLeaving, "the gateway is stopping").WithRetryAfter(shutdownRetryAfter)
 	}
 	if !x.g.await(x.ctx, x.g.configured, x.startupWait()) {
-		return protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeNotReady, "the gateway has no configuration yet").WithRetryAfter(x.g.readyRetryAfter())
+		return protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeNotReady, "no configuration is known yet").WithRetryAfter(x.g.readyRetryAfter())
 	}
 	x.index = x.g.index.Load()
 	x.route = x.index.Route(x.call.Host, x.call.Path)
 	if x.route == nil {
-		return protocol.NewRefusal(fasthttp.StatusNotFound, protocol.CodeNotFound, "no route matches this host and path")
+		return protocol.NewRefusal(fasthttp.StatusNotFound, protocol.CodeNotFound, "no route has this host and path")
 	}
 	if refusal := x.authenticate(); refusal != nil {
 		return refusal
@@ -168,7 +168,7 @@
 	x.index = x.g.index.Load() // A newer catalog may have arrived during the wait.
 	x.workspace = x.index.Workspace(x.call.Secret)
 	if x.workspace == nil {
-		return protocol.NewRefusal(fasthttp.StatusUnauthorized, protocol.CodeUnauthorized, "unknown workspace key")
+		return protocol.NewRefusal(fasthttp.StatusUnauthorized, protocol.CodeUnauthorized, "the workspace key is not known")
 	}
 	return nil
 }
@@ -188,7 +188,7 @@
 }
 
 func callerGone() *protocol.Refusal {
-	return protocol.NewRefusal(protocol.StatusClientClosed, protocol.CodeCallerGone, "the caller disconnected")
+	return protocol.NewRefusal(protocol.StatusClientClosed, protocol.CodeCallerGone, "the caller hung up")
 }
 
 // setDeadline bounds the request by the caller's remaining time and the route's timeout.
@@ -303,7 +303,7 @@
 		return nil, x.refuseServersFull()
 	}
 	if !ok {
-		return nil, protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeNoBackend, "no server of the service can accept the request").WithRetryAfter(resend.RetryAfter(x.route.Target))
+		return nil, protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeNoBackend, "no server of the service can take the request").WithRetryAfter(resend.RetryAfter(x.route.Target))
 	}
 	return &view.Servers[i], nil
 }
--- a/transport/forward/limits.go
+++ b/transport/forward/limits.go
@@ -167,7 +167,7 @@
 
 func quotaRefusal(wait time.Duration) *protocol.Refusal {
 	const least = 100 * time.Millisecond
-	return protocol.NewRefusal(protocol.StatusTooManyRequests, protocol.CodeOverloaded, "the workspace's quota is exhausted").WithRetryAfter(max(wait, least))
+	return protocol.NewRefusal(protocol.StatusTooManyRequests, protocol.CodeOverloaded, "the workspace's quota is used up").WithRetryAfter(max(wait, least))
 }
 
 // Report returns the gateway's report for the leader of a term.
--- a/transport/forward/room.go
+++ b/transport/forward/room.go
@@ -31,7 +31,7 @@
 func (g *Gateway) NoRoom(req *fasthttp.Request, decision memory.Decision) *fasthttp.Response {
 	call := g.dialect.Call(req)
 	_, workspace := g.Owner(req)
-	r := protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeMemory, "not enough memory for a body of this size").WithRetryAfter(decision.RetryAfter)
+	r := protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeMemory, "no memory is left for a body of this size").WithRetryAfter(decision.RetryAfter)
 	g.meters.requests.Inc(1)
 	g.meters.refused.Inc(1)
 	g.meters.countOutcome(outcome{"", workspace, r.Verdict})
@@ -195,7 +195,7 @@
 const answerBufferBytes = 16 << 10
 
 // errOutOfMemory ends the reading of an answer that exceeds the memory account.
-var errOutOfMemory = errors.New("not enough memory for the answer")
+var errOutOfMemory = errors.New("no memory is left for the answer")
 
 // readWhole reads an answer to its end, reserving memory before each buffer is allocated. If
 // the answer's length is known, it is reserved at once.
@@ -257,5 +257,5 @@
 // is not at fault, and the answer of another server would not fit either.
 func (t *serverAttempt) refuseForAnswerMemory() *protocol.Refusal {
 	t.conn.Close()
-	return protocol.NewRefusal(protocol.StatusBadGateway, protocol.CodeMemory, "not enough memory for the answer").WithVerdict(protocol.MayHaveRun)
+	return protocol.NewRefusal(protocol.StatusBadGateway, protocol.CodeMemory, "no memory is left for the answer").WithVerdict(protocol.MayHaveRun)
 }
