--- a/transport/forward/forward_test.go
+++ b/transport/forward/forward_test.go
@@ -542,7 +542,7 @@
 // disconnected.
 func TestNoRetryAfterCallerHungUp(t *testing.T) {
 	w := newTestGateway(t)
-	gone, leave := context.WithCancel(context.Background())
+	gone, hangUp := context.WithCancel(context.Background())
 	x := newExchange(gone, w.g, &fasthttp.Request{}, nil)
 	defer x.release()
 	x.route = &protocol.PathRoute{Target: time.Second}
@@ -551,7 +551,7 @@
 	if got := x.afterFailure(protocol.NotRun, true, "refused"); got != errRetry {
 		t.Errorf("got %+v while the caller is connected", got)
 	}
-	leave()
+	hangUp()
 	if got := x.afterFailure(protocol.NotRun, true, "refused"); got.Code != protocol.CodeCallerGone {
 		t.Errorf("got %+v", got)
 	}
@@ -782,17 +782,17 @@
 func TestPlacementEndIsReportedAtOnce(t *testing.T) {
 	for _, apart := range []bool{true, false} {
 		w := newTestGateway(t)
-		told := 0
-		w.g.triggerQuota = func() { told++ }
+		triggered := 0
+		w.g.triggerQuota = func() { triggered++ }
 		w.g.WantsApart(apart)
 		x := &exchange{g: w.g, placement: protocol.PlaceReply{Server: "a", Term: 1, Number: 7}, start: clock.Now()}
 		x.reportPlacementEnd()
-		own, others := 0, len(w.g.Report(1).Done)
+		inQuotaCall, inSync := 0, len(w.g.Report(1).Done)
 		if m, any := w.g.ReportWants(); any {
-			own = len(m.Done)
+			inQuotaCall = len(m.Done)
 		}
-		if want := map[bool][3]int{true: {1, 1, 0}, false: {0, 0, 1}}[apart]; [3]int{told, own, others} != want {
-			t.Errorf("separate %v: triggered %d times, %d ends in quota calls, %d in syncs", apart, told, own, others)
+		if want := map[bool][3]int{true: {1, 1, 0}, false: {0, 0, 1}}[apart]; [3]int{triggered, inQuotaCall, inSync} != want {
+			t.Errorf("separate %v: triggered %d times, %d ends in quota calls, %d in syncs", apart, triggered, inQuotaCall, inSync)
 		}
 	}
 }
--- a/transport/forward/memory_test.go
+++ b/transport/forward/memory_test.go
@@ -119,10 +119,10 @@
 		defer slow.Close()
 		_ = slow.(*net.TCPConn).SetReadBuffer(32 << 10)
 		_, _ = io.WriteString(slow, "POST /r/x HTTP/1.1\r\nHost: h\r\nId: 7\r\nContent-Length: 0\r\n\r\n")
-		cell := w.g.view.Load().Find("a").Stats
-		for end := time.Now().Add(testTimeout); w.g.meters.answered.Count() == 0 || cell.Outstanding() > 0; time.Sleep(time.Millisecond) {
+		stats := w.g.view.Load().Find("a").Stats
+		for end := time.Now().Add(testTimeout); w.g.meters.answered.Count() == 0 || stats.Outstanding() > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("route kind %v: the server has %d requests", kind, cell.Outstanding())
+				t.Fatalf("route kind %v: the server has %d requests", kind, stats.Outstanding())
 			}
 		}
 		if got := w.ask(); got.status != 200 || w.g.pool.Opened() != 1 {
@@ -144,7 +144,7 @@
 	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 1})
 	var large atomic.Int64
-	arrived, fall, release := make(chan struct{}, 8), make(chan struct{}), make(chan struct{})
+	arrived, crash, release := make(chan struct{}, 8), make(chan struct{}), make(chan struct{})
 	serve := func(c net.Conn, req *fasthttp.Request) {
 		if len(req.Body()) < size {
 			answerOK(c, req)
@@ -153,7 +153,7 @@
 		first := large.Add(1) <= 2
 		arrived <- struct{}{}
 		if first {
-			<-fall
+			<-crash
 			_ = c.Close()
 			return
 		}
@@ -172,7 +172,7 @@
 	if got := w.g.InFlight()["s"]; got.Limit != 0 || got.Servers["a"] != 2*size {
 		t.Errorf("with two bodies in flight: %+v", got)
 	}
-	close(fall)
+	close(crash)
 	for range 2 {
 		if got := <-replies; got.status != 502 || got.verdict != "may-have-run" {
 			t.Errorf("after the server's crash: %+v", got)
--- a/transport/forward/quarantine_test.go
+++ b/transport/forward/quarantine_test.go
@@ -143,9 +143,9 @@
 func TestOneTrialAtATime(t *testing.T) {
 	w := newTestGateway(t)
 	w.install(protocol.PathRoute{Attempts: 1})
-	goOn := make(chan struct{})
+	release := make(chan struct{})
 	w.backend("slow", func(c net.Conn, req *fasthttp.Request) {
-		<-goOn
+		<-release
 		answerOK(c, req)
 	})
 	w.quarantine(heldUpdate(1, "bad", 1, "g"))
@@ -159,7 +159,7 @@
 	if got := w.send("bad"); got.status != 503 {
 		t.Errorf("the second one got %+v", got)
 	}
-	close(goOn)
+	close(release)
 	if got := <-first; got.status != 200 {
 		t.Errorf("the first one got %+v", got)
 	}
@@ -312,9 +312,9 @@
 // leaving, or if it terminated before it had the whole request.
 func TestExpectedEndsAreNotReported(t *testing.T) {
 	for name, c := range map[string]struct {
-		body  string
-		leave bool
-		told  int
+		body     string
+		leave    bool
+		reported int
 	}{
 		"a staying server":                {"bad", false, 1},
 		"a leaving server":                {"bad", true, 0},
@@ -354,11 +354,11 @@
 				_ = conn.Close()
 			})
 			w.send("other")
-			for range 1 + c.told { // The probes may end in any order.
+			for range 1 + c.reported { // The probes may end in any order.
 				log.await(t, "connections of a server broke")
 			}
-			if told := w.g.Report(1).Observations; len(told) != 1+c.told {
-				t.Errorf("reported %+v", told)
+			if observations := w.g.Report(1).Observations; len(observations) != 1+c.reported {
+				t.Errorf("reported %+v", observations)
 			}
 		})
 	}
--- a/transport/forward/regions_test.go
+++ b/transport/forward/regions_test.go
@@ -102,9 +102,9 @@
 		_ = c.Close()
 	}
 	near, far := w.backendIn("a", "near", once), w.backendIn("c", "far", once)
-	across := func() int64 { return counterValue(t, r, `servers.attempts{distance="other region"}`) }
-	if got := w.ask(); got.status != 200 || across() != 0 || near.runs.Load() != 1 {
-		t.Fatalf("at first: %+v, %d went to the other region", got, across())
+	otherRegion := func() int64 { return counterValue(t, r, `servers.attempts{distance="other region"}`) }
+	if got := w.ask(); got.status != 200 || otherRegion() != 0 || near.runs.Load() != 1 {
+		t.Fatalf("at first: %+v, %d went to the other region", got, otherRegion())
 	}
 	address := w.servers[0].Address
 	w.servers[0].Address = "127.0.0.1:1" // Nothing listens on this port.
@@ -114,13 +114,13 @@
 			t.Fatalf("unreachable, request %d: %+v", i, got)
 		}
 	}
-	if across() != 3 || far.runs.Load() != 3 {
-		t.Fatalf("unreachable: %d of 3 went to the other region", across())
+	if otherRegion() != 3 || far.runs.Load() != 3 {
+		t.Fatalf("unreachable: %d of 3 went to the other region", otherRegion())
 	}
 	w.servers[0].Address = address
 	w.g.SetServers(w.servers)
-	if got := w.ask(); got.status != 200 || across() != 3 || near.runs.Load() != 2 {
-		t.Errorf("reachable again: %+v, %d went to the other region", got, across())
+	if got := w.ask(); got.status != 200 || otherRegion() != 3 || near.runs.Load() != 2 {
+		t.Errorf("reachable again: %+v, %d went to the other region", got, otherRegion())
 	}
 }
 
--- a/transport/forward/restart_test.go
+++ b/transport/forward/restart_test.go
@@ -127,12 +127,12 @@
 	} else {
 		w.g.SetServers(w.servers)
 	}
-	told := w.g.Report(1).Observations
+	reported := w.g.Report(1).Observations
 	again = again && after < unresolvedTTL
-	if again && (len(told) != 1 || told[0].Server != "a@1" || told[0].Runs[0].Fingerprint != bodyFingerprint("bad")) {
-		t.Errorf("reported %+v", told)
+	if again && (len(reported) != 1 || reported[0].Server != "a@1" || reported[0].Runs[0].Fingerprint != bodyFingerprint("bad")) {
+		t.Errorf("reported %+v", reported)
 	}
-	if !again && len(told) != 0 {
-		t.Errorf("reported a server that did not crash: %+v", told)
+	if !again && len(reported) != 0 {
+		t.Errorf("reported a server that did not crash: %+v", reported)
 	}
 }
--- a/transport/forward/trial_test.go
+++ b/transport/forward/trial_test.go
@@ -133,11 +133,11 @@
 func (w *testGateway) awaitRows(answers int64) []protocol.EvidenceRow {
 	for end := time.Now().Add(testTimeout); ; {
 		rows := w.g.Report(1).Trials[0].Rows
-		told := int64(0)
+		reported := int64(0)
 		for _, r := range rows {
-			told += r.Answers.Good + r.Answers.Bad
+			reported += r.Answers.Good + r.Answers.Bad
 		}
-		if told >= answers || time.Now().After(end) {
+		if reported >= answers || time.Now().After(end) {
 			return rows
 		}
 	}
@@ -168,7 +168,7 @@
 	w.setRollout(1, protocol.Rollout{Stage: protocol.RolloutTrial}, 0)
 	w.backendVersion("a", "v1", answerOK)
 	w.askMany(2)
-	told := func(term uint64, want ...int64) protocol.SyncMsg {
+	report := func(term uint64, want ...int64) protocol.SyncMsg {
 		t.Helper()
 		m := w.g.Report(term)
 		var got []int64
@@ -180,14 +180,14 @@
 		}
 		return m
 	}
-	m := told(1, 2)
-	told(1, 2) // The answer was lost.
+	m := report(1, 2)
+	report(1, 2) // The answer was lost.
 	w.g.Reported(&m, &protocol.SyncReply{Term: 1}, clock.Now())
-	told(1)
+	report(1)
 	w.askMany(1)
-	m = told(1, 3)
+	m = report(1, 3)
 	w.g.Reported(&m, &protocol.SyncReply{Term: 1}, clock.Now())
-	told(2, 3)
+	report(2, 3)
 }
 
 // TestMovedRunCountsOnce checks that a moved run that continues at another server is not
