--- /dev/null
+++ b/transport/forward/server_limits.go
@@ -0,0 +1,234 @@
+package forward
+
+import (
+	"math/rand/v2"
+	"time"
+
+	"github.com/weldstream/weldstream/coordination/backpressure"
+	"github.com/weldstream/weldstream/coordination/place"
+	"github.com/weldstream/weldstream/internal/clock"
+	"github.com/weldstream/weldstream/protocol"
+)
+
+const (
+	// permitTimeout is how long a request waits for the leader to grant permits for servers
+	// that limit their requests, before other servers are chosen.
+	permitTimeout = 100 * time.Millisecond
+	// availabilityTimeout is how long a request waits for a server if none accepts requests
+	// at present. A request that would have to wait longer is refused at once.
+	availabilityTimeout = 250 * time.Millisecond
+	// retryAfterJitter is the largest random addition to a caller's retry delay, as a
+	// fraction of the delay, so that requests refused together are not retried together.
+	retryAfterJitter = 0.5
+)
+
+// WithLimitsTrigger sets the function that asks the leader for permits at once.
+func WithLimitsTrigger(f func()) Option { return func(g *Gateway) { g.triggerLimits = f } }
+
+// acquirePermit acquires a permit to send the request to a server. If the server limits its
+// requests, it asks the leader for a permit until the deadline. Without a permit, wait is the
+// time after which one may be available.
+func (x *exchange) acquirePermit(server string, deadline time.Time) (ok bool, wait time.Duration) {
+	decision, wait, answered := x.g.feedback.acquire(server)
+	for decision == backpressure.NeedPermit {
+		if !x.requestPermit(answered, deadline) {
+			return false, permitTimeout
+		}
+		decision, wait, answered = x.g.feedback.acquire(server)
+	}
+	return decision == backpressure.Send, wait
+}
+
+// requestPermit asks the leader for permits and reports whether it answered before the
+// deadline.
+func (x *exchange) requestPermit(answered <-chan struct{}, deadline time.Time) bool {
+	remaining := clock.Until(deadline)
+	if remaining <= 0 {
+		return false // The time was used up for another server; the leader did not answer.
+	}
+	end := time.NewTimer(remaining)
+	defer end.Stop()
+	x.g.triggerLimits()
+	select {
+	case <-answered:
+		return true
+	case <-end.C:
+	case <-x.ctx.Done():
+	}
+	return false
+}
+
+// acquire acquires a permit for a request to a server. If it returns NeedPermit, the channel
+// is closed by the leader's next answer.
+func (w *feedbackState) acquire(server string) (backpressure.Decision, time.Duration, <-chan struct{}) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	now := clock.Now()
+	if w.departures.IsLeaving(server) {
+		return backpressure.Wait, unboundedWait, nil
+	}
+	if remaining := w.backoffs.Remaining(server, now); remaining > 0 {
+		return backpressure.Wait, remaining, nil
+	}
+	decision, wait := w.limits.Acquire(server, now)
+	return decision, wait, w.replied
+}
+
+// recordSent counts a request sent to a server. The count is needed even for servers without
+// a limit: when one names a limit, the requests sent before count against it.
+func (g *Gateway) recordSent(server string) {
+	w := &g.feedback
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.limits.RecordSent(server, clock.Now())
+}
+
+// acquireProbePermit acquires a permit for a state request and reports whether there was one.
+// A leaving server may be asked: its answer says when it ends.
+func (g *Gateway) acquireProbePermit(server string) bool {
+	w := &g.feedback
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	now := clock.Now()
+	if w.backoffs.Remaining(server, now) > 0 {
+		return false
+	}
+	decision, _ := w.limits.Acquire(server, now) // A state request does not wait: it is repeated in the next round.
+	return decision == backpressure.Send
+}
+
+// forcePermit acquires a permit for a run that continues at a server which already has its
+// memory, or records that the run goes ahead without one.
+func (g *Gateway) forcePermit(server string) {
+	w := &g.feedback
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.limits.ForceAcquire(server, clock.Now())
+}
+
+// LimitedServers returns the servers that limit their requests, sorted.
+func (g *Gateway) LimitedServers() []string {
+	w := &g.feedback
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.limits.Limited()
+}
+
+// LimitsOutdated reports whether the leader of a term has limits that are not known here.
+func (g *Gateway) LimitsOutdated(term, change uint64) bool {
+	w := &g.feedback
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.limits.IsStale(term, change)
+}
+
+// ReportLimits returns the limits that the leader lacks and the permits wanted. It returns
+// false if no server is known to limit its requests.
+func (g *Gateway) ReportLimits() (m protocol.LimitsMsg, any bool) {
+	w := &g.feedback
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.limits.SetGateways(int(g.gateways.Load()))
+	m, any = w.limits.Report(clock.Now())
+	m.Gateway = g.cfg.Name
+	return m, any
+}
+
+// ObservedLimits returns the limits that servers reported directly to this gateway.
+func (g *Gateway) ObservedLimits() []protocol.ReportedLimit {
+	w := &g.feedback
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.limits.DirectLimits(clock.Now())
+}
+
+// AddSharedLimits merges limits that servers reported to other gateways.
+func (g *Gateway) AddSharedLimits(rows []protocol.ReportedLimit) {
+	w := &g.feedback
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.limits.MergeForwarded(rows, clock.Now())
+}
+
+// HandleLimitsReply applies the leader's answer to a report made at the given time, or nil if
+// there was none. Waiting requests then check again.
+func (g *Gateway) HandleLimitsReply(m *protocol.LimitsMsg, reply *protocol.LimitsReply, asked time.Time) {
+	w := &g.feedback
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if reply != nil {
+		w.limits.HandleReply(m, reply, asked, clock.Now())
+	}
+	close(w.replied)
+	w.replied = make(chan struct{})
+}
+
+// choosePermitted returns a server returned by pick that accepts the request now. If there is
+// none, it waits for a short time.
+func (x *exchange) choosePermitted(pick func() (*place.Server, *protocol.Refusal)) (*place.Server, *protocol.Refusal) {
+	for deadline := clock.Now().Add(availabilityTimeout); ; {
+		s, wait, refusal := x.pickPermitted(pick)
+		if refusal == nil || wait == unboundedWait {
+			return s, refusal
+		}
+		if clock.Now().Add(wait).After(deadline) || !x.sleep(wait) {
+			return nil, x.refuseAllLimited(wait)
+		}
+	}
+}
+
+// pickPermitted calls pick until it returns a server that accepts the request. If there is
+// none, wait is the time until one of the skipped servers may accept it, or unboundedWait if
+// none of them will.
+func (x *exchange) pickPermitted(pick func() (*place.Server, *protocol.Refusal)) (s *place.Server, wait time.Duration, refusal *protocol.Refusal) {
+	x.unavailable, wait = x.g.feedback.unavailable(x.g.view.Load(), x.service)
+	for deadline := clock.Now().Add(permitTimeout); ; {
+		s, refusal = pick()
+		if refusal != nil {
+			return nil, wait, refusal
+		}
+		ok, free := x.acquirePermit(s.ID, deadline)
+		if ok {
+			return s, 0, nil
+		}
+		x.reportPlacementEnd() // The leader's placement is not used.
+		x.refundTrialCredit()
+		wait = min(wait, free)
+		x.unavailable = append(x.unavailable, s.ID)
+	}
+}
+
+// sleep waits for a duration. It returns false if the request ended in the meantime.
+func (x *exchange) sleep(d time.Duration) bool {
+	timer := time.NewTimer(max(d, minAvailabilityWait))
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return true
+	case <-x.ctx.Done():
+		return false
+	}
+}
+
+// minAvailabilityWait is the shortest wait between two checks for an available server.
+const minAvailabilityWait = 10 * time.Millisecond
+
+// refuseAllLimited refuses a request that no server accepts for a while.
+func (x *exchange) refuseAllLimited(wait time.Duration) *protocol.Refusal {
+	x.g.meters.limitRefused.Inc(1)
+	x.log.Info().Int("servers", len(x.unavailable)).Dur("wait", wait).Msg("no server takes a request at present")
+	retryAfter := max(minAvailabilityWait, wait)
+	retryAfter += time.Duration(retryAfterJitter * rand.Float64() * float64(retryAfter))
+	return protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeOverloaded, "the servers accept no more requests at present").WithRetryAfter(retryAfter)
+}
+
+// placeAgain continues after the chosen server turned out not to accept requests: another one
+// is chosen, and a moved run returns to its source.
+func (x *exchange) placeAgain() *protocol.Refusal {
+	x.reportPlacementEnd()
+	x.refundTrialCredit()
+	if x.continuation != nil && !x.retryContinuation(protocol.NotRun) {
+		return x.afterEarlierAttempts(protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeNoBackend, "the target of the moved answer accepts no requests"))
+	}
+	return errRetry
+}
