--- a/coordination/attempt/attempt.go
+++ b/coordination/attempt/attempt.go
@@ -6,7 +6,8 @@
 // state with the commands to execute (dispatch, emit, export, cancel, finish,
 // refuse). It does no I/O and reads no clock.
 //
-// Three rules ensure in-order delivery and at-most-once execution:
+// Three rules ensure in-order delivery, and at most one run of a request that is
+// not repeatable:
 //
 //   - Attempts are numbered. Only chunks of the current attempt are accepted,
 //     and only at the next token offset: chunks beyond it are buffered, chunks
@@ -15,9 +16,8 @@
 //   - A failed attempt carries a verdict. A request that is not repeatable is
 //     retried only on "not run".
 //   - A running stream moves in two steps. The next attempt is sent only after
-//     the old server has confirmed that it ended the request (export). Two
-//     attempts of one request, other than a hedge, therefore never run
-//     concurrently.
+//     the old server has confirmed that it ended the request (export). A move
+//     therefore never has two attempts of one request run concurrently.
 package attempt
 
 import (
