--- a/coordination/retry/share.go
+++ b/coordination/retry/share.go
@@ -11,11 +11,11 @@
 // Each uses only a part of both, because a gateway that restarts gets its share
 // of the extra again.
 type Share struct {
-	ratio     float64
-	maxTokens float64
-	tokens    float64
-	at        time.Time
-	window    time.Duration
+	ratio       float64
+	extraTokens float64
+	tokens      float64
+	at          time.Time
+	window      time.Duration
 }
 
 // usedFraction is the fraction of ratio and extra that the gateways use.
@@ -23,13 +23,13 @@
 
 // NewShare returns one gateway's share of a budget.
 func NewShare(ratio, extra float64, window time.Duration, gateways int, now time.Time) *Share {
-	maxTokens := extra * usedFraction / float64(max(1, gateways))
-	return &Share{ratio: ratio * usedFraction, maxTokens: maxTokens, tokens: maxTokens, at: now, window: window}
+	extraTokens := extra * usedFraction / float64(max(1, gateways))
+	return &Share{ratio: ratio * usedFraction, extraTokens: extraTokens, tokens: extraTokens, at: now, window: window}
 }
 
 // Resize adjusts the share to a new number of gateways.
 func (s *Share) Resize(extra float64, gateways int) {
-	s.maxTokens = extra * usedFraction / float64(max(1, gateways))
+	s.extraTokens = extra * usedFraction / float64(max(1, gateways))
 }
 
 // Request records a request, which earns a part of a retry.
@@ -48,14 +48,14 @@
 	return true
 }
 
-// adjust refills the extra over two windows. Tokens above it decay over one
+// adjust refills extraTokens over two windows. Tokens above it decay over one
 // window, so that retries do not accumulate for a later window.
 func (s *Share) adjust(now time.Time) {
 	windows := float64(now.Sub(s.at)) / float64(s.window)
 	s.at = now
-	if s.tokens < s.maxTokens {
-		s.tokens = min(s.maxTokens, s.tokens+s.maxTokens*windows/2)
+	if s.tokens < s.extraTokens {
+		s.tokens = min(s.extraTokens, s.tokens+s.extraTokens*windows/2)
 		return
 	}
-	s.tokens -= (s.tokens - s.maxTokens) * min(1, windows)
+	s.tokens -= (s.tokens - s.extraTokens) * min(1, windows)
 }
