--- a/coordination/usage/watermark.go
+++ b/coordination/usage/watermark.go
@@ -28,7 +28,8 @@
 }
 
 // Record records that a gateway has reported all counts from before a time. A restarted
-// gateway does not report the counts of its previous incarnation, which are lost.
+// gateway reports nothing of its previous incarnation: what that one had not reported is
+// lost.
 func (w *Watermarks) Record(gateway string, counted, now time.Time) {
 	w.gateways[gateway] = watermark{counted: counted, heard: now}
 }
