--- a/coordination/fleet/fleet.go
+++ b/coordination/fleet/fleet.go
@@ -193,12 +193,12 @@
 			delete(p.orders, n)
 		}
 	}
-	coming := map[string]bool{}
+	starting := map[string]bool{}
 	for _, o := range p.orders {
-		coming[o.id] = true
+		starting[o.id] = true
 	}
 	for id := range p.assigned {
-		if !listed[id] && !coming[id] {
+		if !listed[id] && !starting[id] {
 			delete(p.assigned, id)
 		}
 	}
