--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -56,14 +56,14 @@
 func (k *Checker) Note(a Ask, r standin.Reply) {
 	k.mu.Lock()
 	k.asks[a.ID], k.replies[a.ID] = a, r
-	if r.Whole && r.Status == http.StatusOK {
+	if r.Complete && r.Status == http.StatusOK {
 		k.served++
 	}
 	k.mu.Unlock()
 	if r.Status == http.StatusServiceUnavailable && strings.Contains(r.Body, `"`+string(protocol.CodeQuarantined)+`"`) {
 		k.breach("%s: refused as a request that ends servers, which it is not", a.ID)
 	}
-	if !r.Whole || r.Status != http.StatusOK {
+	if !r.Complete || r.Status != http.StatusOK {
 		return
 	}
 	if a.Stream {
--- a/internal/soak/cluster.go
+++ b/internal/soak/cluster.go
@@ -135,7 +135,7 @@
 		if err != nil {
 			return err
 		}
-		b.CutUnread = cutUnread
+		b.UnreadTimeout = cutUnread
 		if i%3 == 0 {
 			b.ReadPause = slowServer
 		}
--- a/internal/soak/crash.go
+++ b/internal/soak/crash.go
@@ -61,7 +61,7 @@
 	client := standin.NewClient(address)
 	defer client.Close()
 	for n := 0; more(); n++ {
-		client.AskSame(fmt.Sprintf("crash-%s-%d", caller, n), path, standin.CrashBody(name))
+		client.AskWithBody(fmt.Sprintf("crash-%s-%d", caller, n), path, standin.CrashBody(name))
 		time.Sleep(crashPause)
 	}
 }
@@ -141,7 +141,7 @@
 		k.cluster.Record.Breach("no proxy could be started: " + err.Error())
 		return
 	}
-	next.Address, next.Version, next.Pause, next.CutUnread = proxy.Address(), b.Version, b.Pause, b.CutUnread
+	next.Address, next.Version, next.Pause, next.UnreadTimeout = proxy.Address(), b.Version, b.Pause, b.UnreadTimeout
 	next.SetOnCrash(func() { k.ended(next, proxy) })
 	k.cluster.addServer(next, proxy)
 	k.cluster.API.Add(next)
--- a/internal/soak/limit_test.go
+++ b/internal/soak/limit_test.go
@@ -91,7 +91,7 @@
 // not left out.
 func checkLimit(t *testing.T, b *standin.Backend, named time.Time) {
 	t.Helper()
-	taken := b.Taken()
+	taken := b.ReceivedTimes()
 	allowed := int(limitFactor*limitOfTest*limitWindow.Seconds() + limitBurst)
 	most, behind := 0, 0
 	for i, at := range taken {
--- a/internal/soak/move_test.go
+++ b/internal/soak/move_test.go
@@ -56,7 +56,7 @@
 						defer client.Close()
 						r := client.Ask(a.ID, a.Path)
 						k.Note(a, r)
-						if whole := r.Whole && r.Status == 200; !whole && (!c.cuts || !a.Once) {
+						if whole := r.Complete && r.Status == 200; !whole && (!c.cuts || !a.Once) {
 							t.Errorf("%s on %s: %+v", a.ID, a.Path, r)
 						}
 					})
@@ -69,7 +69,7 @@
 				killLeader(t, c0)
 			}
 			<-gone
-			leaver.Cut()
+			leaver.AbortStreams()
 			c0.API.Remove(leaver)
 			streams.Wait()
 			if c0.Record.Moved() == 0 {
--- a/internal/soak/notice_test.go
+++ b/internal/soak/notice_test.go
@@ -23,7 +23,7 @@
 				defer client.Close()
 				r := client.Ask(a.ID, a.Path)
 				k.Note(a, r)
-				if !r.Whole || r.Status != 200 {
+				if !r.Complete || r.Status != 200 {
 					t.Errorf("%s on %s: %+v", a.ID, a.Path, r)
 				}
 			})
@@ -73,7 +73,7 @@
 	c.procs[(leader+1)%c.Size.Controls].Kill()
 	leaver.Reclaim(moveNotice)
 	time.Sleep(moveNotice)
-	leaver.Cut()
+	leaver.AbortStreams()
 	c.API.Remove(leaver)
 	wait()
 	nothingBroken(t, c, k)
@@ -102,7 +102,7 @@
 			restartLeader(t, c, moved)
 		}
 		<-gone
-		leaver.Cut()
+		leaver.AbortStreams()
 		c.API.Remove(leaver)
 		wait()
 		leaver.Unreclaim()
@@ -151,7 +151,7 @@
 		b.Pause = movePause
 	}
 	c.API.SetDown(true)
-	for end := time.Now().Add(readyTime); c.API.Unread() < 3; time.Sleep(askPause) { // By then the list is out of date.
+	for end := time.Now().Add(readyTime); c.API.FailedLists() < 3; time.Sleep(askPause) { // By then the list is out of date.
 		if time.Now().After(end) {
 			t.Fatal("the leader does not ask for the list")
 		}
@@ -160,7 +160,7 @@
 	leaver := busiest(t, c)
 	leaver.Reclaim(moveNotice)
 	time.Sleep(moveNotice)
-	leaver.Cut()
+	leaver.AbortStreams()
 	c.API.Remove(leaver)
 	wait()
 	c.API.SetDown(false)
--- a/internal/soak/reclaim.go
+++ b/internal/soak/reclaim.go
@@ -58,7 +58,7 @@
 	defer r.reclaims.Unlock()
 	b.Reclaim(notice)
 	time.Sleep(notice)
-	b.Cut()
+	b.AbortStreams()
 	r.cluster.API.Remove(b)
 	b.Unreclaim()
 	time.Sleep(leastNotice)
--- a/internal/soak/rest_test.go
+++ b/internal/soak/rest_test.go
@@ -38,7 +38,7 @@
 	wait := askingAll(ctx, c, k)
 	tired := c.Backends[:2]
 	for _, b := range tired {
-		b.SetRest(restShed, restAsked)
+		b.SetRetryAfter(restShed, restAsked)
 	}
 	time.Sleep(3 * restAsked)
 	stop()
@@ -55,22 +55,22 @@
 // checkRest checks that no gateway sent a server more than it bears while that wanted rest.
 func checkRest(t *testing.T, b *standin.Backend, gateways int) {
 	t.Helper()
-	came, asked := b.Came(), 0
+	came, asked := b.ReceivedRequests(), 0
 	for g := range gateways {
-		own := slices.DeleteFunc(slices.Clone(came), func(c standin.Came) bool { return !strings.HasPrefix(c.ID, fmt.Sprintf("g%d-", g)) })
+		own := slices.DeleteFunc(slices.Clone(came), func(c standin.ReceivedRequest) bool { return !strings.HasPrefix(c.ID, fmt.Sprintf("g%d-", g)) })
 		for i, c := range own {
-			if c.Rest == 0 {
+			if c.RetryAfter == 0 {
 				continue
 			}
 			asked++
 			n := 0
 			for _, later := range own[i+1:] {
-				if d := later.At.Sub(c.At); d > restSlack && d < c.Rest {
+				if d := later.At.Sub(c.At); d > restSlack && d < c.RetryAfter {
 					n++
 				}
 			}
 			if n > restBears {
-				t.Errorf("%s asked gateway %d for %v of rest with %s, and got %d requests from it in that time", b.ID, g, c.Rest, c.ID, n)
+				t.Errorf("%s asked gateway %d for %v of rest with %s, and got %d requests from it in that time", b.ID, g, c.RetryAfter, c.ID, n)
 			}
 		}
 	}
@@ -94,12 +94,12 @@
 	time.Sleep(time.Second)
 	leaver := c.Backends[0]
 	said := time.Now()
-	leaver.SayLeaving()
+	leaver.AnnounceLeaving()
 	time.Sleep(2 * drained)
 	stop()
 	wait()
 	told := map[string]time.Time{} // told is when each gateway got the first answer.
-	for _, r := range leaver.Came() {
+	for _, r := range leaver.ReceivedRequests() {
 		gateway, _, _ := strings.Cut(r.ID, "-")
 		if r.At.Before(said) {
 			continue
--- a/internal/soak/rollout.go
+++ b/internal/soak/rollout.go
@@ -187,7 +187,7 @@
 	if state == "completed" {
 		r.checker.breach("%s is bad (%+v) and was completed", version, f)
 	}
-	runs := r.cluster.Record.Of(version)
+	runs := r.cluster.Record.RunsOfVersion(version)
 	if most := trialShare*float64(r.cluster.Record.Count(ordered, over)) + trialSlack; float64(len(runs)) > most {
 		r.checker.breach("%s is bad and got %d requests, %.0f are allowed", version, len(runs), most)
 	}
@@ -202,7 +202,7 @@
 		version := fmt.Sprintf("v%d", n+2)
 		var last, badAt time.Time
 		fails := 0
-		for _, run := range r.cluster.Record.Of(version) {
+		for _, run := range r.cluster.Record.RunsOfVersion(version) {
 			if run.Bad {
 				if fails++; fails == badMost {
 					badAt = run.At
--- a/internal/soak/rollout_test.go
+++ b/internal/soak/rollout_test.go
@@ -49,7 +49,7 @@
 	defer k.mu.Unlock()
 	n := 0
 	for _, r := range k.replies {
-		if !r.Whole || r.Status != http.StatusOK {
+		if !r.Complete || r.Status != http.StatusOK {
 			n++
 		}
 	}
--- a/internal/soak/slow_test.go
+++ b/internal/soak/slow_test.go
@@ -54,8 +54,8 @@
 			for n := range asks {
 				began := time.Now()
 				r := c.Ask(fmt.Sprintf("%s-%d-%d", name, i, n), "/again/x")
-				if r.Status != 200 || !r.Whole {
-					t.Errorf("a good caller got %d, whole %v", r.Status, r.Whole)
+				if r.Status != 200 || !r.Complete {
+					t.Errorf("a good caller got %d, whole %v", r.Status, r.Complete)
 					return
 				}
 				mu.Lock()
@@ -164,7 +164,7 @@
 	const bears, body, callers, asks = 4 << 20, 512 << 10, 40, 15
 	c, k, _ := cluster(t, Size{Controls: 3, Gateways: 1, Backends: 3, MemoryMB: 512})
 	for _, b := range c.Backends {
-		b.MaxHeld, b.Pause, b.ReadPause = bears, 50*time.Millisecond, 0
+		b.MaxBufferedBytes, b.Pause, b.ReadPause = bears, 50*time.Millisecond, 0
 	}
 	served(t, c.Callers()[0], "first")
 	for _, b := range c.Backends {
@@ -177,7 +177,7 @@
 		all.Go(func() {
 			for n := range asks {
 				a := Ask{ID: fmt.Sprintf("big-%d-%d", i, n), Path: "/once/x", Once: true, Pad: body}
-				r := standin.AskSlowly(c.Callers()[0], a.ID, a.Path, standin.Slow{Piece: 64 << 10, Pad: body})
+				r := standin.AskPaced(c.Callers()[0], a.ID, a.Path, standin.Pacing{ChunkSize: 64 << 10, Padding: body})
 				k.Note(a, r)
 				mu.Lock()
 				statuses[r.Status]++
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -137,12 +137,12 @@
 // never ends.
 var slowAsks = []struct {
 	ask  Ask
-	slow standin.Slow
+	slow standin.Pacing
 }{
-	{Ask{Path: "/again/large", Large: true, Pad: 5 << 10}, standin.Slow{Pause: eventPause, Piece: 2 << 10, Pad: 5 << 10}},
-	{Ask{Path: "/once/x", Once: true, Pad: 64 << 10}, standin.Slow{Pause: bodyPause, Piece: 4 << 10, Pad: 64 << 10}},
-	{Ask{Path: "/once/x", Once: true, Halted: true, Pad: 64 << 10}, standin.Slow{Pause: bodyPause, Piece: 8 << 10, Pad: 64 << 10, Halt: true}},
-	{Ask{Path: "/stream/again/x", Stream: true}, standin.Slow{Pause: eventPause, Piece: 16}},
+	{Ask{Path: "/again/large", Large: true, Pad: 5 << 10}, standin.Pacing{Pause: eventPause, ChunkSize: 2 << 10, Padding: 5 << 10}},
+	{Ask{Path: "/once/x", Once: true, Pad: 64 << 10}, standin.Pacing{Pause: bodyPause, ChunkSize: 4 << 10, Padding: 64 << 10}},
+	{Ask{Path: "/once/x", Once: true, Halted: true, Pad: 64 << 10}, standin.Pacing{Pause: bodyPause, ChunkSize: 8 << 10, Padding: 64 << 10, Abort: true}},
+	{Ask{Path: "/stream/again/x", Stream: true}, standin.Pacing{Pause: eventPause, ChunkSize: 16}},
 }
 
 // askSlowly is one caller that takes its time.
@@ -150,7 +150,7 @@
 	for n := g; ctx.Err() == nil; n++ {
 		s := slowAsks[n%len(slowAsks)]
 		s.ask.ID = fmt.Sprintf("slow-%d-%d", g, n)
-		r.checker.Note(s.ask, standin.AskSlowly(r.cluster.Callers()[g], s.ask.ID, s.ask.Path, s.slow))
+		r.checker.Note(s.ask, standin.AskPaced(r.cluster.Callers()[g], s.ask.ID, s.ask.Path, s.slow))
 		time.Sleep(askPause)
 	}
 }
@@ -267,7 +267,7 @@
 				a.ID = fmt.Sprintf("end-%d-%d-%d", g, i, n)
 				reply := c.Ask(a.ID, a.Path)
 				r.checker.Note(a, reply)
-				return reply.Whole && reply.Status == 200
+				return reply.Complete && reply.Status == 200
 			}) {
 				r.checker.breach("%s at gateway %d does not come back", a.Path, g)
 			}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -68,7 +68,7 @@
 		c := standin.NewClient(address)
 		r := c.Ask(id, "/again/x")
 		c.Close()
-		if r.Whole && r.Status == 200 {
+		if r.Complete && r.Status == 200 {
 			return
 		}
 	}
@@ -88,7 +88,7 @@
 			a.ID = string(rune('a'+g)) + string(rune('a'+i))
 			r := client.Ask(a.ID, a.Path)
 			k.Note(a, r)
-			if r.Status != 200 || !r.Whole {
+			if r.Status != 200 || !r.Complete {
 				t.Errorf("%s at %s: %+v", a.Path, address, r)
 			}
 		}
@@ -167,7 +167,7 @@
 	}
 	r := <-done
 	k.Note(a, r)
-	if r.Status != 200 || !r.Whole || r.Body != standin.Stream() {
+	if r.Status != 200 || !r.Complete || r.Body != standin.Stream() {
 		t.Errorf("the stream came as %+v", r)
 	}
 }
--- a/internal/soak/words.go
+++ b/internal/soak/words.go
@@ -74,9 +74,9 @@
 			k.holds = append(k.holds, hold)
 			k.mu.Unlock()
 		case 1:
-			b.SetRest(restEach, leastRest+time.Duration(rnd.Int64N(int64(mostRest-leastRest))))
+			b.SetRetryAfter(restEach, leastRest+time.Duration(rnd.Int64N(int64(mostRest-leastRest))))
 			pauseFor(ctx, time.Duration(rnd.Int64N(int64(mostTired))))
-			b.SetRest(0, 0)
+			b.SetRetryAfter(0, 0)
 		default:
 			pauseFor(ctx, time.Duration(rnd.Int64N(int64(mostSilent))))
 		}
@@ -96,7 +96,7 @@
 	k.servers.Wait()
 	for _, h := range k.holds {
 		allowed := int(limitFactor*h.perSecond*limitWindow.Seconds()) + limitBurst
-		taken, first, most := h.server.Taken(), 0, 0
+		taken, first, most := h.server.ReceivedTimes(), 0, 0
 		for i, at := range taken {
 			if at.Before(h.from.Add(limitHeard+limitWindow)) || at.After(h.to) {
 				continue
