--- a/coordination/group/group.go
+++ b/coordination/group/group.go
@@ -32,7 +32,7 @@
 // Errors of proposals and reads.
 var (
 	// ErrOutcomeUnknown is returned when a proposal may or may not be committed.
-	ErrOutcomeUnknown = eris.New("the outcome of the proposal is unknown")
+	ErrOutcomeUnknown = eris.New("the outcome of the proposal is not known")
 	// ErrDisk is returned after a write to this replica's disk has failed.
 	ErrDisk = eris.New("this replica's disk failed")
 	// ErrFull is returned when the disk has only its reserve left.
--- a/coordination/replicate/replicate.go
+++ b/coordination/replicate/replicate.go
@@ -41,7 +41,7 @@
 // Errors of proposals and reads.
 var (
 	// ErrNotLeader is returned by a replica that is not the leader.
-	ErrNotLeader = eris.New("this replica is not the leader")
+	ErrNotLeader = eris.New("this replica does not lead")
 	// ErrBusy is returned while a membership change or a handover is in progress, and for
 	// a handover for which no replica answers or that is not complete by its deadline.
 	ErrBusy = eris.New("a membership change or handover is in progress, or no replica could take over")
--- a/transport/backend/backend.go
+++ b/transport/backend/backend.go
@@ -312,7 +312,7 @@
 func (p *Pool) open(address string, deadline time.Time) (*Conn, error) {
 	limit := min(p.dialTimeout, time.Until(deadline))
 	if limit <= 0 {
-		return nil, eris.New("deadline passed before the connect")
+		return nil, eris.New("no time is left to connect")
 	}
 	if !p.reserve() {
 		return nil, ErrTooManyConnections
--- a/transport/backend/progress.go
+++ b/transport/backend/progress.go
@@ -13,7 +13,7 @@
 )
 
 // ErrStalled is returned when a server stops accepting a request's body.
-var ErrStalled = eris.New("server stopped accepting the request body")
+var ErrStalled = eris.New("the server has stopped taking the body")
 
 const (
 	// defaultStallTimeout is how long a server may accept nothing of a body. Its kernel still
@@ -73,7 +73,7 @@
 
 // ErrTooManyConnections is returned when no connection may be opened and there is no idle one
 // to close.
-var ErrTooManyConnections = eris.New("too many connections to servers")
+var ErrTooManyConnections = eris.New("there are too many connections to servers")
 
 // reserve counts a connection that is about to be opened. If there are too many, it closes
 // the idle connection that expires first.
--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -278,7 +278,7 @@
 	}
 	if !t.conn.Wrote() {
 		t.x.distrust(t.server, true)
-		return t.x.afterFailure(protocol.NotRun, false, "the request could not be sent: "+err.Error())
+		return t.x.afterFailure(protocol.NotRun, false, "nothing could be sent: "+err.Error())
 	}
 	if t.conn.Sent() {
 		// The server read the whole request and most likely ran it. Of the requests whose
@@ -288,7 +288,7 @@
 	t.recordBodyCrash(err)
 	t.recordBrokenConnection(err)
 	t.x.distrust(t.server, false)
-	return t.x.afterFailure(protocol.MayHaveRun, true, "no answer from the server: "+err.Error())
+	return t.x.afterFailure(protocol.MayHaveRun, true, "the answer did not come: "+err.Error())
 }
 
 // handleAnswer processes the head of an answer.
@@ -312,7 +312,7 @@
 	if !x.weightsMatch(t.reply.Weights) {
 		t.conn.Close()
 		t.observeFailure()
-		return x.afterFailure(protocol.MayHaveRun, true, "the server continues with a different weight version")
+		return x.afterFailure(protocol.MayHaveRun, true, "the server goes on with other weights")
 	}
 	x.continuationAccepted(status)
 	t.recordWeights(t.reply.Weights)
@@ -345,7 +345,7 @@
 		_, err = io.Copy(io.Discard, io.LimitReader(body, maxAnswerBytes))
 	}
 	t.closeOrReuse(err == nil, stop)
-	return t.x.afterFailure(protocol.NotRun, true, "the server rejected the request without running it, status "+fasthttp.StatusMessage(status))
+	return t.x.afterFailure(protocol.NotRun, true, "the server turned the request away with status "+fasthttp.StatusMessage(status))
 }
 
 // closeOrReuse returns the connection to the pool if its answer was read to the end and the
@@ -388,7 +388,7 @@
 		t.observe(t.answerTimes(time.Now()))
 	}
 	if x.headWritten {
-		return x.afterFailure(protocol.MayHaveRun, true, "the stream had started, but the next server answered with status "+fasthttp.StatusMessage(status))
+		return x.afterFailure(protocol.MayHaveRun, true, "an answer that had begun got no events any more, but status "+fasthttp.StatusMessage(status))
 	}
 	if impliesNotRun(status) || t.reply.Encoded || (failure && x.state.Repeatable) {
 		if refusal := x.afterFailure(protocol.MayHaveRun, true, "the server failed with status "+fasthttp.StatusMessage(status)); refusal == errRetry || impliesNotRun(status) || t.reply.Encoded {
@@ -398,7 +398,7 @@
 	return x.sendWhole(data)
 }
 
-var errTooLarge = errors.New("answer exceeds the size limit")
+var errTooLarge = errors.New("the answer is too large")
 
 // impliesNotRun reports whether a status tells the caller that its request has not run. Only
 // proof from the server justifies such a status.
--- a/transport/forward/memory.go
+++ b/transport/forward/memory.go
@@ -111,7 +111,7 @@
 func (x *exchange) refuseServersFull() *protocol.Refusal {
 	f := x.g.inFlightAt(x.service)
 	x.log.Info().Str("service", x.service).Int64("bytes", x.countedBodyBytes()).Int64("at_servers", f.totalBytes()).Int64("limit", f.limitBytes()).Msg("no server has room for a body")
-	return protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeMemory, "no server has memory for a body of this size").WithRetryAfter(resend.RetryAfter(x.route.Target))
+	return protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeMemory, "no server has room for a body of this size").WithRetryAfter(resend.RetryAfter(x.route.Target))
 }
 
 // refuseNoConnection refuses a request for which no connection may be opened. This is not a
--- a/transport/forward/server_limits.go
+++ b/transport/forward/server_limits.go
@@ -219,7 +219,7 @@
 	x.log.Info().Int("servers", len(x.unavailable)).Dur("wait", wait).Msg("no server takes a request at present")
 	retryAfter := max(minAvailabilityWait, wait)
 	retryAfter += time.Duration(retryAfterJitter * rand.Float64() * float64(retryAfter))
-	return protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeOverloaded, "the servers accept no more requests at present").WithRetryAfter(retryAfter)
+	return protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeOverloaded, "the servers take no more requests at present").WithRetryAfter(retryAfter)
 }
 
 // placeAgain continues after the chosen server turned out not to accept requests: another one
@@ -228,7 +228,7 @@
 	x.reportPlacementEnd()
 	x.refundTrialCredit()
 	if x.continuation != nil && !x.retryContinuation(protocol.NotRun) {
-		return x.afterEarlierAttempts(protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeNoBackend, "the target of the moved answer accepts no requests"))
+		return x.afterEarlierAttempts(protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeNoBackend, "the server that the answer was moved to takes no requests"))
 	}
 	return errRetry
 }
