--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -419,7 +419,7 @@
 	x.firstByte = clock.Since(x.start)
 	x.recordAnswered()
 	if err := x.answer.WriteResponse(resp); err != nil {
-		x.log.Info().Err(err).Msg("answer not taken")
+		x.log.Info().Err(err).Msg("caller did not take the answer")
 	}
 	return nil
 }
--- a/transport/forward/feedback.go
+++ b/transport/forward/feedback.go
@@ -87,7 +87,7 @@
 		return
 	}
 	x.g.meters.limitChanges.Inc(1)
-	x.log.Info().Str("server", server).Bool("named", limit.Named).Float64("rate", limit.PerSecond).Float64("before", before.PerSecond).Msg("server names another limit")
+	x.log.Info().Str("server", server).Bool("named", limit.Named).Float64("rate", limit.PerSecond).Float64("before", before.PerSecond).Msg("server changed its request limit")
 	x.g.triggerLimits() // Other gateways send to the server as well.
 }
 
@@ -111,7 +111,7 @@
 	isNew := w.departures.MarkLeaving(server, clock.Now())
 	w.mu.Unlock()
 	if isNew {
-		x.log.Info().Str("server", server).Msg("server says that it leaves")
+		x.log.Info().Str("server", server).Msg("server announced its departure in an answer")
 		x.g.refreshView()
 	}
 }
--- a/transport/forward/memory.go
+++ b/transport/forward/memory.go
@@ -110,7 +110,7 @@
 // refuseServersFull refuses a request whose body fits no server.
 func (x *exchange) refuseServersFull() *protocol.Refusal {
 	f := x.g.inFlightAt(x.service)
-	x.log.Info().Str("service", x.service).Int64("bytes", x.countedBodyBytes()).Int64("at_servers", f.totalBytes()).Int64("limit", f.limitBytes()).Msg("no server has room for a body")
+	x.log.Info().Str("service", x.service).Int64("bytes", x.countedBodyBytes()).Int64("at_servers", f.totalBytes()).Int64("limit", f.limitBytes()).Msg("no server has memory for a body")
 	return protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeMemory, "no server has room for a body of this size").WithRetryAfter(resend.RetryAfter(x.route.Target))
 }
 
@@ -166,7 +166,7 @@
 	limit := f.Limit()
 	f.mu.Unlock()
 	if lowered {
-		t.x.log.Warn().Str("server", t.server.ID).Str("service", t.x.service).Int64("bytes", bytes).Int64("limit", limit).Msg("server failed with many bytes under way")
+		t.x.log.Warn().Str("server", t.server.ID).Str("service", t.x.service).Int64("bytes", bytes).Int64("limit", limit).Msg("server crashed with large bodies in flight")
 	}
 }
 
@@ -249,7 +249,7 @@
 	if decision.Granted {
 		return nil
 	}
-	x.log.Info().Int64("bytes", decision.Bytes).Int64("share", decision.Workspace).Bool("own", decision.OverShare).Int64("held", decision.Held).Int64("bound", decision.Bound).Msg("no room for an answer")
+	x.log.Info().Int64("bytes", decision.Bytes).Int64("share", decision.Workspace).Bool("own", decision.OverShare).Int64("held", decision.Held).Int64("bound", decision.Bound).Msg("not enough memory for an answer")
 	return errOutOfMemory
 }
 
--- a/transport/forward/notice.go
+++ b/transport/forward/notice.go
@@ -93,14 +93,14 @@
 	g.meters.stateRequests.Inc(1)
 	status, body, err := g.call(s, out, time.Now().Add(noticeTimeout))
 	if err != nil {
-		g.log.Debug().Err(err).Str("server", s.ID).Msg("a server did not tell its state")
+		g.log.Debug().Err(err).Str("server", s.ID).Msg("server did not answer a state request")
 		return // Repeated in the next round.
 	}
 	state, ok := g.moves.reporter.ReadState(status, body)
 	if !ok || !state.Leaving || state.Left <= 0 || !sameStart(s.ID, state.Start) {
 		return
 	}
-	g.log.Info().Str("server", s.ID).Dur("left", state.Left).Msg("server tells that it leaves")
+	g.log.Info().Str("server", s.ID).Dur("left", state.Left).Msg("server reports its departure")
 	g.meters.departureNotices.Inc(1)
 	now := clock.Now()
 	g.moves.addSelfNotice(s.ID, departureNotice{at: now, end: now.Add(state.Left)})
--- a/transport/forward/quarantine.go
+++ b/transport/forward/quarantine.go
@@ -87,7 +87,7 @@
 		return decision.Refusal(time.Now())
 	case use && decision.Trial > 0:
 		x.g.meters.quarantineTrials.Inc(1)
-		x.log.Info().Stringer("fingerprint", x.fingerprint()).Int("trial", decision.Trial).Msg("held request is tried")
+		x.log.Info().Stringer("fingerprint", x.fingerprint()).Int("trial", decision.Trial).Msg("trying a request held in quarantine")
 	}
 	return nil
 }
--- a/transport/forward/stream.go
+++ b/transport/forward/stream.go
@@ -96,7 +96,7 @@
 	}
 	x.recordAnswered()
 	if err := x.answer.Finish(); err != nil {
-		x.log.Info().Err(err).Msg("answer not taken")
+		x.log.Info().Err(err).Msg("caller did not take the answer")
 	}
 	return nil
 }
