--- a/cmd/weldstreamd/control.go
+++ b/cmd/weldstreamd/control.go
@@ -128,8 +128,8 @@
 		Lease:       n.Bounds.Lease,
 		UsageWindow: n.Bounds.UsageWindow,
 		UsageDue:    n.Bounds.UsageDue,
-		Usage:       n.Source.Owes(platform.DutyUsage),
-		Fleet:       n.Source.Owes(platform.DutyFleet),
+		Usage:       n.Source.HasDuty(platform.DutyUsage),
+		Fleet:       n.Source.HasDuty(platform.DutyFleet),
 	}
 }
 
--- a/cmd/weldstreamd/gateway.go
+++ b/cmd/weldstreamd/gateway.go
@@ -99,7 +99,7 @@
 		NoCopies:    !n.Prompts.Copies,
 		MoveAhead:   n.Prompts.MoveAhead,
 		Socket:      n.Memory.SocketKB << 10,
-		Connections: n.ServerConnections(),
+		Connections: n.MaxServerConnections(),
 	}, platform.Dialect{}, forward.WithLogger(r.log), forward.WithRegistry(r.registry), forward.WithSyncNow(func() { g.client.SyncNow() }), forward.WithLimitsNow(func() { g.client.LimitsNow() }),
 		forward.WithQuotaNow(func() { g.client.QuotaNow() }),
 		forward.WithMover(mover(n)),
@@ -128,14 +128,14 @@
 // callerOptions bound what callers may take of the process.
 func (g *gateway) callerOptions() []caller.Option {
 	n := g.settings
-	if held := n.Held(); held > 0 {
+	if held := n.MaxCallerBytes(); held > 0 {
 		g.memory = caller.NewMemory(held, g.registry)
 	}
 	return []caller.Option{
 		caller.WithMemory(g.memory),
 		caller.WithPace(caller.Pace{Rate: n.Memory.Rate, Window: n.Memory.Window}),
 		caller.WithSocket(n.Memory.SocketKB << 10),
-		caller.WithConnections(n.Connections()),
+		caller.WithConnections(n.MaxCallerConnections()),
 		caller.WithLogger(g.log),
 		caller.WithRegistry(g.registry),
 	}
--- a/settings/node.go
+++ b/settings/node.go
@@ -59,23 +59,23 @@
 	callerPart = 0.45
 )
 
-// Held is how many bytes may be held for callers; 0 sets no limit.
-func (n *Node) Held() int64 { return int64(n.Memory.Part * float64(n.MemoryMB) * (1 << 20)) }
+// MaxCallerBytes is how many bytes may be held for callers; 0 sets no limit.
+func (n *Node) MaxCallerBytes() int64 { return int64(n.Memory.Part * float64(n.MemoryMB) * (1 << 20)) }
 
-// Connections is how many connections callers may have; 0 sets no limit.
-func (n *Node) Connections() int {
+// MaxCallerConnections is how many connections callers may have; 0 sets no limit.
+func (n *Node) MaxCallerConnections() int {
 	if n.Descriptors == 0 {
 		return 0
 	}
 	return max(1, int(callerPart*float64(n.Descriptors-keptDescriptors)))
 }
 
-// ServerConnections is how many connections there may be to servers; 0 sets no limit.
-func (n *Node) ServerConnections() int {
+// MaxServerConnections is how many connections there may be to servers; 0 sets no limit.
+func (n *Node) MaxServerConnections() int {
 	if n.Descriptors == 0 {
 		return 0
 	}
-	return max(1, n.Descriptors-keptDescriptors-n.Connections())
+	return max(1, n.Descriptors-keptDescriptors-n.MaxCallerConnections())
 }
 
 // leastHeld is the least that is of use: two bodies of the usual limit, of which one may
@@ -85,7 +85,7 @@
 // checkMemory returns what contradicts itself in the bounds of memory and descriptors.
 func (n *Node) checkMemory(doc *yamlfile.Document) []yamlfile.Fault {
 	var faults []yamlfile.Fault
-	if held := n.Held(); n.Caller != "" && held > 0 && held < leastHeld {
+	if held := n.MaxCallerBytes(); n.Caller != "" && held > 0 && held < leastHeld {
 		faults = append(faults, doc.Fault("memory_mb", fmt.Sprintf("leaves %d bytes for callers (memory.part of it), fewer than %d: raise either, or set the part to 0", held, leastHeld)))
 	}
 	if n.Descriptors > 0 && n.Descriptors < 2*keptDescriptors {
@@ -101,8 +101,8 @@
 	Duties   []string `yaml:"duties"`                             // Duties are those that are owed, by the platform's names; others are ignored.
 }
 
-// Owes reports whether a duty of a name is owed.
-func (s *NodeSource) Owes(duty string) bool { return slices.Contains(s.Duties, duty) }
+// HasDuty reports whether a duty of a name is owed.
+func (s *NodeSource) HasDuty(duty string) bool { return slices.Contains(s.Duties, duty) }
 
 // NodeBounds are promises; every timer that keeps one is derived from it.
 type NodeBounds struct {
--- a/settings/node_test.go
+++ b/settings/node_test.go
@@ -41,7 +41,7 @@
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	if n.Bounds.Revoke != DefaultRevoke || !n.Source.Owes("count") || n.Source.Owes("order") || n.Listen(n.Caller) != n.Caller {
+	if n.Bounds.Revoke != DefaultRevoke || !n.Source.HasDuty("count") || n.Source.HasDuty("order") || n.Listen(n.Caller) != n.Caller {
 		t.Errorf("%+v", n)
 	}
 	n.Bind = "10.0.0.9"
@@ -89,15 +89,15 @@
 // there is no limit.
 func TestNodeHeld(t *testing.T) {
 	n := NewNode()
-	if n.Held() != 0 || n.Connections() != 0 {
-		t.Errorf("without limits %d bytes and %d connections", n.Held(), n.Connections())
+	if n.MaxCallerBytes() != 0 || n.MaxCallerConnections() != 0 {
+		t.Errorf("without limits %d bytes and %d connections", n.MaxCallerBytes(), n.MaxCallerConnections())
 	}
 	n.MemoryMB, n.Descriptors = 200, 4264
-	if n.Held() != 80<<20 || n.Connections() != 1800 || n.ServerConnections() != 2200 {
-		t.Errorf("%d bytes and %d connections", n.Held(), n.Connections())
+	if n.MaxCallerBytes() != 80<<20 || n.MaxCallerConnections() != 1800 || n.MaxServerConnections() != 2200 {
+		t.Errorf("%d bytes and %d connections", n.MaxCallerBytes(), n.MaxCallerConnections())
 	}
 	n.Memory.Part = 0
-	if n.Held() != 0 {
-		t.Errorf("%d bytes for a part of 0", n.Held())
+	if n.MaxCallerBytes() != 0 {
+		t.Errorf("%d bytes for a part of 0", n.MaxCallerBytes())
 	}
 }
