--- a/settings/defaults.go
+++ b/settings/defaults.go
@@ -2,62 +2,61 @@
 
 import "time"
 
-// The defaults of every setting that may be left out. This is the one place
-// that names them.
+// Defaults of all optional settings. Nothing else defines a default.
 const (
-	DefaultBodyBytes       = 4 << 20                // bytes of a caller's body
-	DefaultStreams         = 512                    // requests in progress on one instance
-	DefaultQueue           = 256                    // requests that wait for a slot of one model, on one instance
-	DefaultLoadReads       = 10                     // load reports that one instance asks for in a second
-	DefaultQueueWait       = 10 * time.Second       // the longest such wait
-	DefaultRequestDeadline = 120 * time.Second      // deadline of a request whose caller names none
-	DefaultMaxDeadline     = 30 * time.Minute       // the longest that a caller may name
-	DefaultFirstByte       = 20 * time.Second       // from dispatch to the answer, and to its first event
-	DefaultChunkGap        = 10 * time.Second       // between two events of an engine's stream
-	DefaultWriteStall      = 15 * time.Second       // a caller that takes no byte for so long is cut off
-	DefaultDial            = 500 * time.Millisecond // to connect to a backend server or a peer
-	DefaultAttempts        = 4                      // attempts of one request, the first included
-	DefaultLoadPoll        = 250 * time.Millisecond // between two load reports asked of a server
-	DefaultPlatformPoll    = 500 * time.Millisecond // between two reads of the platform's list
-	DefaultNoticePoll      = 200 * time.Millisecond // between two reads of the platform's notices
-	DefaultGossip          = 200 * time.Millisecond // between two gossip rounds
-	DefaultSuspect         = 3 * time.Second        // without a beat, a member counts as lost
-	DefaultDrain           = 10 * time.Minute       // a planned stop waits so long before it hands over
-	DefaultElection        = 450 * time.Millisecond // least election timeout; the most is twice that
-	DefaultReplicaBeat     = 120 * time.Millisecond // between two heartbeats of a leader
-	DefaultSnapshotEntries = 4096                   // log entries between two snapshots
-	DefaultCommitBatch     = 512                    // inputs that one sync commits at most
-	DefaultReserveBytes    = 64 << 20               // bytes of the disk kept free
-	DefaultClaimWindow     = time.Hour              // how old a claimed request may be
-	DefaultClaimSkew       = 2 * time.Minute        // how far a caller's clock may run ahead
-	DefaultClaims          = 100_000                // claims kept at once
-	DefaultAnswerBytes     = 64 << 20               // bytes of stored answers, all claims together
-	DefaultFleetSettle     = 30 * time.Second       // a new leader looks on before it buys: the lag of the platform's list
-	DefaultFleetSurplus    = 5 * time.Minute        // an instance is one too many so long before it is given back
-	DefaultLogLevel        = "info"
+	DefaultBodyBytes        = 4 << 20                // maximum size of a request body, in bytes
+	DefaultStreams          = 512                    // maximum number of requests in progress on one instance
+	DefaultQueue            = 256                    // maximum number of requests that wait for a slot of one model, on one instance
+	DefaultLoadReads        = 10                     // maximum number of load reports that one instance requests per second
+	DefaultQueueWait        = 10 * time.Second       // maximum time that a request waits for a slot
+	DefaultRequestDeadline  = 120 * time.Second      // deadline of a request whose caller does not set one
+	DefaultMaxDeadline      = 30 * time.Minute       // longest deadline that a caller may set
+	DefaultFirstByte        = 20 * time.Second       // time from dispatch to the response header, and from there to the first event
+	DefaultChunkGap         = 10 * time.Second       // maximum time between two events of an engine's stream
+	DefaultWriteStall       = 15 * time.Second       // a caller that reads no byte for this long is disconnected
+	DefaultDial             = 500 * time.Millisecond // time to connect to a backend server or a peer
+	DefaultAttempts         = 4                      // maximum number of attempts per request, including the first
+	DefaultLoadPoll         = 250 * time.Millisecond // interval between two load reports requested from one server
+	DefaultPlatformPoll     = 500 * time.Millisecond // interval between two reads of the platform's server list
+	DefaultNoticePoll       = 200 * time.Millisecond // interval between two reads of the platform's notices
+	DefaultGossip           = 200 * time.Millisecond // interval between two gossip rounds
+	DefaultSuspect          = 3 * time.Second        // a member without a heartbeat for this long counts as lost
+	DefaultDrain            = 10 * time.Minute       // a planned stop waits this long for running requests before it hands them over
+	DefaultElection         = 450 * time.Millisecond // minimum election timeout; the maximum is twice as long
+	DefaultReplicaHeartbeat = 120 * time.Millisecond // interval between two heartbeats of a leader
+	DefaultSnapshotEntries  = 4096                   // log entries between two snapshots
+	DefaultCommitBatch      = 512                    // maximum number of inputs that one disk sync commits
+	DefaultReserveBytes     = 64 << 20               // bytes of disk space kept free
+	DefaultClaimWindow      = time.Hour              // maximum age of a claimed request
+	DefaultClaimSkew        = 2 * time.Minute        // how far a caller's clock may run ahead
+	DefaultMaxClaims        = 100_000                // maximum number of claims kept at a time
+	DefaultAnswerBytes      = 64 << 20               // maximum size of the stored answers of all claims together, in bytes
+	DefaultFleetSettle      = 30 * time.Second       // a new leader observes this long before it buys instances: the lag of the platform's list
+	DefaultFleetSurplus     = 5 * time.Minute        // an instance must have been surplus for this long before it is returned
+	DefaultLogLevel         = "info"
 
-	// Of gateways and control instances; see Node.
-	DefaultListRate     = 10                     // list calls a second of all instances
-	DefaultRevoke       = 5 * time.Second        // a key that was taken away is refused everywhere
-	DefaultGrace        = 8 * time.Second        // between the order to stop and the end
-	DefaultDutyLease    = 3 * time.Second        // a former holder of a duty may still act
-	DefaultRetryRatio   = 0.1                    // retries as a part of requests
-	DefaultRetryWindow  = 10 * time.Second       // the window of the retries
-	DefaultQuotaWindow  = 8 * time.Second        // the window of the quotas
-	DefaultUsageWindow  = 5 * time.Second        // the window of a usage report
-	DefaultUsageDue     = 10 * time.Second       // after a window its report is due
-	DefaultTrialShare   = 0.1                    // the part of a service's requests that a version may get before a roll-out moves to it
-	DefaultTrialSlack   = 50.0                   // requests that it may get besides
-	DefaultOrderRepeat  = 5 * time.Second        // the order of a roll-out may be sent again for so long
-	DefaultCopies       = true                   // shared parts of prompts are copied between servers
-	DefaultMoves        = true                   // running answers of leaving servers go on elsewhere
-	DefaultMoveAhead    = time.Second            // before its end a leaving server's answers are moved: a domain's servers have hundreds, of 5 to 200 ms each on their links
-	DefaultMemoryPart   = 0.4                    // part of memory_mb that bodies, answers and connections may take, 0 for no limit: the heap may grow to 0.7 of it, and the collector needs a quarter above what is held
-	DefaultCallerRate   = 1 << 10                // least bytes a second at which a caller sends a body or takes an answer, 0 for one byte in each window: a tenth of what the slowest links in use carry
-	DefaultCallerWindow = 15 * time.Second       // the time over which that rate holds: longer than a lost packet is repeated several times
-	DefaultSocketKB     = 64                     // KB that the kernel may keep of a connection of a caller or server each way, 0 to leave it to the kernel: it doubles them, and carries 20 MB/s over 6 ms there and back
-	DefaultNodeElection = 200 * time.Millisecond // least election timeout of control instances
-	DefaultNodeBeat     = 40 * time.Millisecond  // between two heartbeats of their leader
-	DefaultNodeSnapshot = 1024                   // log entries between two snapshots of a control instance
-	DefaultNodeReserve  = 8 << 20                // bytes of a control instance's disk kept free
+	// Defaults for gateways and control instances; see Node.
+	DefaultListRate       = 10                     // maximum number of list calls per second, all instances together
+	DefaultRevoke         = 5 * time.Second        // time within which every instance refuses a revoked key
+	DefaultGrace          = 8 * time.Second        // time from the stop signal to the end of the process
+	DefaultDutyLease      = 3 * time.Second        // how long a former holder of a duty may still act
+	DefaultRetryRatio     = 0.1                    // retries as a fraction of requests
+	DefaultRetryWindow    = 10 * time.Second       // window over which retries are counted
+	DefaultQuotaWindow    = 8 * time.Second        // window over which quotas are checked
+	DefaultUsageWindow    = 5 * time.Second        // window that one usage report covers
+	DefaultUsageDue       = 10 * time.Second       // a usage report is due this long after the end of its window
+	DefaultTrialShare     = 0.1                    // fraction of a service's requests that a new version may receive before a roll-out moves to it
+	DefaultTrialSlack     = 50.0                   // requests that the version may receive in addition to that fraction
+	DefaultOrderRepeat    = 5 * time.Second        // time during which the order of a roll-out may be sent again
+	DefaultCopies         = true                   // copy shared prompt prefixes between servers
+	DefaultMoves          = true                   // move running answers from leaving servers to other servers
+	DefaultMoveAhead      = time.Second            // answers are moved this long before their server ends: the servers of a domain have hundreds, and each takes 5 to 200 ms on their links
+	DefaultMemoryFraction = 0.4                    // fraction of memory_mb that bodies, answers and connections may use, 0 for no limit: the heap may grow to 0.7 of memory_mb, and the garbage collector needs a quarter more than what is held
+	DefaultCallerRate     = 1 << 10                // minimum rate in bytes per second at which a caller must send a body or read an answer, 0 for one byte per window: a tenth of the throughput of the slowest links in use
+	DefaultCallerWindow   = 15 * time.Second       // window over which that rate is measured: longer than it takes to retransmit a lost packet several times
+	DefaultSocketKB       = 64                     // kernel buffer of a connection of a caller or server in each direction, in KB, 0 for the default of the kernel: the kernel doubles the value, which is enough for 20 MB/s at a round trip of 6 ms
+	DefaultNodeElection   = 200 * time.Millisecond // minimum election timeout of control instances
+	DefaultNodeHeartbeat  = 40 * time.Millisecond  // interval between two heartbeats of the leader of the control instances
+	DefaultNodeSnapshot   = 1024                   // log entries between two snapshots of a control instance
+	DefaultNodeReserve    = 8 << 20                // bytes of a control instance's disk kept free
 )
--- a/settings/node_test.go
+++ b/settings/node_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-const nodeText = `name: gateway-1
+const validNode = `name: gateway-1
 domain: zone-a
 caller: 10.0.0.1:80
 ready: 10.0.0.1:81
@@ -34,10 +34,10 @@
 	return n, lines
 }
 
-// TestNode checks that what is left out has its default, and that a duty which
-// this version does not know is passed over.
+// TestNode checks that omitted settings get their default and that an unknown duty
+// is ignored.
 func TestNode(t *testing.T) {
-	n, faults := loadNode(t, nodeText)
+	n, faults := loadNode(t, validNode)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
@@ -46,16 +46,16 @@
 	}
 	n.Bind = "10.0.0.9"
 	if got := n.Listen(n.Caller); got != "10.0.0.9:80" {
-		t.Errorf("listens at %s", got)
+		t.Errorf("listen address %s", got)
 	}
 	if len(n.CheckGateway("f")) > 0 || len(n.CheckControl("f")) != 2 {
-		t.Errorf("as a gateway %v, as a control instance %v", n.CheckGateway("f"), n.CheckControl("f"))
+		t.Errorf("faults as a gateway %v, as a control instance %v", n.CheckGateway("f"), n.CheckControl("f"))
 	}
 }
 
-// TestNodeFaults checks that faults name line and field.
+// TestNodeFaults checks that faults are reported with line and field.
 func TestNodeFaults(t *testing.T) {
-	for name, c := range map[string]struct{ from, to, want string }{
+	for name, c := range map[string]struct{ old, replacement, want string }{
 		"no port":           {"10.0.0.1:80", "10.0.0.1", ":3: caller"},
 		"unknown":           {"domain:", "dom: x\ndomain:", ":2: dom"},
 		"no seeds":          {"seeds: [10.0.1.1:90]", "seeds: []", ":6: seeds"},
@@ -70,34 +70,34 @@
 		"too short":         {"seeds:", "memory: {window: 1ms}\nseeds:", ":6: memory.window"},
 		"too long":          {"seeds:", "bounds: {grace: 200h}\nseeds:", ":6: bounds.grace"},
 	} {
-		_, faults := loadNode(t, strings.Replace(nodeText, c.from, c.to, 1))
+		_, faults := loadNode(t, strings.Replace(validNode, c.old, c.replacement, 1))
 		if len(faults) != 1 || !strings.HasPrefix(faults[0], c.want) {
 			t.Errorf("%s: %v, want %q", name, faults, c.want)
 		}
 	}
 }
 
-// TestNodeDefaultsHold checks that timers which are derived from one another fit.
-func TestNodeDefaultsHold(t *testing.T) {
+// TestNodeDefaultsAreConsistent checks the relations between the defaults of timers.
+func TestNodeDefaultsAreConsistent(t *testing.T) {
 	n := NewNode()
 	if n.Replication.Heartbeat*2 > n.Replication.Election || n.Bounds.Revoke < time.Second {
 		t.Errorf("%+v", n)
 	}
 }
 
-// TestNodeHeld checks what memory and descriptors allow callers, and that without them
-// there is no limit.
-func TestNodeHeld(t *testing.T) {
+// TestNodeResourceLimits checks the limits for callers that follow from memory and descriptors,
+// and that there is no limit without these settings.
+func TestNodeResourceLimits(t *testing.T) {
 	n := NewNode()
 	if n.MaxCallerBytes() != 0 || n.MaxCallerConnections() != 0 {
-		t.Errorf("without limits %d bytes and %d connections", n.MaxCallerBytes(), n.MaxCallerConnections())
+		t.Errorf("without limits: %d bytes and %d connections, want 0", n.MaxCallerBytes(), n.MaxCallerConnections())
 	}
 	n.MemoryMB, n.Descriptors = 200, 4264
 	if n.MaxCallerBytes() != 80<<20 || n.MaxCallerConnections() != 1800 || n.MaxServerConnections() != 2200 {
 		t.Errorf("%d bytes and %d connections", n.MaxCallerBytes(), n.MaxCallerConnections())
 	}
-	n.Memory.Part = 0
+	n.Memory.Fraction = 0
 	if n.MaxCallerBytes() != 0 {
-		t.Errorf("%d bytes for a part of 0", n.MaxCallerBytes())
+		t.Errorf("memory.part 0: %d bytes, want no limit", n.MaxCallerBytes())
 	}
 }
--- a/settings/reference.go
+++ b/settings/reference.go
@@ -11,39 +11,39 @@
 	"time"
 )
 
-// sources are this package's own files: the reference is made from the
-// comments beside the fields and the defaults, so that it cannot differ.
+// sources holds the source files of this package: the reference is generated from
+// the comments on fields and defaults, so that it always agrees with them.
 //
 //go:embed settings.go defaults.go node.go
 var sources embed.FS
 
-// Reference renders every setting, with its default, its bounds and what it
-// means, as Markdown. docs/SETTINGS.md is its output.
+// Reference renders all settings with their default, bounds and meaning as Markdown.
+// docs/SETTINGS.md is its output.
 func Reference() (string, error) {
-	r := &reference{structs: map[string]*ast.StructType{}, notes: map[string]string{}, uses: map[string]string{}}
+	r := &reference{structs: map[string]*ast.StructType{}, comments: map[string]string{}, defaults: map[string]string{}}
 	for _, file := range []string{"settings.go", "defaults.go", "node.go"} {
-		if err := r.read(file); err != nil {
+		if err := r.parse(file); err != nil {
 			return "", err
 		}
 	}
-	r.out.WriteString(tableHead)
-	r.rows("", "Settings", reflect.ValueOf(New()).Elem())
-	r.out.WriteString("\n## The roles gateway and control\n\nOne file a process, `weldstreamd ROLE -settings FILE`.\n\n" + tableHead)
-	r.rows("", "Node", reflect.ValueOf(NewNode()).Elem())
+	r.out.WriteString(tableHeader)
+	r.writeRows("", "Settings", reflect.ValueOf(New()).Elem())
+	r.out.WriteString("\n## The roles gateway and control\n\nEach process has its own file, `weldstreamd ROLE -settings FILE`.\n\n" + tableHeader)
+	r.writeRows("", "Node", reflect.ValueOf(NewNode()).Elem())
 	return r.out.String(), nil
 }
 
-const tableHead = "| setting | default | bounds | meaning |\n| --- | --- | --- | --- |\n"
+const tableHeader = "| setting | default | bounds | meaning |\n| --- | --- | --- | --- |\n"
 
-// reference gathers what the sources say.
+// reference collects what it needs from the sources, and the rendered text.
 type reference struct {
-	structs map[string]*ast.StructType
-	notes   map[string]string // notes are the comments of the defaults, by constant.
-	uses    map[string]string // uses are the constants by struct and field.
-	out     strings.Builder
+	structs  map[string]*ast.StructType
+	comments map[string]string // comments holds the comments of the default constants, by name of the constant.
+	defaults map[string]string // defaults maps STRUCT.FIELD to the name of the constant with its default.
+	out      strings.Builder
 }
 
-func (r *reference) read(file string) error {
+func (r *reference) parse(file string) error {
 	data, err := sources.ReadFile(file)
 	if err != nil {
 		return err
@@ -59,17 +59,17 @@
 				r.structs[n.Name.Name] = s
 			}
 		case *ast.ValueSpec:
-			r.notes[n.Names[0].Name] = strings.TrimSpace(n.Comment.Text())
+			r.comments[n.Names[0].Name] = strings.TrimSpace(n.Comment.Text())
 		case *ast.CompositeLit:
-			r.literal(n)
+			r.recordDefaults(n)
 		}
 		return true
 	})
 	return nil
 }
 
-// literal notes which constants are the defaults of a struct's fields.
-func (r *reference) literal(lit *ast.CompositeLit) {
+// recordDefaults records which constants are the defaults of a struct's fields.
+func (r *reference) recordDefaults(lit *ast.CompositeLit) {
 	name, ok := lit.Type.(*ast.Ident)
 	if !ok {
 		return
@@ -82,37 +82,37 @@
 		key, isKey := kv.Key.(*ast.Ident)
 		value, isValue := kv.Value.(*ast.Ident)
 		if isKey && isValue {
-			r.uses[name.Name+"."+key.Name] = value.Name
+			r.defaults[name.Name+"."+key.Name] = value.Name
 		}
 	}
 }
 
-// rows renders the fields of one struct, and of those inside it.
-func (r *reference) rows(prefix, name string, v reflect.Value) {
+// writeRows writes a table row for each field of a struct, including nested structs.
+func (r *reference) writeRows(prefix, name string, v reflect.Value) {
 	for i, f := range r.structs[name].Fields.List {
 		field := v.Type().Field(i)
 		path := prefix + strings.Split(field.Tag.Get("yaml"), ",")[0]
 		inner := field.Type
 		if inner.Kind() == reflect.Slice && inner.Elem().Kind() == reflect.Struct {
-			r.rows(path+"[].", inner.Elem().Name(), reflect.New(inner.Elem()).Elem())
+			r.writeRows(path+"[].", inner.Elem().Name(), reflect.New(inner.Elem()).Elem())
 			continue
 		}
 		if inner.Kind() == reflect.Struct {
-			r.rows(path+".", inner.Name(), v.Field(i))
+			r.writeRows(path+".", inner.Name(), v.Field(i))
 			continue
 		}
 		fmt.Fprintf(&r.out, "| `%s` | %s | %s | %s |\n", path, defaultText(v.Field(i)), bounds(field.Tag.Get("validate")), r.meaning(name, f))
 	}
 }
 
-// meaning is the comment beside the default, else the field's own.
+// meaning returns the comment of the field's default, or else that of the field.
 func (r *reference) meaning(name string, f *ast.Field) string {
-	if note := r.notes[r.uses[name+"."+f.Names[0].Name]]; note != "" {
-		return note
+	if comment := r.comments[r.defaults[name+"."+f.Names[0].Name]]; comment != "" {
+		return comment
 	}
 	text := strings.TrimSpace(f.Comment.Text() + f.Doc.Text())
 	text = strings.ReplaceAll(text, "\n", " ")
-	_, text, _ = strings.Cut(text, " ") // The comment begins with the field's name.
+	_, text, _ = strings.Cut(text, " ") // The comment starts with the name of the field.
 	text = strings.TrimPrefix(strings.TrimPrefix(text, "is "), "are ")
 	return strings.TrimSuffix(text, ".")
 }
@@ -127,7 +127,7 @@
 	return fmt.Sprint(v.Interface())
 }
 
-// bounds renders a validate tag for a person.
+// bounds renders a validate tag as readable text.
 func bounds(tag string) string {
 	var parts []string
 	for _, rule := range strings.Split(tag, ",") {
--- a/settings/reference_test.go
+++ b/settings/reference_test.go
@@ -9,14 +9,14 @@
 
 const referenceHead = `# Settings of an instance
 
-One YAML file an instance, ` + "`weldstreamd -settings FILE`" + `. ` + "`weldctl settings`" + ` prints this table.
-It is made from settings/settings.go and settings/defaults.go by
+Each instance has its own YAML file, ` + "`weldstreamd -settings FILE`" + `. ` + "`weldctl settings`" + ` prints this table.
+It is generated from settings/settings.go, settings/defaults.go and settings/node.go by
 ` + "`go test ./settings -update`" + `.
 
 `
 
-// TestReference holds docs/SETTINGS.md against the sources, and each row
-// against being without a meaning.
+// TestReference checks that docs/SETTINGS.md is up to date with the sources and that
+// every setting has a description.
 func TestReference(t *testing.T) {
 	text, err := Reference()
 	if err != nil {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,12 +1,13 @@
-// Package settings reads the daemon's settings file.
+// Package settings reads the settings file of the daemon.
 //
-// Settings belong to one instance: its name, addresses, failure domain, disk
-// and limits. What the operators declare for the whole system (models, routes,
-// workspaces) is the configuration, which is replicated and lives elsewhere.
+// Settings apply to one instance: its name, addresses, failure domain, disk
+// and limits. What operators declare for the whole system (models, routes,
+// workspaces) is the configuration, which is replicated and not part of this
+// package.
 //
-// The file is read strictly. An unknown or missing field, an address that is
-// not an IP number with a port, or a duration out of range is reported with
-// file, line and field; nothing starts from a half understood file.
+// Parsing is strict: an unknown or missing field, an address that is not an IP
+// address with a port, and a duration out of range are reported with file, line
+// and field. The daemon does not start with a file that has a fault.
 package settings
 
 import (
@@ -22,56 +23,56 @@
 type Settings struct {
 	Name      string   `yaml:"name" validate:"required,name"`                    // Name is unique in the cluster.
 	Domain    string   `yaml:"domain" validate:"required,name"`                  // Domain is the failure domain.
-	Caller    string   `yaml:"caller" validate:"required,ipport"`                // Caller is where callers connect.
-	Peer      string   `yaml:"peer" validate:"required,ipport"`                  // Peer is where other instances connect.
-	Advertise string   `yaml:"peer_advertise" validate:"omitempty,ipport"`       // Advertise is what others connect to, if not Peer.
-	Admin     string   `yaml:"admin" validate:"required,ipport"`                 // Admin serves operators, dump and metrics.
-	DataDir   string   `yaml:"data_dir"`                                         // DataDir is the disk's folder; empty without a disk.
-	Cluster   Cluster  `yaml:"cluster" validate:"required"`                      // Cluster is what all instances share.
-	Platform  Platform `yaml:"platform" validate:"required"`                     // Platform is the source of the servers' list.
-	Limits    Limits   `yaml:"limits"`                                           // Limits bound what one instance takes on.
-	Timeouts  Timeouts `yaml:"timeouts"`                                         // Timeouts bound every wait.
+	Caller    string   `yaml:"caller" validate:"required,ipport"`                // Caller is the address that callers connect to.
+	Peer      string   `yaml:"peer" validate:"required,ipport"`                  // Peer is the address that other instances connect to.
+	Advertise string   `yaml:"peer_advertise" validate:"omitempty,ipport"`       // Advertise is the address announced to other instances, if it differs from Peer.
+	Admin     string   `yaml:"admin" validate:"required,ipport"`                 // Admin is the address that serves the operator API, the state dump and the metrics.
+	DataDir   string   `yaml:"data_dir"`                                         // DataDir is the data directory; empty on an instance without a disk.
+	Cluster   Cluster  `yaml:"cluster" validate:"required"`                      // Cluster holds the settings that all instances share.
+	Platform  Platform `yaml:"platform" validate:"required"`                     // Platform is the source of the server list.
+	Limits    Limits   `yaml:"limits"`                                           // Limits bounds the work that one instance accepts.
+	Timeouts  Timeouts `yaml:"timeouts"`                                         // Timeouts bounds every wait.
 	Replica   Replica  `yaml:"replica"`                                          // Replica tunes the replication group.
-	Claims    Claims   `yaml:"claims"`                                           // Claims bound the claims kept.
-	Fleet     Fleet    `yaml:"fleet"`                                            // Fleet tunes the leader's purchases.
-	LogLevel  string   `yaml:"log_level" validate:"oneof=debug info warn error"` // LogLevel is the least level that is logged.
+	Claims    Claims   `yaml:"claims"`                                           // Claims bounds the stored claims.
+	Fleet     Fleet    `yaml:"fleet"`                                            // Fleet tunes the leader's purchases of instances.
+	LogLevel  string   `yaml:"log_level" validate:"oneof=debug info warn error"` // LogLevel is the lowest level that is logged.
 }
 
-// Cluster is what all instances of one cluster share.
+// Cluster holds the settings that all instances of one cluster share.
 type Cluster struct {
-	KeyFile string `yaml:"key_file" validate:"required"` // KeyFile holds the cluster's key.
+	KeyFile string `yaml:"key_file" validate:"required"` // KeyFile is the file with the cluster's key.
 	// OperatorDigest are the SHA-256 digests, in hexadecimal, of the operators' tokens.
 	OperatorDigest []string `yaml:"operator_sha256" validate:"required,min=1,dive,len=64,hexadecimal,lowercase"`
-	Peers          []Peer   `yaml:"peers" validate:"dive"`         // Peers are instances to meet first.
-	Replicas       []string `yaml:"replicas" validate:"dive,name"` // Replicas are the founding members of the group.
+	Peers          []Peer   `yaml:"peers" validate:"dive"`         // Peers are the instances to contact first.
+	Replicas       []string `yaml:"replicas" validate:"dive,name"` // Replicas are the founding members of the replication group.
 }
 
-// Peer is an instance that is known from the start.
+// Peer is an instance that is known at start-up.
 type Peer struct {
 	Name    string `yaml:"name" validate:"required,name"`      // Name is the instance's name.
 	Address string `yaml:"address" validate:"required,ipport"` // Address is its peer address.
 }
 
-// Platform is where the list of instances and the notices come from.
+// Platform is the source of the instance list and of the notices.
 type Platform struct {
-	Address    string        `yaml:"address" validate:"required,ipport"` // Address is the platform's.
+	Address    string        `yaml:"address" validate:"required,ipport"` // Address is the platform's address.
 	Poll       time.Duration `yaml:"poll" validate:"dmin=20ms,dmax=1m"`
 	NoticePoll time.Duration `yaml:"notice_poll" validate:"dmin=20ms,dmax=10m"`
 }
 
-// Limits bound what one instance takes on at once.
+// Limits bounds the work that one instance accepts at a time.
 type Limits struct {
 	BodyBytes int `yaml:"body_bytes" validate:"min=1024,max=268435456"`
 	Streams   int `yaml:"streams" validate:"min=1,max=100000"`
 	Attempts  int `yaml:"attempts" validate:"min=1,max=20"`
 	LoadReads int `yaml:"load_reads" validate:"min=1,max=100000"`
-	Queue     int `yaml:"queue" validate:"min=0,max=100000"` // Queue is how many requests wait for a slot of one model.
-	// QueueWait is the longest such wait; a request that would wait longer is
-	// refused at once.
+	Queue     int `yaml:"queue" validate:"min=0,max=100000"` // Queue is the maximum number of requests that wait for a slot of one model.
+	// QueueWait is the maximum time in the queue; a request that would wait
+	// longer is refused immediately.
 	QueueWait time.Duration `yaml:"queue_wait" validate:"dmin=0s,dmax=1h"`
 }
 
-// Timeouts bound every wait of one instance.
+// Timeouts bounds every wait of one instance.
 type Timeouts struct {
 	Request     time.Duration `yaml:"request" validate:"dmin=100ms,dmax=24h"`
 	MaxDeadline time.Duration `yaml:"max_deadline" validate:"dmin=100ms,dmax=24h"`
@@ -90,11 +91,11 @@
 	Election        time.Duration `yaml:"election" validate:"dmin=50ms,dmax=1m"`
 	Heartbeat       time.Duration `yaml:"heartbeat" validate:"dmin=5ms,dmax=10s"`
 	SnapshotEntries int           `yaml:"snapshot_entries" validate:"min=16,max=10000000"`
-	Batch           int           `yaml:"batch" validate:"min=1,max=100000"` // Batch is how many inputs one sync commits at most.
-	ReserveBytes    uint64        `yaml:"reserve_bytes"`                     // ReserveBytes of the disk are kept free.
+	Batch           int           `yaml:"batch" validate:"min=1,max=100000"` // Batch is the maximum number of inputs that one disk sync commits.
+	ReserveBytes    uint64        `yaml:"reserve_bytes"`                     // ReserveBytes is the disk space kept free.
 }
 
-// Claims bound the claims of requests that are not repeatable.
+// Claims bounds the stored claims of requests that are not repeatable.
 type Claims struct {
 	Window      time.Duration `yaml:"window" validate:"dmin=1s,dmax=720h"`
 	Skew        time.Duration `yaml:"skew" validate:"dmin=0s,dmax=1h"`
@@ -102,14 +103,14 @@
 	AnswerBytes int           `yaml:"answer_bytes" validate:"min=0,max=1073741824"`
 }
 
-// Fleet tunes the leader's purchases; what may be bought at all is part of the
-// configuration.
+// Fleet tunes when the leader buys and returns instances; which instances it
+// may buy is part of the configuration.
 type Fleet struct {
 	Settle  time.Duration `yaml:"settle" validate:"dmin=0s,dmax=1h"`
 	Surplus time.Duration `yaml:"surplus" validate:"dmin=1s,dmax=24h"`
 }
 
-// New returns settings with every default filled in.
+// New returns settings with all defaults set.
 func New() *Settings {
 	return &Settings{
 		LogLevel: DefaultLogLevel,
@@ -127,14 +128,14 @@
 			Suspect:     DefaultSuspect,
 			Drain:       DefaultDrain,
 		},
-		Replica: Replica{Election: DefaultElection, Heartbeat: DefaultReplicaBeat, SnapshotEntries: DefaultSnapshotEntries, ReserveBytes: DefaultReserveBytes, Batch: DefaultCommitBatch},
+		Replica: Replica{Election: DefaultElection, Heartbeat: DefaultReplicaHeartbeat, SnapshotEntries: DefaultSnapshotEntries, ReserveBytes: DefaultReserveBytes, Batch: DefaultCommitBatch},
 		Fleet:   Fleet{Settle: DefaultFleetSettle, Surplus: DefaultFleetSurplus},
-		Claims:  Claims{Window: DefaultClaimWindow, Skew: DefaultClaimSkew, Count: DefaultClaims, AnswerBytes: DefaultAnswerBytes},
+		Claims:  Claims{Window: DefaultClaimWindow, Skew: DefaultClaimSkew, Count: DefaultMaxClaims, AnswerBytes: DefaultAnswerBytes},
 	}
 }
 
-// Load reads the settings file. Every fault is returned, each with file, line
-// and field; the error is for a file that could not be read at all.
+// Load reads the settings file and returns every fault in it with file, line
+// and field. The error is non-nil only if the file could not be read.
 func Load(file string) (*Settings, []yamlfile.Fault, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -144,7 +145,7 @@
 	return s, faults, nil
 }
 
-// Parse reads settings from data; file is only the name used in faults.
+// Parse parses settings from data; file is used only in the text of faults.
 func Parse(file string, data []byte) (*Settings, []yamlfile.Fault) {
 	s := New()
 	doc, faults := yamlfile.Decode(file, data, s)
@@ -154,7 +155,7 @@
 	return s, s.crossCheck(doc)
 }
 
-// crossCheck finds faults that no single field shows.
+// crossCheck returns the faults that involve more than one field.
 func (s *Settings) crossCheck(doc *yamlfile.Document) []yamlfile.Fault {
 	var faults []yamlfile.Fault
 	if s.Timeouts.Request > s.Timeouts.MaxDeadline {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-const good = `name: entry-1
+const validSettings = `name: entry-1
 domain: zone-a
 caller: 127.0.0.1:7101
 peer: 127.0.0.1:7201
@@ -19,15 +19,15 @@
   address: 127.0.0.1:7400
 `
 
-// TestFaults shows each kind of fault with its file, line and field.
+// TestFaults checks that each kind of fault is reported with file, line and field.
 func TestFaults(t *testing.T) {
-	replace := func(old, with string) string { return strings.Replace(good, old, with, 1) }
+	replace := func(old, with string) string { return strings.Replace(validSettings, old, with, 1) }
 	cases := []struct{ name, text string }{
-		{"good", good},
+		{"good", validSettings},
 		{"empty", ""},
 		{"not YAML", "name: [entry"},
-		{"two documents", good + "---\nname: x\n"},
-		{"unknown field", good + "color: red\n"},
+		{"two documents", validSettings + "---\nname: x\n"},
+		{"unknown field", validSettings + "color: red\n"},
 		{"unknown nested field", replace("platform:", "platform:\n  region: x")},
 		{"missing name", replace("name: entry-1\n", "")},
 		{"missing cluster key", replace("  key_file: cluster.key\n", "")},
@@ -35,14 +35,14 @@
 		{"host name for an IP number", replace("127.0.0.1:7101", "localhost:7101")},
 		{"no port", replace("127.0.0.1:7201", "127.0.0.1")},
 		{"digest too short", replace("aaaa", "")},
-		{"text for a number", good + "limits: {streams: many}\n"},
-		{"number out of range", good + "limits: {streams: 0}\n"},
-		{"duration out of range", good + "timeouts:\n  dial: 2h\n"},
-		{"duration without unit", good + "timeouts: {dial: 5}\n"},
-		{"deadline above the longest", good + "timeouts: {request: 2h, max_deadline: 1h}\n"},
-		{"heartbeat too slow", good + "replica: {heartbeat: 200ms, election: 300ms}\n"},
+		{"text for a number", validSettings + "limits: {streams: many}\n"},
+		{"number out of range", validSettings + "limits: {streams: 0}\n"},
+		{"duration out of range", validSettings + "timeouts:\n  dial: 2h\n"},
+		{"duration without unit", validSettings + "timeouts: {dial: 5}\n"},
+		{"deadline above the longest", validSettings + "timeouts: {request: 2h, max_deadline: 1h}\n"},
+		{"heartbeat too slow", validSettings + "replica: {heartbeat: 200ms, election: 300ms}\n"},
 		{"replica without disk", replace("cluster:", "cluster:\n  replicas: [entry-1]")},
-		{"level", good + "log_level: loud\n"},
+		{"level", validSettings + "log_level: loud\n"},
 		{"several at once", replace("7101", "x") + "color: red\nlimits: {attempts: 99}\n"},
 	}
 	var out strings.Builder
@@ -56,10 +56,10 @@
 	goldie.New(t).Assert(t, "faults", []byte(out.String()))
 }
 
-// TestDefaults checks that a file with no more than what is required has every
-// default, each within its own bounds.
+// TestDefaults checks that a file with only the required fields gets all defaults and
+// that each default is within its bounds.
 func TestDefaults(t *testing.T) {
-	s, faults := Parse("entry.yaml", []byte(good))
+	s, faults := Parse("entry.yaml", []byte(validSettings))
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
@@ -67,6 +67,6 @@
 		t.Errorf("defaults: %+v", s)
 	}
 	if s.IsReplica() {
-		t.Error("no replica is named")
+		t.Error("IsReplica is true without any replicas")
 	}
 }
