--- a/cmd/weldstreamd/control.go
+++ b/cmd/weldstreamd/control.go
@@ -23,14 +23,15 @@
 const (
 	controlGossip  = 200 * time.Millisecond
 	controlSuspect = 2 * time.Second
-	// goneAfter a silent replica gives its place to one that waits for it.
-	goneAfter = 3 * time.Second
-	// documentBytes bounds an operator's body.
-	documentBytes = 64 << 20
+	// replicaGoneAfter is how long a replica may be silent before a waiting instance
+	// replaces it.
+	replicaGoneAfter = 3 * time.Second
+	// maxOperatorBody is the maximum size of an operator's request body.
+	maxOperatorBody = 64 << 20
 )
 
-// controlInstance wires the layers of a control instance. Its name among the
-// others is its operator address, as the seeds tell nothing else.
+// controlInstance wires the layers of a control instance. Other instances know it by
+// its operator address, because the seeds are operator addresses and contain no names.
 type controlInstance struct {
 	*roleRun
 	tables     *state.Tables
@@ -39,16 +40,16 @@
 	group      *group.Group
 	calls      *control.Calls
 	uplink     *control.Uplink
-	relay      *control.Relay // relay is nil where domains do not lie in several regions.
+	relay      *control.Relay // relay is nil unless the domains are in several regions.
 	peer       net.Listener
 }
 
 func runControl(r *roleRun) error {
 	c := &controlInstance{roleRun: r, tables: state.NewTables()}
-	work, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	eg, work := errgroup.WithContext(work)
-	if err := c.wire(work); err != nil {
+	eg, ctx := errgroup.WithContext(ctx)
+	if err := c.wire(ctx); err != nil {
 		return err
 	}
 	client := transport.NewMembersClient(c.tables, c.links)
@@ -57,7 +58,7 @@
 	duties := control.NewDuties(c.limits(), r.settings.Name, c.group, c.calls, c.uplink, r.log)
 	boot := transport.NewBootstrap(c.group, c.tables, c.links, r.log, c.name(), r.settings.Seeds,
 		transport.WithFound(r.settings.Found), transport.WithOthers())
-	for _, part := range []func(context.Context) error{
+	for _, run := range []func(context.Context) error{
 		func(ctx context.Context) error { return c.links.Serve(ctx, c.peer) },
 		c.membership.Run,
 		c.group.Run,
@@ -72,50 +73,53 @@
 		duties.RunOrders,
 		c.watchRegions,
 		func(ctx context.Context) error {
-			return serveHTTP(ctx, r.settings.Listen(r.settings.Operator), documentBytes, operator)
+			return serveHTTP(ctx, r.settings.Listen(r.settings.Operator), maxOperatorBody, operator)
 		},
 		func(ctx context.Context) error { return c.serveMetrics(ctx, c.dump) },
 	} {
-		eg.Go(func() error { return part(work) })
+		eg.Go(func() error { return run(ctx) })
 	}
 	eg.Go(func() error {
 		defer cancel()
-		c.await(work)
+		c.waitForStop(ctx)
 		return nil
 	})
 	return eg.Wait()
 }
 
-// name is what the others know the instance by.
+// name returns the name by which other instances know this one.
 func (c *controlInstance) name() string { return c.settings.Operator }
 
-// operator parts weldstream's own calls of operators from the platform's.
-func (c *controlInstance) operator(ofPlatform *platform.Operator, own *control.Operator) fasthttp.RequestHandler {
+// operator dispatches operator calls to the handler of weldstream's own API or to that of
+// the platform's API.
+func (c *controlInstance) operator(platformCalls *platform.Operator, ownCalls *control.Operator) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		if strings.HasPrefix(string(ctx.Path()), control.OperatorPath) {
-			own.Handle(ctx)
+			ownCalls.Handle(ctx)
 			return
 		}
-		ofPlatform.Handle(ctx)
+		platformCalls.Handle(ctx)
 	}
 }
 
-// announceMargin is how much longer than an order may be sent again servers of a version
-// that none names are kept from gateways: the order has to be logged as well.
-const announceMargin = time.Second
+// unannouncedMargin is added to the time in which a roll-out order may be sent again, because
+// the order must also be committed to the log. For that long, servers of a version that no
+// roll-out or configuration names are withheld from gateways.
+const unannouncedMargin = time.Second
 
-// progressTime bounds the question how roll-outs go, which an answer can do without.
-const progressTime = 500 * time.Millisecond
+// progressTimeout bounds the query for the progress of roll-outs; an answer to an operator is
+// valid without it.
+const progressTimeout = 500 * time.Millisecond
 
-// progress asks the leader how the roll-outs go, and returns none where it cannot be
-// reached.
+// progress asks the leader for the progress of the roll-outs. It returns nil if the leader
+// cannot be reached.
 func (c *controlInstance) progress() []protocol.RolloutProgress {
 	var list []protocol.RolloutProgress
-	leader, _ := c.peers() // Only the leader knows; the list of all is not needed.
+	leader, _ := c.peers() // Only the leader tracks the progress.
 	if leader == "" {
 		return nil
 	}
-	if err := c.links.Call(leader, "Uplink.Progress", true, &list, progressTime); err != nil {
+	if err := c.links.Call(leader, "Uplink.Progress", true, &list, progressTimeout); err != nil {
 		c.log.Debug().Err(err).Str("leader", leader).Msg("progress of roll-outs not known")
 	}
 	return list
@@ -133,21 +137,21 @@
 	}
 }
 
-func (c *controlInstance) wire(work context.Context) error {
+func (c *controlInstance) wire(ctx context.Context) error {
 	n := c.settings
 	ln, err := net.Listen("tcp", n.Listen(n.Peer))
 	if err != nil {
 		return eris.Wrap(err, "listen")
 	}
 	c.peer = ln
-	c.links = transport.NewLinks(c.name(), []byte(n.ClusterKey), linkDial, c.log)
+	c.links = transport.NewLinks(c.name(), []byte(n.ClusterKey), linkDialTimeout, c.log)
 	c.links.Meter(c.registry)
 	c.links.MeterDistances(n.Topology(), n.Domain, c.registry)
 	if err := c.wireMembership(); err != nil {
 		return err
 	}
 	c.calls = control.NewCalls(platform.NewSource(n.Source.Address, platform.WithLogger(c.log), platform.WithRegistry(c.registry)))
-	sender := transport.NewReplicaSender(work, c.tables, c.links, transport.WithAddresses(c.peerAddress))
+	sender := transport.NewReplicaSender(ctx, c.tables, c.links, transport.WithAddresses(c.peerAddress))
 	c.group, err = group.Open(c.groupConfig(), n.DataDir, c.name(), sender, group.WithLogger(c.log), group.WithRegistry(c.registry), group.WithMoveBlocker(c.calls.Busy), group.WithDocument(func(number uint64, data []byte) { c.uplink.Install(number, data) }),
 		group.WithRollouts(func(l protocol.RolloutLog) { c.uplink.InstallRollouts(l) }),
 		group.WithQuarantine(func(l protocol.QuarantineLog) { c.uplink.InstallQuarantine(l) }))
@@ -156,7 +160,7 @@
 	}
 	opts := []control.UplinkOption{
 		control.WithLogger(c.log), control.WithRegistry(c.registry), control.WithTopology(n.Topology()), control.WithDomains(c.domains), control.WithAlone(n.Bounds.Revoke),
-		control.WithExposure(control.Exposure{Share: n.Bounds.TrialShare, Slack: n.Bounds.TrialSlack, Unannounced: n.Bounds.OrderRepeat + announceMargin}),
+		control.WithExposure(control.Exposure{Share: n.Bounds.TrialShare, Slack: n.Bounds.TrialSlack, Unannounced: n.Bounds.OrderRepeat + unannouncedMargin}),
 	}
 	if c.limits().Usage {
 		opts = append(opts, control.WithQuiet(func() time.Duration { return c.group.Status().SinceLastCommand }))
@@ -164,8 +168,8 @@
 	c.uplink = control.NewUplink(c.group, c.peers, platform.ParseNumbered, n.Bounds.QuotaWindow, opts...)
 	c.relay = control.NewRelay(c.uplink, c.links, c.name(), n.Peer, c.registry)
 	for name, receiver := range map[string]any{
-		"Member": transport.NewMemberService(work, c.membership),
-		"Group":  transport.NewGroupService(work, c.group),
+		"Member": transport.NewMemberService(ctx, c.membership),
+		"Group":  transport.NewGroupService(ctx, c.group),
 		"Uplink": c.uplink,
 		"Config": transport.NewConfigService(c.tables),
 	} {
@@ -186,7 +190,7 @@
 			Window:    replicate.DefaultWindow,
 			Copies:    n.Tolerate + 1,
 			Voters:    2*n.Tolerate + 1,
-			Gone:      goneAfter,
+			Gone:      replicaGoneAfter,
 			Wide:      n.Topology().MultiRegion(),
 		},
 		SnapshotEntries: n.Replication.SnapshotEntries,
@@ -201,7 +205,7 @@
 	self := protocol.Member{Name: c.name(), Address: n.Peer, Domain: n.Domain, Incarnation: uint64(time.Now().UnixNano())}
 	var seeds []protocol.Member
 	for _, seed := range n.Seeds {
-		peer, err := peerOf(seed, n.Peer)
+		peer, err := seedPeerAddress(seed, n.Peer)
 		if err != nil {
 			return err
 		}
@@ -214,16 +218,16 @@
 	return nil
 }
 
-// peerAddress returns the peer address of a control instance by its name, its
-// operator address. Members that the log names are reached by it before the
-// membership has met them.
+// peerAddress derives the peer address of a control instance from its name, which is its
+// operator address. This makes members named in the log reachable before the membership
+// protocol has discovered them.
 func (c *controlInstance) peerAddress(name string) (string, bool) {
-	address, err := peerOf(name, c.settings.Peer)
+	address, err := seedPeerAddress(name, c.settings.Peer)
 	return address, err == nil
 }
 
-// peers returns the peer addresses of the leader, as far as one is known that can
-// answer, and of all control instances that are known.
+// peers returns the peer address of the leader and those of all known control instances. The
+// leader is empty if it is unknown, or if this instance leads but cannot confirm it.
 func (c *controlInstance) peers() (leader string, all []string) {
 	for _, row := range c.tables.Members.Rows() {
 		if row.State < protocol.MemberDead {
@@ -234,12 +238,12 @@
 	if _, vouches := c.group.Vouches(); name == "" || (name == c.name() && !vouches) {
 		return "", all
 	}
-	leader, _ = c.peerAddress(name) // A name that is no address is nobody's.
+	leader, _ = c.peerAddress(name) // A name that is not an address leaves the leader empty.
 	return leader, all
 }
 
-// domains returns the failure domains of control instances by their peer addresses;
-// empty for one that is not known.
+// domains returns the failure domain for each peer address of a control instance; it is
+// empty for an unknown one.
 func (c *controlInstance) domains(peers []string) []string {
 	known := map[string]string{}
 	for _, row := range c.tables.Members.Rows() {
@@ -252,7 +256,7 @@
 	return list
 }
 
-func (c *controlInstance) await(work context.Context) {
+func (c *controlInstance) waitForStop(ctx context.Context) {
 	for {
 		select {
 		case <-c.reloads:
@@ -260,8 +264,8 @@
 			continue
 		case s := <-c.stops:
 			c.log.Info().Stringer("signal", s).Msg("stopping")
-			c.handOver(work)
-		case <-work.Done():
+			c.handOver(ctx)
+		case <-ctx.Done():
 		}
 		return
 	}
--- a/cmd/weldstreamd/daemon.go
+++ b/cmd/weldstreamd/daemon.go
@@ -22,7 +22,7 @@
 	"github.com/weldstream/weldstream/transport"
 )
 
-// minKeyBytes is the least length of the cluster's key.
+// minKeyBytes is the minimum length of the cluster's key.
 const minKeyBytes = 16
 
 // daemon wires the layers of one instance.
@@ -34,20 +34,20 @@
 	links      *transport.Links
 	membership *transport.Membership
 	poller     *transport.Poller
-	client     *transport.GroupClient // client is nil without a replication group.
+	client     *transport.GroupClient // client is nil if there is no replication group.
 	quarantine *transport.Quarantine
-	group      *group.Group // group is nil on an instance that keeps no replica.
-	confirmed  atomic.Bool  // confirmed says that a quorum confirmed the configuration once.
+	group      *group.Group // group is nil on an instance without a replica.
+	confirmed  atomic.Bool  // confirmed is set once a quorum has confirmed the configuration.
 	gateway    *transport.Gateway
 	limits     *transport.Limits
 	admin      *transport.Admin
 	listeners  listeners
-	work       context.Context // work ends when the daemon does.
-	notice     chan protocol.Notice
+	ctx        context.Context // ctx is canceled when the daemon stops.
+	reclaims   chan protocol.Notice
 }
 
-// listeners are opened before anything else, so that a port that is taken
-// stops the start.
+// listeners are opened before anything else is started, so that start-up fails early
+// if a port is in use.
 type listeners struct {
 	caller, peer, admin net.Listener
 }
@@ -63,7 +63,7 @@
 		tables:   state.NewTables(),
 		registry: metrics.NewRegistry(),
 		links:    transport.NewLinks(s.Name, key, s.Timeouts.Dial, log),
-		notice:   make(chan protocol.Notice, 1),
+		reclaims: make(chan protocol.Notice, 1),
 	}
 	if err := d.listen(); err != nil {
 		return nil, err
@@ -75,11 +75,11 @@
 func clusterKey(file string) ([]byte, error) {
 	key, err := os.ReadFile(file)
 	if err != nil {
-		return nil, eris.Wrap(err, "read the cluster's key")
+		return nil, eris.Wrap(err, "read cluster key")
 	}
 	key = bytes.TrimSpace(key)
 	if len(key) < minKeyBytes {
-		return nil, eris.Errorf("%s: the cluster's key is shorter than %d bytes", file, minKeyBytes)
+		return nil, eris.Errorf("%s: cluster key is shorter than the minimum of %d bytes", file, minKeyBytes)
 	}
 	return key, nil
 }
@@ -115,8 +115,8 @@
 		seeds = append(seeds, protocol.Member{Name: p.Name, Address: p.Address})
 	}
 	view := member.New(member.DefaultConfig(s.Timeouts.Suspect), self, seeds)
-	d.membership = transport.NewMembership(d.tables, d.links, d.log, s.Timeouts.Gossip, view, d.describe)
-	d.poller = transport.NewPoller(s, d.tables, d.log, transport.PollerEvents{Leaving: d.serverLeaving, Joined: d.serverJoined, Entry: d.noticed})
+	d.membership = transport.NewMembership(d.tables, d.links, d.log, s.Timeouts.Gossip, view, d.selfState)
+	d.poller = transport.NewPoller(s, d.tables, d.log, transport.PollerEvents{Leaving: d.serverLeaving, Joined: d.serverJoined, Entry: d.reclaimNotice})
 	d.limits = transport.NewLimits(d.tables, d.links, d.log, s.Name, transport.LimitConfig(s))
 	d.links.Meter(d.registry)
 	d.poller.Meter(d.registry)
@@ -124,7 +124,7 @@
 	if len(s.Cluster.Replicas) > 0 {
 		d.client = transport.NewGroupClient(d.tables, d.links, s.Cluster.Replicas)
 	}
-	d.quarantine = transport.NewQuarantine(s.Name, d.observer(), s.Timeouts.Dial, d.log)
+	d.quarantine = transport.NewQuarantine(s.Name, d.quarantineObserver(), s.Timeouts.Dial, d.log)
 	d.gateway = transport.NewGateway(s, d.tables,
 		transport.WithQuarantine(d.quarantine),
 		transport.WithSelf(self),
@@ -149,35 +149,36 @@
 	return transport.ConfigReady(d.tables)()
 }
 
-func (d *daemon) describe() member.SetSelfMsg {
+func (d *daemon) selfState() member.SetSelfMsg {
 	return member.SetSelfMsg{Ready: d.gateway.Ready() == nil, Leaving: d.gateway.Stopping()}
 }
 
 func (d *daemon) serverLeaving(l protocol.Leaving) {
-	d.membership.ServerLeaving(d.work, l)
+	d.membership.ServerLeaving(d.ctx, l)
 }
 
-func (d *daemon) serverJoined(in protocol.Instance) { d.membership.ServerJoined(d.work, in) }
+func (d *daemon) serverJoined(in protocol.Instance) { d.membership.ServerJoined(d.ctx, in) }
 
-// noticed begins a planned stop when the platform will reclaim this instance.
-func (d *daemon) noticed(n protocol.Notice) {
+// reclaimNotice starts a planned stop when the platform announces that it will reclaim
+// this instance.
+func (d *daemon) reclaimNotice(n protocol.Notice) {
 	select {
-	case d.notice <- n:
+	case d.reclaims <- n:
 	default:
 	}
 }
 
-// run serves until a signal to stop, or until the platform's notice, and then stops as
-// planned.
+// run serves until it receives a stop signal or a reclaim notice of the platform, and then
+// carries out a planned stop.
 func (d *daemon) run(stops, dumps <-chan os.Signal) error {
-	work, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	g, work := errgroup.WithContext(work)
-	d.work = work
-	if err := d.startGroup(work, g); err != nil {
+	g, ctx := errgroup.WithContext(ctx)
+	d.ctx = ctx
+	if err := d.startGroup(ctx, g); err != nil {
 		return err
 	}
-	if err := d.links.Register("Member", transport.NewMemberService(work, d.membership)); err != nil {
+	if err := d.links.Register("Member", transport.NewMemberService(ctx, d.membership)); err != nil {
 		return err
 	}
 	if err := d.links.Register("HandOver", transport.NewHandOverService(d.gateway)); err != nil {
@@ -189,7 +190,7 @@
 	if err := d.links.Register("Config", transport.NewConfigService(d.tables)); err != nil {
 		return err
 	}
-	for _, part := range []func(context.Context) error{
+	for _, run := range []func(context.Context) error{
 		func(ctx context.Context) error { return d.links.Serve(ctx, d.listeners.peer) },
 		d.membership.Run,
 		d.poller.RunList,
@@ -198,21 +199,21 @@
 		d.gateway.FollowLeaving,
 		d.limits.Run,
 		d.quarantine.Run,
-		func(ctx context.Context) error { return d.dumpOn(ctx, dumps) },
+		func(ctx context.Context) error { return d.dumpOnSignal(ctx, dumps) },
 	} {
-		g.Go(func() error { return part(work) })
+		g.Go(func() error { return run(ctx) })
 	}
 	g.Go(func() error { return d.gateway.Serve(d.listeners.caller) })
 	g.Go(func() error { return d.admin.Serve(d.listeners.admin) })
 	g.Go(func() error {
 		defer cancel()
-		return d.stopAfter(stops, work)
+		return d.waitAndStop(stops, ctx)
 	})
 	d.log.Info().Str("caller", d.listeners.caller.Addr().String()).Str("peer", d.listeners.peer.Addr().String()).Str("admin", d.listeners.admin.Addr().String()).Msg("serving")
 	return g.Wait()
 }
 
-func (d *daemon) dumpOn(ctx context.Context, dumps <-chan os.Signal) error {
+func (d *daemon) dumpOnSignal(ctx context.Context, dumps <-chan os.Signal) error {
 	for {
 		select {
 		case <-dumps:
--- a/cmd/weldstreamd/dump.go
+++ b/cmd/weldstreamd/dump.go
@@ -10,13 +10,13 @@
 	"github.com/weldstream/weldstream/transport"
 )
 
-// dump is the state of one process, as SIGQUIT and the admin address show it.
+// dump is the state of one process, written on SIGQUIT and served on the admin address.
 type dump struct {
 	At       time.Time           `json:"at"`
 	Name     string              `json:"name"`
 	Domain   string              `json:"domain"`
 	Ready    bool                `json:"ready"`
-	Unready  string              `json:"unready,omitempty"` // Unready is the reason when not ready.
+	Unready  string              `json:"unready,omitempty"` // Unready is the reason why the instance is not ready.
 	Number   uint64              `json:"number"`
 	Digest   protocol.Digest     `json:"digest"`
 	Members  []state.MemberRow   `json:"members"`
@@ -24,11 +24,11 @@
 	Leaving  []protocol.Leaving  `json:"leaving"`
 	Streams  []state.Stream      `json:"streams"`
 	Pools    []transport.PoolRow `json:"pools"`
-	Group    *group.Status       `json:"group,omitempty"` // Group is set on an instance that keeps a replica.
+	Group    *group.Status       `json:"group,omitempty"` // Group is nil on an instance without a replica.
 	Settings *settings.Settings  `json:"settings"`
 }
 
-// serverDump is one backend server.
+// serverDump is the state of one backend server.
 type serverDump struct {
 	protocol.Instance
 	Report      protocol.LoadReport `json:"report"`
--- a/cmd/weldstreamd/gateway.go
+++ b/cmd/weldstreamd/gateway.go
@@ -21,14 +21,16 @@
 )
 
 const (
-	// linkDial is how long a connect to a control instance may take.
-	linkDial = 300 * time.Millisecond
-	// noticeTime is how long a stopping gateway goes on as before, so that the
-	// balancer, which asks every second and believes the second answer, can notice.
-	// What comes later is refused as not run: it would be cut at the end.
-	noticeTime = 2700 * time.Millisecond
-	// lastPart of the grace time is left for the end.
-	lastPart = 10
+	// linkDialTimeout bounds a connection attempt to a control instance.
+	linkDialTimeout = 300 * time.Millisecond
+	// unreadyDelay is how long a stopping gateway keeps serving after it reports
+	// unready. The balancer polls every second and removes the gateway after the second
+	// unready answer. Later requests are refused as not executed, because they could be
+	// cut off at the end.
+	unreadyDelay = 2700 * time.Millisecond
+	// shutdownReserveDivisor sets the part of the grace period that is reserved for the
+	// final steps: one tenth.
+	shutdownReserveDivisor = 10
 )
 
 // gateway wires the layers of a gateway.
@@ -36,12 +38,12 @@
 	*roleRun
 	forward  *forward.Gateway
 	server   *caller.Server
-	memory   *caller.Memory // memory is nil without a limit.
+	memory   *caller.Memory // memory is nil if there is no limit.
 	client   *uplink.Client
 	stopping atomic.Bool
 }
 
-// gatewayLink is the gateway as the uplink sees it.
+// gatewayLink adapts the gateway to uplink.Gateway.
 type gatewayLink struct {
 	*forward.Gateway
 	server *caller.Server
@@ -63,8 +65,8 @@
 	return nil
 }
 
-// callerLimits are the limits of a configuration, the usual ones where it names
-// none.
+// callerLimits returns the limits set in a configuration, with the defaults for those
+// it does not set.
 func callerLimits(e protocol.EdgeLimits) caller.Limits {
 	l := caller.DefaultLimits
 	if e.HeaderBytes > 0 {
@@ -106,18 +108,18 @@
 		forward.WithReporter(platform.Reporter{}),
 		forward.WithPlace(func(m protocol.PlaceMsg) (protocol.PlaceReply, bool) { return g.client.Place(m) }))
 	g.server = caller.NewServer(g.forward, g.callerOptions()...)
-	seeds, err := r.peersOfSeeds(n)
+	seeds, err := r.seedPeerAddresses(n)
 	if err != nil {
 		return err
 	}
-	links := transport.NewLinks(n.Name, []byte(n.ClusterKey), linkDial, r.log)
+	links := transport.NewLinks(n.Name, []byte(n.ClusterKey), linkDialTimeout, r.log)
 	links.Meter(r.registry)
 	links.MeterDistances(n.Topology(), n.Domain, r.registry)
 	g.client = uplink.New(links, gatewayLink{g.forward, g.server}, seeds, control.UnpackList, r.log, uplink.WithRegions(n.Topology(), n.Domain, n.Name), uplink.WithLimiter(g.forward), uplink.WithQuotas(g.forward))
 	return g.run()
 }
 
-// mover returns what translates the calls of moves, or nil where nothing is moved.
+// mover returns the translator of the move calls, or nil if moves are disabled.
 func mover(n *settings.Node) forward.Mover {
 	if !n.Prompts.Moves {
 		return nil
@@ -125,11 +127,11 @@
 	return platform.Mover{}
 }
 
-// callerOptions bound what callers may take of the process.
+// callerOptions returns the options that bound the resources callers may use.
 func (g *gateway) callerOptions() []caller.Option {
 	n := g.settings
-	if held := n.MaxCallerBytes(); held > 0 {
-		g.memory = caller.NewMemory(held, g.registry)
+	if limit := n.MaxCallerBytes(); limit > 0 {
+		g.memory = caller.NewMemory(limit, g.registry)
 	}
 	return []caller.Option{
 		caller.WithMemory(g.memory),
@@ -148,86 +150,86 @@
 	if err != nil {
 		return eris.Wrap(err, "listen")
 	}
-	work, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	eg, work := errgroup.WithContext(work)
-	eg.Go(func() error { return g.client.Run(work) })
-	eg.Go(func() error { return g.client.RunLimits(work) })
-	eg.Go(func() error { return g.client.RunQuotas(work) })
+	eg, ctx := errgroup.WithContext(ctx)
+	eg.Go(func() error { return g.client.Run(ctx) })
+	eg.Go(func() error { return g.client.RunLimits(ctx) })
+	eg.Go(func() error { return g.client.RunQuotas(ctx) })
 	eg.Go(func() error {
-		return serveHTTP(work, g.settings.Listen(g.settings.Ready), 1<<10, platform.Readiness(g.ready))
+		return serveHTTP(ctx, g.settings.Listen(g.settings.Ready), 1<<10, platform.Readiness(g.ready))
 	})
-	eg.Go(func() error { return g.serveMetrics(work, g.dump) })
+	eg.Go(func() error { return g.serveMetrics(ctx, g.dump) })
 	eg.Go(func() error { return g.server.Serve(ln) })
 	eg.Go(func() error {
 		defer cancel()
 		defer func() { _ = ln.Close() }()
-		g.await(work)
+		g.waitForStop(ctx)
 		return nil
 	})
 	return eg.Wait()
 }
 
-// await waits for the order to stop and carries out a planned stop.
-func (g *gateway) await(work context.Context) {
+// waitForStop waits for a stop signal and carries out a planned stop.
+func (g *gateway) waitForStop(ctx context.Context) {
 	for {
 		select {
 		case <-g.reloads:
 			g.reload(func(n *settings.Node) {
-				if seeds, err := g.peersOfSeeds(n); err == nil {
+				if seeds, err := g.seedPeerAddresses(n); err == nil {
 					g.client.SetSeeds(seeds)
 				}
 			})
 			continue
 		case s := <-g.stops:
 			g.stop(s)
-		case <-work.Done():
+		case <-ctx.Done():
 		}
 		return
 	}
 }
 
-// stop reports unready, goes on until the balancer has noticed, and then waits
-// for what is under way.
+// stop reports unready, keeps serving until the balancer has noticed, and then waits
+// for the requests in progress.
 func (g *gateway) stop(s os.Signal) {
-	began := time.Now()
+	start := time.Now()
 	grace := g.settings.Bounds.Grace
 	g.stopping.Store(true)
 	g.log.Info().Stringer("signal", s).Dur("grace", grace).Int("connections", g.server.Conns()).Msg("stopping: unready")
-	time.Sleep(min(noticeTime, grace/2))
+	time.Sleep(min(unreadyDelay, grace/2))
 	g.forward.Close()
 	g.server.Drain()
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-grace/lastPart))
+	ctx, cancel := context.WithDeadline(context.Background(), start.Add(grace-grace/shutdownReserveDivisor))
 	defer cancel()
 	g.server.Wait(ctx)
-	g.client.SyncNow() // The last counts are reported.
-	time.Sleep(min(endTime/4, grace/lastPart/2))
-	g.log.Info().Dur("after", time.Since(began)).Int("connections", g.server.Conns()).Msg("stopping: done")
+	g.client.SyncNow() // Reports the final counts.
+	time.Sleep(min(shutdownTimeout/4, grace/shutdownReserveDivisor/2))
+	g.log.Info().Dur("after", time.Since(start)).Int("connections", g.server.Conns()).Msg("stopping: done")
 }
 
-// gatewayDump is a gateway's state on request.
+// gatewayDump is the state of a gateway, served at /dump.
 type gatewayDump struct {
 	Name        string `json:"name"`
 	Domain      string `json:"domain"`
 	Region      string `json:"region,omitempty"`
 	Ready       bool   `json:"ready"`
 	Number      uint64 `json:"number"`
-	AgeMS       int64  `json:"age_ms"` // AgeMS is since Number was known to be the newest; -1 for never.
+	AgeMS       int64  `json:"age_ms"` // AgeMS is the time since Number was last known to be the newest; -1 if it never was.
 	Connections int    `json:"connections"`
 
-	Ways    []forward.Way     `json:"ways"`             // Ways are what was seen by distance to the servers.
-	Prompts forward.Dump      `json:"prompt_memory"`    // Prompts are what is known of what servers have read.
-	Memory  *caller.MemoryRow `json:"memory,omitempty"` // Memory is what is held for callers.
+	Ways         []forward.Way     `json:"ways"`             // Ways holds the observations grouped by the distance to the servers.
+	PromptMemory forward.Dump      `json:"prompt_memory"`    // PromptMemory is what the gateway knows of the prompt caches of servers.
+	Memory       *caller.MemoryRow `json:"memory,omitempty"` // Memory is the memory held for callers.
 
-	Held int `json:"held_requests"` // Held are the requests that are kept from servers.
+	HeldRequests int `json:"held_requests"` // HeldRequests is the number of quarantined requests, which are not sent to servers.
 
-	Limited []string `json:"limited_servers"` // Limited are the servers that name a limit of requests.
+	LimitedServers []string `json:"limited_servers"` // LimitedServers are the servers that announce a request limit.
 
-	InFlight map[string]forward.InFlightRow `json:"bodies_at_servers"` // InFlight are the bytes of bodies at servers, by service.
+	BodiesAtServers map[string]forward.InFlightRow `json:"bodies_at_servers"` // BodiesAtServers is the size of the request bodies in flight at servers, by service.
 }
 
 func (g *gateway) dump() any {
-	d := gatewayDump{Name: g.settings.Name, Domain: g.settings.Domain, Region: g.forward.Region(), Ready: g.ready(), Number: g.forward.Number(), AgeMS: -1, Connections: g.server.Conns(), Ways: g.forward.Ways(), Prompts: g.forward.DumpMemory(), Memory: g.memory.Row(), InFlight: g.forward.InFlight(), Held: g.forward.Held(), Limited: g.forward.LimitedServers()}
+	d := gatewayDump{Name: g.settings.Name, Domain: g.settings.Domain, Region: g.forward.Region(), Ready: g.ready(), Number: g.forward.Number(), AgeMS: -1, Connections: g.server.Conns(), Ways: g.forward.Ways(), PromptMemory: g.forward.DumpMemory(), Memory: g.memory.Row(), BodiesAtServers: g.forward.InFlight(), HeldRequests: g.forward.Held(), LimitedServers: g.forward.LimitedServers()}
 	if age, ok := g.forward.Age(); ok {
 		d.AgeMS = age.Milliseconds()
 	}
--- a/cmd/weldstreamd/group.go
+++ b/cmd/weldstreamd/group.go
@@ -14,16 +14,16 @@
 	"github.com/weldstream/weldstream/transport"
 )
 
-// errUnconfirmed is why a fresh instance is not ready: it may hold a
-// configuration that is older than what was accepted.
-var errUnconfirmed = errors.New("the configuration is not confirmed by a quorum yet")
+// errUnconfirmed is the reason why a newly started instance is not ready: its
+// configuration may be older than the accepted one.
+var errUnconfirmed = errors.New("the configuration has not been confirmed by a quorum yet")
 
 const (
 	confirmTimeout = 2 * time.Second
 	confirmRetry   = 100 * time.Millisecond
 )
 
-// configStore is the group, or the instance alone where there is none.
+// configStore returns the client of the group, or a local store if there is no group.
 func (d *daemon) configStore() transport.ConfigStore {
 	if d.client == nil {
 		return transport.NewLocalConfig(d.tables)
@@ -31,16 +31,17 @@
 	return d.client
 }
 
-// observer answers what this instance sees of requests under which servers end.
-func (d *daemon) observer() transport.Observer {
+// quarantineObserver returns the receiver of this instance's observations of requests
+// during which servers crashed: the group, or a local quarantine if there is no group.
+func (d *daemon) quarantineObserver() transport.Observer {
 	if d.client == nil {
-		return transport.NewLocalQuarantine(d.leaves)
+		return transport.NewLocalQuarantine(d.isLeaving)
 	}
 	return d.client
 }
 
-// leaves reports whether a server is known to leave.
-func (d *daemon) leaves(server string) bool {
+// isLeaving reports whether a server is marked as leaving.
+func (d *daemon) isLeaving(server string) bool {
 	s := d.tables.Backends.View().Find(server)
 	return s != nil && s.Leaving
 }
@@ -59,13 +60,13 @@
 	return d.client
 }
 
-// startGroup opens this instance's replica, if it keeps one, and starts what
-// needs the group.
-func (d *daemon) startGroup(work context.Context, g *errgroup.Group) error {
+// startGroup opens this instance's replica, if it has one, and starts the components
+// that need the group.
+func (d *daemon) startGroup(ctx context.Context, g *errgroup.Group) error {
 	if d.client == nil {
 		return nil
 	}
-	g.Go(func() error { return d.confirm(work) })
+	g.Go(func() error { return d.confirm(ctx) })
 	if !d.settings.IsReplica() {
 		return nil
 	}
@@ -81,36 +82,36 @@
 		Batch:           s.Batch,
 		Reserve:         s.ReserveBytes,
 	}
-	sender := transport.NewReplicaSender(work, d.tables, d.links)
-	var keeper *transport.QuarantineService
+	sender := transport.NewReplicaSender(ctx, d.tables, d.links)
+	var quarantine *transport.QuarantineService
 	replica, err := group.Open(cfg, d.settings.DataDir, d.settings.Name, sender,
 		group.WithLogger(d.log),
 		group.WithRevision(d.install),
-		group.WithQuarantine(func(l protocol.QuarantineLog) { keeper.Install(l) }),
+		group.WithQuarantine(func(l protocol.QuarantineLog) { quarantine.Install(l) }),
 	)
 	if err != nil {
 		return err
 	}
 	d.group = replica
-	keeper = transport.NewQuarantineService(replica, d.leaves, d.log)
-	if err := d.links.Register("Quarantine", keeper); err != nil {
+	quarantine = transport.NewQuarantineService(replica, d.isLeaving, d.log)
+	if err := d.links.Register("Quarantine", quarantine); err != nil {
 		return err
 	}
-	g.Go(func() error { return keeper.Run(work) })
-	if err := d.links.Register("Group", transport.NewGroupService(work, replica)); err != nil {
+	g.Go(func() error { return quarantine.Run(ctx) })
+	if err := d.links.Register("Group", transport.NewGroupService(ctx, replica)); err != nil {
 		return err
 	}
 	boot := transport.NewBootstrap(replica, d.tables, d.links, d.log, d.settings.Name, d.settings.Cluster.Replicas)
 	commander := transport.NewCommander(replica, s.Election, d.settings.Timeouts.Dial, d.tables, d.log)
 	fleet := transport.NewFleet(d.settings, commander, d.tables, d.limits, d.serverLeaving, d.log)
-	g.Go(func() error { return commander.Run(work) })
-	g.Go(func() error { return fleet.Run(work) })
-	g.Go(func() error { return replica.Run(work) })
-	g.Go(func() error { return boot.Run(work) })
+	g.Go(func() error { return commander.Run(ctx) })
+	g.Go(func() error { return fleet.Run(ctx) })
+	g.Go(func() error { return replica.Run(ctx) })
+	g.Go(func() error { return boot.Run(ctx) })
 	return nil
 }
 
-// install puts a configuration in force that the group accepted.
+// install puts a configuration that the group accepted in force.
 func (d *daemon) install(number uint64, config []byte) {
 	rev, err := state.ParseCanonical(number, config)
 	if err != nil {
@@ -122,12 +123,12 @@
 	}
 }
 
-// confirm asks the group once for the accepted configuration, so that a fresh
-// instance serves nothing from an older one.
+// confirm retries until the group has returned the accepted configuration, so that a
+// newly started instance does not serve from an older one.
 func (d *daemon) confirm(ctx context.Context) error {
 	for {
-		limit, cancel := context.WithTimeout(ctx, confirmTimeout)
-		number, config, err := d.client.Confirm(limit)
+		callCtx, cancel := context.WithTimeout(ctx, confirmTimeout)
+		number, config, err := d.client.Confirm(callCtx)
 		cancel()
 		if err == nil {
 			if number > 0 {
--- a/cmd/weldstreamd/leave.go
+++ b/cmd/weldstreamd/leave.go
@@ -9,28 +9,30 @@
 )
 
 const (
-	// handOverLimit bounds what a stopping control instance waits for its successor:
-	// several round trips between far regions, and a small part of what a planned
-	// stop may take.
-	handOverLimit = time.Second
-	// callWait is the part of handOverLimit in which a call to the platform that is
-	// under way may still end; the hand-over has the rest.
-	callWait = 300 * time.Millisecond
-	// callPoll is between two looks whether it has ended: little against callWait.
-	callPoll = 5 * time.Millisecond
+	// leaderHandOverTimeout bounds how long a stopping control instance waits for its
+	// successor: several round trips between distant regions, and a small part of the
+	// time of a planned stop.
+	leaderHandOverTimeout = time.Second
+	// platformCallTimeout is the part of leaderHandOverTimeout in which a running call to
+	// the platform may finish; the rest is for the hand-over.
+	platformCallTimeout = 300 * time.Millisecond
+	// platformCallPoll is the interval of the checks whether the call has finished; it is
+	// short compared with platformCallTimeout.
+	platformCallPoll = 5 * time.Millisecond
 )
 
-// handOver has a control instance that leads hand leadership over before it ends, and
-// waits until another one leads: no election has to wait for its silence.
-func (c *controlInstance) handOver(work context.Context) {
-	if !c.leads() {
+// handOver transfers leadership, if this instance is the leader, and waits until another
+// instance leads. Without it, the others would start an election only after the election
+// timeout.
+func (c *controlInstance) handOver(parent context.Context) {
+	if !c.isLeader() {
 		return
 	}
-	ctx, cancel := context.WithTimeout(work, handOverLimit)
+	ctx, cancel := context.WithTimeout(parent, leaderHandOverTimeout)
 	defer cancel()
-	began := time.Now()
-	for c.calls.Busy() && time.Since(began) < callWait {
-		pause.For(ctx, callPoll) // One that takes longer does no harm: the successor's calls have a higher fencing token.
+	start := time.Now()
+	for c.calls.Busy() && time.Since(start) < platformCallTimeout {
+		pause.For(ctx, platformCallPoll) // A longer call does no harm: the calls of the successor have a higher fencing token.
 	}
 	if err := c.group.HandOver(ctx); err != nil {
 		c.log.Warn().Err(err).Msg("stopping without a successor")
@@ -39,13 +41,13 @@
 	for ctx.Err() == nil {
 		changed := c.group.Changed()
 		if leader := c.group.Status().Leader; !leader.IsZero() && leader != c.group.ID() {
-			c.log.Info().Str("to", leader.Name).Dur("after", time.Since(began)).Msg("another control instance leads")
+			c.log.Info().Str("to", leader.Name).Dur("after", time.Since(start)).Msg("another control instance leads")
 			return
 		}
-		pause.Until(ctx, handOverLimit, changed)
+		pause.Until(ctx, leaderHandOverTimeout, changed)
 	}
-	c.log.Warn().Dur("after", time.Since(began)).Msg("no control instance leads yet behind a hand-over")
+	c.log.Warn().Dur("after", time.Since(start)).Msg("no control instance leads yet behind a hand-over")
 }
 
-// leads reports whether this replica is the leader.
-func (c *controlInstance) leads() bool { return c.group.Status().Role == replicate.Leader.String() }
+// isLeader reports whether this replica is the leader.
+func (c *controlInstance) isLeader() bool { return c.group.Status().Role == replicate.Leader.String() }
--- a/cmd/weldstreamd/libc.go
+++ b/cmd/weldstreamd/libc.go
@@ -1,3 +1,3 @@
 package main
 
-import "C" // The platform's programs are linked to the C library; nothing of it is called here.
+import "C" // Links the program to the C library, as the platform requires; no C function is called.
--- a/cmd/weldstreamd/logs_test.go
+++ b/cmd/weldstreamd/logs_test.go
@@ -8,18 +8,18 @@
 	"testing"
 )
 
-// logged are the sources of the roles' log lines.
-var logged = []string{
+// logSources are the files that contain the log lines of the roles.
+var logSources = []string{
 	"role.go", "gateway.go", "control.go", "leave.go", "regions.go", "../../transport/caller/*.go", "../../transport/forward/*.go", "../../transport/uplink/*.go", "../../transport/control/*.go",
 	"../../coordination/group/*.go", "../../platform/*.go", "../../transport/replica.go", "../../transport/bootstrap.go", "../../transport/links.go", "../../transport/membership.go",
 }
 
-// TestLogsAreListed checks that docs/LOGS.md lists each line that the roles write
-// above debug, and no other.
+// TestLogsAreListed checks that docs/LOGS.md lists exactly the log messages above
+// debug level that the roles write.
 func TestLogsAreListed(t *testing.T) {
 	line := regexp.MustCompile(`(?s)\.(Info|Warn|Error)\(\)[^;{}]*?\.Msg\("([^"]*)"\)`)
 	want := map[string]bool{}
-	for _, pattern := range logged {
+	for _, pattern := range logSources {
 		files, err := filepath.Glob(pattern)
 		if err != nil || len(files) == 0 {
 			t.Fatalf("%s: %v", pattern, err)
@@ -52,10 +52,10 @@
 	}
 	for message := range listed {
 		if !want[message] {
-			t.Errorf("docs/LOGS.md lists %q, which nothing writes", message)
+			t.Errorf("docs/LOGS.md lists %q, which is not in the sources", message)
 		}
 	}
 	if len(want) < 30 {
-		t.Errorf("only %d lines were found in the sources", len(want))
+		t.Errorf("found only %d log messages in the sources, want at least 30", len(want))
 	}
 }
--- a/cmd/weldstreamd/main.go
+++ b/cmd/weldstreamd/main.go
@@ -1,16 +1,17 @@
 // Command weldstreamd is the daemon.
 //
-//	weldstreamd -settings FILE.yaml                  an entry instance that is gateway and control in one
+//	weldstreamd -settings FILE.yaml                  an entry instance, which is gateway and control instance in one process
 //	weldstreamd gateway -settings FILE.yaml          a gateway without a disk, for callers
 //	weldstreamd control -settings FILE.yaml          a control instance with a disk
 //	weldstreamd ROLE -settings-from VARIABLE         the file that an environment variable names
 //
-// It exits with 2 when the settings are faulty, one line a fault with file,
-// line and field; with 1 when it cannot go on; with 0 after a planned stop.
+// Exit status: 2 for invalid settings, with one line per fault that gives file, line
+// and field; 1 after a fatal error; 0 after a planned stop.
 //
-// SIGTERM begins a planned stop: the instance reports unready, finishes what
-// runs and ends. A second one, or the end of the drain time, has what still
-// runs handed over to other instances. SIGQUIT writes the process's state to standard error as JSON.
+// SIGTERM starts a planned stop: the instance reports unready, finishes the running
+// requests and exits. After a second SIGTERM, or at the end of the drain time, the
+// requests that still run are handed over to other instances. SIGQUIT writes the state
+// of the process to standard error as JSON.
 package main
 
 import (
--- a/cmd/weldstreamd/metrics.go
+++ b/cmd/weldstreamd/metrics.go
@@ -11,10 +11,10 @@
 	"github.com/valyala/fasthttp"
 )
 
-// quantiles are told of each timer.
+// quantiles are the quantiles reported for each timer.
 var quantiles = []float64{0.5, 0.9, 0.99}
 
-// writeMetrics writes all meters as text, one a line: a name, labels, a value.
+// writeMetrics writes all metrics as text, one per line: name, labels, value.
 func writeMetrics(c *fasthttp.RequestCtx, r metrics.Registry) {
 	c.SetContentType("text/plain; version=0.0.4")
 	var lines []string
@@ -25,8 +25,8 @@
 	}
 }
 
-// metricName returns a meter's name as scrapers read it; labels, which may follow
-// it in braces, stay as they are.
+// metricName returns the name of a metric in the format that scrapers expect. Labels,
+// which may follow the name in braces, are left unchanged.
 func metricName(name string) string {
 	name, labels := cutLabels(name)
 	return "weldstream_" + strings.NewReplacer(".", "_", "-", "_").Replace(name) + labels
--- a/cmd/weldstreamd/metrics_test.go
+++ b/cmd/weldstreamd/metrics_test.go
@@ -7,7 +7,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// TestMetricsText checks the text that scrapers read, labels and all.
+// TestMetricsText checks the text served to scrapers, including labels.
 func TestMetricsText(t *testing.T) {
 	r := metrics.NewRegistry()
 	metrics.GetOrRegisterCounter("requests.refused", r).Inc(3)
--- a/cmd/weldstreamd/regions.go
+++ b/cmd/weldstreamd/regions.go
@@ -15,27 +15,27 @@
 	"github.com/weldstream/weldstream/transport/control"
 )
 
-// regionsEvery is between two looks for domains without a region: settings are changed
-// by hand, and the list of servers is read each second.
-const regionsEvery = 2 * time.Second
+// regionCheckInterval is the interval of the checks for domains without a region. Settings
+// change only by hand, and the server list is read once a second.
+const regionCheckInterval = 2 * time.Second
 
-// controlDump is a control instance's state on request.
+// controlDump is the state of a control instance, served at /dump.
 type controlDump struct {
 	group.Status
 	Domain  string              `json:"domain"`
 	Region  string              `json:"region,omitempty"`
-	Regions map[string]string   `json:"regions,omitempty"` // Regions are those of the control instances, by name, where there are several.
-	Relay   *control.RelayState `json:"relay,omitempty"`   // Relay is set where gateways asked the instance as a relay.
+	Regions map[string]string   `json:"regions,omitempty"` // Regions maps control instances to their regions; it is empty with a single region.
+	Relay   *control.RelayState `json:"relay,omitempty"`   // Relay is set if gateways have used the instance as a relay.
 
-	Quarantine []protocol.Quarantined `json:"quarantine,omitempty"` // Quarantine are the requests that are kept from servers.
+	Quarantine []protocol.Quarantined `json:"quarantine,omitempty"` // Quarantine are the quarantined requests, which are not sent to servers.
 
-	Limited map[string]float64 `json:"limited_servers"` // Limited are the servers that name a limit, in requests a second, as the leader knows them.
+	LimitedServers map[string]float64 `json:"limited_servers"` // LimitedServers maps servers that announce a limit to that limit, in requests per second, as known to the leader.
 }
 
-// dump returns the state that /dump shows.
+// dump returns the state that /dump serves.
 func (c *controlInstance) dump() any {
 	n, topology := c.settings, c.settings.Topology()
-	d := controlDump{Status: c.group.Status(), Domain: n.Domain, Region: topology.Region(n.Domain), Quarantine: c.uplink.Quarantine(), Limited: c.uplink.LimitedServers()}
+	d := controlDump{Status: c.group.Status(), Domain: n.Domain, Region: topology.Region(n.Domain), Quarantine: c.uplink.Quarantine(), LimitedServers: c.uplink.LimitedServers()}
 	if relay := c.relay.State(); relay.Batches > 0 {
 		d.Relay = &relay
 	}
@@ -49,8 +49,8 @@
 	return d
 }
 
-// watchRegions warns of domains that instances or servers are in and whose region the
-// settings do not tell, and counts them among the meters.
+// watchRegions logs a warning for domains of instances or servers that have no region in the
+// settings, and exports their number as a metric.
 func (c *controlInstance) watchRegions(ctx context.Context) error {
 	var unplaced atomic.Int64
 	metrics.NewRegisteredFunctionalGauge("domains.unplaced", c.registry, unplaced.Load)
@@ -58,14 +58,14 @@
 	if !t.MultiRegion() {
 		return nil
 	}
-	var before []string
-	for tick := time.NewTicker(regionsEvery); ; {
-		servers, _ := c.uplink.Servers() // None are listed yet, or not by this instance.
+	var previous []string
+	for tick := time.NewTicker(regionCheckInterval); ; {
+		servers, _ := c.uplink.Servers() // Empty before the first list, and on instances that do not hold it.
 		domains := unplacedDomains(t, c.tables.Members.Rows(), servers)
-		if !slices.Equal(domains, before) && len(domains) > 0 {
+		if !slices.Equal(domains, previous) && len(domains) > 0 {
 			c.log.Warn().Strs("domains", domains).Msg("domains without a region")
 		}
-		before = domains
+		previous = domains
 		unplaced.Store(int64(len(domains)))
 		select {
 		case <-tick.C:
@@ -76,8 +76,8 @@
 	}
 }
 
-// unplacedDomains returns the domains of members and servers that have no region. A
-// member that is known as a seed alone has no known domain yet.
+// unplacedDomains returns the domains of members and servers that have no region. The
+// domain of a member that is known only as a seed is still empty and is skipped.
 func unplacedDomains(t *topology.Topology, members []state.MemberRow, servers []protocol.Instance) []string {
 	var domains []string
 	for i := range members {
--- a/cmd/weldstreamd/role.go
+++ b/cmd/weldstreamd/role.go
@@ -22,7 +22,7 @@
 	"github.com/weldstream/weldstream/settings"
 )
 
-// role is one of the daemon's roles on a platform with several classes of
+// role is one of the roles of the daemon on a platform with several classes of
 // machines.
 type role struct {
 	check func(n *settings.Node, file string) []yamlfile.Fault
@@ -34,22 +34,22 @@
 	"control": {check: (*settings.Node).CheckControl, run: runControl},
 }
 
-// roleRun is what every role works with.
+// roleRun holds what all roles need.
 type roleRun struct {
 	file     string
 	check    func(n *settings.Node, file string) []yamlfile.Fault
 	settings *settings.Node
 	log      zerolog.Logger
 	registry metrics.Registry
-	stops    chan os.Signal // stops receives the orders to stop.
-	reloads  chan os.Signal // reloads receives the orders to read the settings anew.
+	stops    chan os.Signal // stops receives SIGTERM and SIGINT.
+	reloads  chan os.Signal // reloads receives SIGHUP, which requests a reload of the settings.
 }
 
-// logLines bounds the log lines that wait to be written. Further ones are
-// dropped and counted, so that a reader that stalls holds up no request.
-const logLines = 2000
+// maxQueuedLogLines is the maximum number of log lines that wait to be written. Further
+// lines are dropped and counted, so that a stalled log reader does not block requests.
+const maxQueuedLogLines = 2000
 
-// runRole runs a role until it is told to stop, and returns the exit status.
+// runRole runs a role until it is stopped and returns the exit status.
 func runRole(name string, args []string) int {
 	flags := flag.NewFlagSet("weldstreamd "+name, flag.ContinueOnError)
 	file := flags.String("settings", "", "settings `file` in YAML")
@@ -72,7 +72,7 @@
 	return startRole(name, *file, n)
 }
 
-// loadNode reads a role's settings and prints every fault.
+// loadNode reads the settings of a role and prints every fault to standard error.
 func loadNode(check func(*settings.Node, string) []yamlfile.Fault, file string) (*settings.Node, bool) {
 	n, faults, err := settings.LoadNode(file)
 	if err != nil {
@@ -88,19 +88,20 @@
 	return n, len(faults) == 0
 }
 
-// gcPercent keeps the heap small: memory is dearer than the time to collect it. With
-// 20 instead of 60 gateways took 3 in 100 more processor time and 4 of 14 MB less.
+// gcPercent trades processor time for a smaller heap, because memory is the scarcer
+// resource. With 20 instead of 60, gateways used 3 % more processor time and 4 MB less
+// of 14 MB.
 const gcPercent = 20
 
-// memoryPart of what the process may take is what the heap may grow to.
-const memoryPart = 0.7
+// heapFraction is the part of memory_mb that the heap may grow to.
+const heapFraction = 0.7
 
 func startRole(name, file string, n *settings.Node) int {
 	debug.SetGCPercent(gcPercent)
 	if n.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(n.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(heapFraction * float64(n.MemoryMB) * (1 << 20)))
 	}
-	out := diode.NewWriter(os.Stdout, logLines, 0, func(missed int) {
+	out := diode.NewWriter(os.Stdout, maxQueuedLogLines, 0, func(missed int) {
 		fmt.Fprintf(os.Stderr, "weldstreamd: %d log lines dropped\n", missed)
 	})
 	r := &roleRun{
@@ -117,7 +118,7 @@
 	r.log.Info().Str("file", file).Bool("found", n.Found).Strs("seeds", n.Seeds).Msg("started")
 	err := roles[name].run(r)
 	r.log.Info().Err(err).Msg("stopped")
-	_ = out.Close() // Writes what waits.
+	_ = out.Close() // Writes the queued lines.
 	if err != nil {
 		return exitFailed
 	}
@@ -133,9 +134,9 @@
 	return zerolog.New(out).Level(level).With().Timestamp().Str("instance", n.Name).Str("role", name).Logger()
 }
 
-// peerOf returns the peer address of a control instance whose operator address
-// is a seed: peer ports are alike on all instances.
-func peerOf(seed, ownPeer string) (string, error) {
+// seedPeerAddress returns the peer address of the control instance whose operator
+// address is the seed. All instances use the same peer port.
+func seedPeerAddress(seed, ownPeer string) (string, error) {
 	at, err := netip.ParseAddrPort(seed)
 	if err != nil {
 		return "", eris.Wrap(err, "seed")
@@ -147,10 +148,10 @@
 	return netip.AddrPortFrom(at.Addr(), own.Port()).String(), nil
 }
 
-func (r *roleRun) peersOfSeeds(n *settings.Node) ([]string, error) {
+func (r *roleRun) seedPeerAddresses(n *settings.Node) ([]string, error) {
 	var peers []string
 	for _, seed := range n.Seeds {
-		peer, err := peerOf(seed, n.Peer)
+		peer, err := seedPeerAddress(seed, n.Peer)
 		if err != nil {
 			return nil, err
 		}
@@ -159,23 +160,23 @@
 	return peers, nil
 }
 
-// reload reads the settings anew and hands them on if they are sound.
-func (r *roleRun) reload(take func(*settings.Node)) {
+// reload reads the settings again and applies them if they are valid.
+func (r *roleRun) reload(apply func(*settings.Node)) {
 	n, ok := loadNode(r.check, r.file)
 	r.log.Info().Bool("sound", ok).Msg("settings read anew")
 	if ok {
-		take(n)
+		apply(n)
 	}
 }
 
-// serveHTTP serves a small handler until ctx ends.
-func serveHTTP(ctx context.Context, address string, body int, h fasthttp.RequestHandler) error {
+// serveHTTP serves h until ctx is canceled.
+func serveHTTP(ctx context.Context, address string, maxBody int, h fasthttp.RequestHandler) error {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return eris.Wrap(err, "listen")
 	}
 	const idle, read = time.Minute, 20 * time.Second
-	server := &fasthttp.Server{Handler: h, MaxRequestBodySize: body, NoDefaultServerHeader: true, IdleTimeout: idle, ReadTimeout: read, Logger: quiet{}}
+	server := &fasthttp.Server{Handler: h, MaxRequestBodySize: maxBody, NoDefaultServerHeader: true, IdleTimeout: idle, ReadTimeout: read, Logger: discardLogger{}}
 	stop := context.AfterFunc(ctx, func() { _ = ln.Close() })
 	defer stop()
 	err = server.Serve(ln)
@@ -185,13 +186,13 @@
 	return err
 }
 
-// quiet drops the HTTP library's own lines.
-type quiet struct{}
+// discardLogger drops the log lines of the HTTP library.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// serveMetrics serves the counters as text and the dump as JSON.
+// serveMetrics serves the metrics as text and the state dump as JSON.
 func (r *roleRun) serveMetrics(ctx context.Context, dump func() any) error {
 	if r.settings.Metrics == "" {
 		return nil
--- a/cmd/weldstreamd/stop.go
+++ b/cmd/weldstreamd/stop.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	// unreadyGrace is how long a stopping instance goes on taking requests after
-	// it reported unready, so that the balancer can notice.
-	unreadyGrace = time.Second
-	// handOverTime is what a hand-over is given before an announced reclaim.
-	handOverTime = 3 * time.Second
-	// endTime bounds what is left to do at the very end of a planned stop.
-	endTime = time.Second
+	// daemonUnreadyDelay is how long a stopping instance keeps accepting requests after
+	// it reports unready, so that the balancer can notice.
+	daemonUnreadyDelay = time.Second
+	// handOverTimeout is the time reserved for the hand-over of requests before an
+	// announced reclaim.
+	handOverTimeout = 3 * time.Second
+	// shutdownTimeout bounds the final steps of a planned stop.
+	shutdownTimeout = time.Second
 )
 
-// stopAfter waits for the order to stop, or for the platform's notice, and
-// carries out a planned stop.
-func (d *daemon) stopAfter(stops <-chan os.Signal, work context.Context) error {
+// waitAndStop waits for a stop signal or a reclaim notice of the platform and carries
+// out a planned stop.
+func (d *daemon) waitAndStop(stops <-chan os.Signal, ctx context.Context) error {
 	limit := d.settings.Timeouts.Drain
 	select {
 	case <-stops:
-	case n := <-d.notice:
+	case n := <-d.reclaims:
 		left := time.Until(n.At)
-		limit = min(limit, max(left-handOverTime, left/2))
+		limit = min(limit, max(left-handOverTimeout, left/2))
 		d.log.Warn().Time("at", n.At).Msg("this instance will be reclaimed")
-	case <-work.Done():
+	case <-ctx.Done():
 		return nil
 	}
 	d.gateway.Unready()
@@ -37,33 +38,33 @@
 	return d.shutdown()
 }
 
-// drain waits for what runs, and hands over what is left when the time is up
-// or a second signal comes.
-func (d *daemon) drain(stops <-chan os.Signal, end <-chan time.Time) {
-	grace := time.NewTimer(unreadyGrace)
-	defer grace.Stop()
+// drain waits for the running requests. When the time is up or a second signal
+// arrives, it hands the remaining ones over to other instances.
+func (d *daemon) drain(stops <-chan os.Signal, timeUp <-chan time.Time) {
+	delay := time.NewTimer(daemonUnreadyDelay)
+	defer delay.Stop()
 	select {
-	case <-grace.C:
-	case <-end:
+	case <-delay.C:
+	case <-timeUp:
 	case <-stops:
 	}
 	d.gateway.Close()
 	select {
 	case <-d.tables.Streams.Idle():
 		return
-	case <-end:
+	case <-timeUp:
 	case <-stops:
 	}
 	d.gateway.HandOverAll()
 	select {
 	case <-d.tables.Streams.Idle():
-	case <-time.After(handOverTime):
+	case <-time.After(handOverTimeout):
 		d.log.Error().Int("requests", len(d.tables.Streams.Rows())).Msg("stopping: requests are cut")
 	}
 }
 
 func (d *daemon) shutdown() error {
-	ctx, cancel := context.WithTimeout(context.Background(), endTime)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := d.gateway.Shutdown(ctx); err != nil {
 		d.log.Warn().Err(err).Msg("stopping: connections are left")
