--- a/cmd/weldctl/admin.go
+++ b/cmd/weldctl/admin.go
@@ -20,12 +20,11 @@
 const (
 	adminTimeout = 20 * time.Second
 	waitPoll     = 100 * time.Millisecond
-	// TokenVariable names the environment variable with the operator's token.
+	// TokenVariable is the environment variable that holds the operator's token.
 	TokenVariable = "WELDCTL_TOKEN"
 )
 
-// adminFlags are shared by the commands that talk to an instance's admin
-// address.
+// adminFlags are the flags of the commands that call an instance's admin address.
 type adminFlags struct {
 	address   string
 	tokenFile string
@@ -34,13 +33,13 @@
 
 func (a *adminFlags) register(fs *flag.FlagSet) {
 	fs.StringVar(&a.address, "admin", "127.0.0.1:7301", "admin `address` of any instance, IP:port")
-	fs.StringVar(&a.tokenFile, "token-file", "", "`file` with the operator's token; else $"+TokenVariable)
-	fs.BoolVar(&a.json, "json", false, "print JSON for a script")
+	fs.StringVar(&a.tokenFile, "token-file", "", "`file` with the operator's token; default: $"+TokenVariable)
+	fs.BoolVar(&a.json, "json", false, "print JSON")
 }
 
 func (a *adminFlags) token(e env) (string, error) {
 	if a.tokenFile == "" {
-		return e.get(TokenVariable), nil
+		return e.getenv(TokenVariable), nil
 	}
 	data, err := os.ReadFile(a.tokenFile)
 	if err != nil {
@@ -49,7 +48,7 @@
 	return strings.TrimSpace(string(data)), nil
 }
 
-// call makes one request to the admin address and returns status and body.
+// call sends one request to the admin address and returns the status and the body.
 func (a *adminFlags) call(e env, method, path string, body any) (int, []byte, error) {
 	token, err := a.token(e)
 	if err != nil {
@@ -69,13 +68,13 @@
 		req.SetBodyRaw(data)
 	}
 	if err := fasthttp.DoTimeout(req, resp, adminTimeout); err != nil {
-		return 0, nil, eris.Wrapf(err, "reach %s", a.address)
+		return 0, nil, eris.Wrapf(err, "call %s", a.address)
 	}
 	return resp.StatusCode(), append([]byte(nil), resp.Body()...), nil
 }
 
-// refusalText renders an error body for a person.
-func refusalText(status int, body []byte) string {
+// errorText renders an error body as readable text.
+func errorText(status int, body []byte) string {
 	var e protocol.ErrorBody
 	if json.Unmarshal(body, &e) != nil || e.Error.Code == "" {
 		return fmt.Sprintf("answered %d: %s", status, strings.TrimSpace(string(body)))
@@ -86,9 +85,9 @@
 func runApply(e env, fs *flag.FlagSet, args []string) int {
 	var a adminFlags
 	a.register(fs)
-	number := fs.Uint64("number", 0, "the configuration's `number`: one above the one in force (required)")
-	wait := fs.Duration("wait", 0, "wait up to this long until every live instance has it in force")
-	if code, ok := parse(fs, args); !ok {
+	number := fs.Uint64("number", 0, "`number` of the configuration: one above the number in force (required)")
+	wait := fs.Duration("wait", 0, "wait up to this long for every live instance to have it in force")
+	if code, ok := parseFlags(fs, args); !ok {
 		return code
 	}
 	if *number == 0 || fs.NArg() == 0 {
@@ -101,9 +100,9 @@
 	}
 	status, body, err := a.call(e, http.MethodPost, "/v1/config", transport.ApplyRequest{Number: *number, Files: files})
 	if err != nil {
-		return failf(e, "%v; send the same apply again: a resend is recognized", err)
+		return failf(e, "%v; repeat the same apply: a resend is recognized", err)
 	}
-	if code, done := applyOutcome(e, &a, status, body); done {
+	if code, done := printApplyResult(e, &a, status, body); done {
 		return code
 	}
 	if *wait > 0 {
@@ -112,17 +111,18 @@
 	return exitOK
 }
 
-// applyOutcome prints the answer; done is true when the command is over.
-func applyOutcome(e env, a *adminFlags, status int, body []byte) (code int, done bool) {
+// printApplyResult prints the result of an apply; done reports whether the command is
+// finished and should exit with code.
+func printApplyResult(e env, a *adminFlags, status int, body []byte) (code int, done bool) {
 	var reply transport.ApplyReply
 	if status == http.StatusUnprocessableEntity && json.Unmarshal(body, &reply) == nil {
 		for _, f := range reply.Faults {
 			fmt.Fprintln(e.err, f)
 		}
-		return failf(e, "refused whole: %d faults", len(reply.Faults)), true
+		return failf(e, "configuration refused: %d faults", len(reply.Faults)), true
 	}
 	if status != http.StatusOK {
-		return failf(e, "%s", refusalText(status, body)), true
+		return failf(e, "%s", errorText(status, body)), true
 	}
 	if a.json {
 		fmt.Fprintf(e.out, "%s", body)
@@ -135,35 +135,35 @@
 	return exitOK, false
 }
 
-// waitInForce polls until every live instance has the number in force and
-// lists those that have not.
-func waitInForce(e env, a *adminFlags, number uint64, limit time.Duration) int {
-	began := time.Now()
+// waitInForce polls until every live instance has the configuration number in force. On
+// timeout, it lists the instances that do not.
+func waitInForce(e env, a *adminFlags, number uint64, timeout time.Duration) int {
+	start := time.Now()
 	for {
 		view, err := a.view(e)
 		if err != nil {
 			return failf(e, "%v", err)
 		}
-		behind := behindOf(view, number)
-		if len(behind) == 0 {
-			fmt.Fprintf(e.out, "in force on %d instances after %v\n", len(view.Places), time.Since(began).Round(time.Millisecond))
+		outdated := outdatedInstances(view, number)
+		if len(outdated) == 0 {
+			fmt.Fprintf(e.out, "in force on %d instances after %v\n", len(view.Places), time.Since(start).Round(time.Millisecond))
 			return exitOK
 		}
-		if time.Since(began) > limit {
-			return failf(e, "accepted, but not in force within %v on: %s", limit, strings.Join(behind, ", "))
+		if time.Since(start) > timeout {
+			return failf(e, "accepted, but not in force within %v on: %s", timeout, strings.Join(outdated, ", "))
 		}
 		time.Sleep(waitPoll)
 	}
 }
 
-func behindOf(view *transport.ConfigView, number uint64) []string {
-	var behind []string
+func outdatedInstances(view *transport.ConfigView, number uint64) []string {
+	var outdated []string
 	for _, p := range view.Places {
 		if p.State == protocol.MemberAlive && p.Number < number {
-			behind = append(behind, fmt.Sprintf("%s (%d)", p.Name, p.Number))
+			outdated = append(outdated, fmt.Sprintf("%s (%d)", p.Name, p.Number))
 		}
 	}
-	return behind
+	return outdated
 }
 
 func (a *adminFlags) view(e env) (*transport.ConfigView, error) {
@@ -172,7 +172,7 @@
 		return nil, err
 	}
 	if status != http.StatusOK {
-		return nil, eris.New(refusalText(status, body))
+		return nil, eris.New(errorText(status, body))
 	}
 	view := &transport.ConfigView{}
 	return view, eris.Wrap(json.Unmarshal(body, view), "parse answer")
@@ -181,7 +181,7 @@
 func runDrop(e env, fs *flag.FlagSet, args []string) int {
 	var a adminFlags
 	a.register(fs)
-	if code, ok := parse(fs, args); !ok {
+	if code, ok := parseFlags(fs, args); !ok {
 		return code
 	}
 	if fs.NArg() != 1 {
@@ -193,16 +193,16 @@
 		return failf(e, "%v", err)
 	}
 	if status != http.StatusOK {
-		return failf(e, "%s", refusalText(status, body))
+		return failf(e, "%s", errorText(status, body))
 	}
-	fmt.Fprintf(e.out, "%s is being taken out; see weldctl dump\n", fs.Arg(0))
+	fmt.Fprintf(e.out, "removing replica %s from the group; see weldctl dump\n", fs.Arg(0))
 	return exitOK
 }
 
 func runGet(e env, fs *flag.FlagSet, args []string) int {
 	var a adminFlags
 	a.register(fs)
-	if code, ok := parse(fs, args); !ok {
+	if code, ok := parseFlags(fs, args); !ok {
 		return code
 	}
 	view, err := a.view(e)
@@ -212,16 +212,16 @@
 	if a.json {
 		return printJSON(e, view)
 	}
-	fmt.Fprintf(e.out, "configuration %d, digest %s, in force on %d of %d instances\n", view.Revision.Number, view.Revision.Digest.Short(), inForce(view.Places), len(view.Places))
+	fmt.Fprintf(e.out, "configuration %d, digest %s, in force on %d of %d instances\n", view.Revision.Number, view.Revision.Digest.Short(), countInForce(view.Places), len(view.Places))
 	if view.Leader != "" {
-		fmt.Fprintf(e.out, "leader: %s, when %s last asked\n", view.Leader, a.address)
+		fmt.Fprintf(e.out, "leader: %s, as last reported to %s\n", view.Leader, a.address)
 	}
 	printConfig(e, view.Revision.Config)
 	printPlaces(e, view.Places)
 	return exitOK
 }
 
-func inForce(places []transport.ConfigPlace) int {
+func countInForce(places []transport.ConfigPlace) int {
 	n := 0
 	for _, p := range places {
 		if p.InForce {
@@ -240,12 +240,12 @@
 	for _, r := range c.Routes {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\n", r.Name, r.Model, r.Adapter, r.Priority, !r.NotRepeatable)
 	}
-	_ = w.Flush() // Writes to the terminal.
+	_ = w.Flush() // Errors on terminal output are ignored.
 	fmt.Fprintln(w, "MODEL\tVERSION\tSLOTS\tLEAST SLOTS")
 	for _, m := range c.Models {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\n", m.Name, m.Version, m.Slots, m.MinSlots)
 	}
-	_ = w.Flush() // Writes to the terminal.
+	_ = w.Flush() // Errors on terminal output are ignored.
 	for _, s := range c.Services {
 		fmt.Fprintf(w, "service %s, hedged %v, at most once: %s\n", s.Name, s.Hedge, strings.Join(s.NotRepeatable, " "))
 	}
@@ -256,7 +256,7 @@
 	for _, ws := range c.Workspaces {
 		fmt.Fprintf(w, "%s\t%d\t%d\n", ws.Name, ws.Share, len(ws.KeyDigests))
 	}
-	_ = w.Flush() // Writes to the terminal.
+	_ = w.Flush() // Errors on terminal output are ignored.
 }
 
 func printPlaces(e env, places []transport.ConfigPlace) {
@@ -266,7 +266,7 @@
 		since := (time.Duration(p.ForMS) * time.Millisecond).Round(time.Second)
 		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%s\t%v\t%s\n", p.Name, p.Domain, p.State, p.Ready, p.Number, p.Digest, p.InForce, since)
 	}
-	_ = w.Flush() // Writes to the terminal.
+	_ = w.Flush() // Errors on terminal output are ignored.
 }
 
 func printJSON(e env, v any) int {
--- a/cmd/weldctl/check.go
+++ b/cmd/weldctl/check.go
@@ -14,11 +14,12 @@
 	"github.com/weldstream/weldstream/state"
 )
 
-// readFiles reads files, and of folders the *.yaml files in them, by name.
+// readFiles reads the given files, and all *.yaml files of the given directories in
+// the order of their names.
 func readFiles(paths []string) ([]state.ConfigFile, error) {
 	var files []state.ConfigFile
 	for _, path := range paths {
-		names, err := expand(path)
+		names, err := configPaths(path)
 		if err != nil {
 			return nil, err
 		}
@@ -33,7 +34,7 @@
 	return files, nil
 }
 
-func expand(path string) ([]string, error) {
+func configPaths(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, eris.Wrap(err, "read configuration")
@@ -43,18 +44,18 @@
 	}
 	names, err := filepath.Glob(filepath.Join(path, "*.yaml"))
 	if err != nil {
-		return nil, eris.Wrap(err, "list folder")
+		return nil, eris.Wrap(err, "list directory")
 	}
 	if len(names) == 0 {
-		return nil, eris.Errorf("%s holds no *.yaml file", path)
+		return nil, eris.Errorf("directory %s contains no *.yaml file", path)
 	}
 	sort.Strings(names)
 	return names, nil
 }
 
 func runCheck(e env, fs *flag.FlagSet, args []string) int {
-	asJSON := fs.Bool("json", false, "print JSON for a script")
-	if code, ok := parse(fs, args); !ok {
+	asJSON := fs.Bool("json", false, "print JSON")
+	if code, ok := parseFlags(fs, args); !ok {
 		return code
 	}
 	if fs.NArg() == 0 {
@@ -76,13 +77,13 @@
 		return printJSON(e, config)
 	}
 	digest := protocol.DigestOf(state.Canonical(config))
-	fmt.Fprintf(e.out, "good: %d models, %d adapters, %d routes, %d services, %d workspaces, digest %s\n",
+	fmt.Fprintf(e.out, "valid: %d models, %d adapters, %d routes, %d services, %d workspaces, digest %s\n",
 		len(config.Models), len(config.Adapters), len(config.Routes), len(config.Services), len(config.Workspaces), digest.Short())
 	return exitOK
 }
 
 func runSettings(e env, fs *flag.FlagSet, args []string) int {
-	if code, ok := parse(fs, args); !ok {
+	if code, ok := parseFlags(fs, args); !ok {
 		return code
 	}
 	text, err := settings.Reference()
--- a/cmd/weldctl/dump.go
+++ b/cmd/weldctl/dump.go
@@ -15,7 +15,7 @@
 	"github.com/weldstream/weldstream/transport"
 )
 
-// dumpView is the part of a dump that the tables show; -json prints all of it.
+// dumpView is the part of a state dump that the tables show; -json prints the whole dump.
 type dumpView struct {
 	At      time.Time           `json:"at"`
 	Name    string              `json:"name"`
@@ -44,7 +44,7 @@
 func runDump(e env, fs *flag.FlagSet, args []string) int {
 	var a adminFlags
 	a.register(fs)
-	if code, ok := parse(fs, args); !ok {
+	if code, ok := parseFlags(fs, args); !ok {
 		return code
 	}
 	status, body, err := a.call(e, http.MethodGet, "/dump", nil)
@@ -52,7 +52,7 @@
 		return failf(e, "%v", err)
 	}
 	if status != http.StatusOK {
-		return failf(e, "%s", refusalText(status, body))
+		return failf(e, "%s", errorText(status, body))
 	}
 	if a.json {
 		var out bytes.Buffer
@@ -86,13 +86,13 @@
 		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%d\t%d\t%s\t%d\t%d\n",
 			s.ID, s.Kind, s.Domain, s.Leaving, s.Outstanding, s.Report.Running, s.Report.Waiting, age, s.Sent, s.Failed)
 	}
-	_ = w.Flush() // Writes to the terminal.
+	_ = w.Flush() // Errors on terminal output are ignored.
 	w = tabwriter.NewWriter(e.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "MEMBER\tDOMAIN\tSTATE\tREADY\tCONFIGURATION\tFOR")
 	for _, m := range v.Members {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%d\t%s\n", m.Name, m.Domain, m.State, m.Ready, m.Revision, v.At.Sub(m.Since).Round(time.Millisecond))
 	}
-	_ = w.Flush() // Writes to the terminal.
+	_ = w.Flush() // Errors on terminal output are ignored.
 	printPools(e, v.Pools)
 	printGroup(e, v.Group)
 	fmt.Fprintf(e.out, "%d requests in progress, %d servers marked as leaving\n", len(v.Streams), len(v.Leaving))
@@ -101,7 +101,7 @@
 	}
 }
 
-// printPools shows who uses the models' slots through the instance.
+// printPools prints how workspaces use the slots of the models through the instance.
 func printPools(e env, pools []transport.PoolRow) {
 	if len(pools) == 0 {
 		return
@@ -114,10 +114,10 @@
 				d.Running[protocol.ClassRegular], d.Queued[protocol.ClassRegular], d.Running[protocol.ClassLow], d.Queued[protocol.ClassLow])
 		}
 	}
-	_ = w.Flush() // Writes to the terminal.
+	_ = w.Flush() // Errors on terminal output are ignored.
 }
 
-// printGroup shows the replica that the instance keeps, if it keeps one.
+// printGroup prints the state of the instance's replica, if it has one.
 func printGroup(e env, g *group.Status) {
 	if g == nil {
 		return
--- a/cmd/weldctl/main.go
+++ b/cmd/weldctl/main.go
@@ -1,17 +1,17 @@
-// Command weldctl is the operators' and callers' tool.
+// Command weldctl is the command-line tool for operators and callers.
 //
-//	weldctl check PATH...             read configuration files and list every fault
-//	weldctl apply -number N PATH...   have them accepted as a whole
-//	weldctl get                       what is in force, and where
-//	weldctl dump                      the state of one process
-//	weldctl drop NAME                 take a replica that is gone for good out of the group
-//	weldctl rollout VERB              move a service to another version, look on, turn back
-//	weldctl status ADDRESS...         who leads, what control instances have applied, round trips
-//	weldctl send                      a caller's request, streamed to the terminal
-//	weldctl trace REQUEST FILE...     one request's story from the logs of several processes
-//	weldctl settings                  every setting of the daemon with its default and bounds
+//	weldctl check PATH...             validate configuration files and list every fault
+//	weldctl apply -number N PATH...   apply the configuration files, all of them or none
+//	weldctl get                       show the configuration in force, and on which instances
+//	weldctl dump                      show the state of one process
+//	weldctl drop NAME                 remove a permanently lost replica from the group
+//	weldctl rollout COMMAND           move a service to another version, watch or abort the move
+//	weldctl status ADDRESS...         show the leader, the applied entries and the round trips of control instances
+//	weldctl send                      send a request as a caller and stream the answer
+//	weldctl trace REQUEST FILE...     show the timeline of a request from the logs of several processes
+//	weldctl settings                  list every setting of the daemon with its default and bounds
 //
-// Exit codes: 0 done; 1 refused, faulty or failed; 2 wrong use.
+// Exit codes: 0 success; 1 refused, invalid or failed; 2 usage error.
 package main
 
 import (
@@ -30,11 +30,11 @@
 	exitUsage  = 2
 )
 
-// env is what a subcommand works with, so that tests can replace it.
+// env is the environment of a subcommand, which tests replace.
 type env struct {
-	out io.Writer
-	err io.Writer
-	get func(string) string // get reads an environment variable.
+	out    io.Writer
+	err    io.Writer
+	getenv func(string) string // getenv returns the value of an environment variable.
 }
 
 // command is one subcommand.
@@ -45,21 +45,21 @@
 
 func commands() map[string]command {
 	return map[string]command{
-		"check":    {"read configuration files and list every fault", runCheck},
-		"apply":    {"have configuration files accepted as a whole", runApply},
-		"get":      {"show what is in force, and where", runGet},
+		"check":    {"validate configuration files and list every fault", runCheck},
+		"apply":    {"apply the configuration files, all of them or none", runApply},
+		"get":      {"show the configuration in force, and on which instances", runGet},
 		"dump":     {"show the state of one process", runDump},
-		"drop":     {"take a replica that is gone for good out of the group", runDrop},
+		"drop":     {"remove a permanently lost replica from the group", runDrop},
 		"settings": {"list every setting of the daemon with its default and bounds", runSettings},
-		"trace":    {"tell one request's story from the logs of several processes", runTrace},
-		"status":   {"show who leads, and the round trips between control instances", runStatus},
+		"trace":    {"show the timeline of a request from the logs of several processes", runTrace},
+		"status":   {"show the leader, and the round trips between control instances", runStatus},
 		"rollout":  {"move a service to servers of another version: begin, status, watch, abort", runRollout},
 		"send":     {"send a request as a caller and stream the answer", runSend},
 	}
 }
 
 func main() {
-	os.Exit(run(env{out: os.Stdout, err: os.Stderr, get: os.Getenv}, os.Args[1:]))
+	os.Exit(run(env{out: os.Stdout, err: os.Stderr, getenv: os.Getenv}, os.Args[1:]))
 }
 
 func run(e env, args []string) int {
@@ -85,12 +85,12 @@
 	for _, name := range names {
 		fmt.Fprintf(e.err, "  %-8s %s\n", name, commands()[name].help)
 	}
-	fmt.Fprintln(e.err, "exit codes: 0 done; 1 refused, faulty or failed; 2 wrong use")
+	fmt.Fprintln(e.err, "exit codes: 0 success; 1 refused, invalid or failed; 2 usage error")
 	return exitUsage
 }
 
-// parse reads flags; ok is false when the command should end with code.
-func parse(fs *flag.FlagSet, args []string) (code int, ok bool) {
+// parseFlags parses the flags; ok is false if the command should exit with code.
+func parseFlags(fs *flag.FlagSet, args []string) (code int, ok bool) {
 	err := fs.Parse(args)
 	if errors.Is(err, flag.ErrHelp) {
 		return exitOK, false
--- a/cmd/weldctl/rollout.go
+++ b/cmd/weldctl/rollout.go
@@ -18,12 +18,12 @@
 
 const (
 	rolloutTimeout = 5 * time.Second
-	watchPause     = 500 * time.Millisecond
-	// leftPrecision is that of the time left, of which a line is printed each watchPause.
-	leftPrecision = 100 * time.Millisecond
+	watchInterval  = 500 * time.Millisecond
+	// timeLeftPrecision is the precision of the time left, which is printed once per watchInterval.
+	timeLeftPrecision = 100 * time.Millisecond
 )
 
-// rolloutFlags are shared by the calls of a control instance.
+// rolloutFlags are the flags of the commands that call a control instance.
 type rolloutFlags struct {
 	address string
 	json    bool
@@ -31,14 +31,14 @@
 
 func (f *rolloutFlags) register(fs *flag.FlagSet) {
 	fs.StringVar(&f.address, "control", "127.0.0.1:7201", "operator `address` of any control instance, IP:port")
-	fs.BoolVar(&f.json, "json", false, "print JSON for a script")
+	fs.BoolVar(&f.json, "json", false, "print JSON")
 }
 
 // parseService parses the arguments of a subcommand that takes the name of one service.
-// Without ok, code is the exit status.
+// If ok is false, the command should exit with code.
 func (f *rolloutFlags) parseService(e env, fs *flag.FlagSet, subcommand string, args []string) (service string, code int, ok bool) {
 	f.register(fs)
-	if code, ok := parse(fs, args); !ok {
+	if code, ok := parseFlags(fs, args); !ok {
 		return "", code, false
 	}
 	if fs.NArg() != 1 {
@@ -48,7 +48,7 @@
 	return fs.Arg(0), exitOK, true
 }
 
-// call makes one call and reads its answer into v.
+// call sends one request and decodes the answer into v.
 func (f *rolloutFlags) call(method, path string, body, v any) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -63,16 +63,16 @@
 		req.SetBodyRaw(data)
 	}
 	if err := fasthttp.DoTimeout(req, resp, rolloutTimeout); err != nil {
-		return eris.Wrapf(err, "reach %s", f.address)
+		return eris.Wrapf(err, "call %s", f.address)
 	}
 	if resp.StatusCode() != http.StatusOK {
-		return eris.New(refusalText(resp.StatusCode(), resp.Body()))
+		return eris.New(errorText(resp.StatusCode(), resp.Body()))
 	}
 	return eris.Wrap(json.Unmarshal(resp.Body(), v), "parse answer")
 }
 
-// rolloutVerbs are the subcommands of "weldctl rollout".
-var rolloutVerbs = map[string]func(e env, fs *flag.FlagSet, args []string) int{
+// rolloutCommands holds the subcommands of "weldctl rollout".
+var rolloutCommands = map[string]func(e env, fs *flag.FlagSet, args []string) int{
 	"begin":  runRolloutBegin,
 	"status": runRolloutStatus,
 	"watch":  runRolloutWatch,
@@ -81,26 +81,26 @@
 
 func runRollout(e env, fs *flag.FlagSet, args []string) int {
 	if len(args) > 0 {
-		if verb, ok := rolloutVerbs[args[0]]; ok {
-			return verb(e, fs, args[1:])
+		if command, ok := rolloutCommands[args[0]]; ok {
+			return command(e, fs, args[1:])
 		}
 	}
 	fmt.Fprintln(e.err, `usage: weldctl rollout begin -service NAME -version VERSION -within TIME [-watch]
        weldctl rollout status
        weldctl rollout watch SERVICE
        weldctl rollout abort SERVICE
-watch ends with 0 once it is completed, with 1 once it is rolled back`)
+exit codes of watch: 0 when the roll-out completes, 1 when it is rolled back`)
 	return exitUsage
 }
 
 func runRolloutBegin(e env, fs *flag.FlagSet, args []string) int {
 	var f rolloutFlags
 	f.register(fs)
-	service := fs.String("service", "", "the `service` that moves (required)")
-	version := fs.String("version", "", "the `version` that it moves to (required)")
-	within := fs.Duration("within", 0, "the `time` in which it is to be over, such as 5m (required)")
-	watch := fs.Bool("watch", false, "stay until it is over")
-	if code, ok := parse(fs, args); !ok {
+	service := fs.String("service", "", "the `service` to move (required)")
+	version := fs.String("version", "", "the `version` to move to (required)")
+	within := fs.Duration("within", 0, "the `time` limit of the roll-out, such as 5m (required)")
+	watch := fs.Bool("watch", false, "watch the roll-out until it ends")
+	if code, ok := parseFlags(fs, args); !ok {
 		return code
 	}
 	if *service == "" || *version == "" || *within <= 0 || fs.NArg() > 0 {
@@ -125,7 +125,7 @@
 func runRolloutStatus(e env, fs *flag.FlagSet, args []string) int {
 	var f rolloutFlags
 	f.register(fs)
-	if code, ok := parse(fs, args); !ok {
+	if code, ok := parseFlags(fs, args); !ok {
 		return code
 	}
 	var list control.RolloutList
@@ -141,16 +141,16 @@
 		r := &list.Rollouts[i]
 		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\n", r.Number, r.Service, r.Version, r.Stage, r.Limit(), r.Reason)
 	}
-	_ = w.Flush() // Writes to the terminal.
+	_ = w.Flush() // Errors on terminal output are ignored.
 	for i := range list.Progress {
 		fmt.Fprintln(e.out, progressText(&list.Progress[i]))
 	}
 	return exitOK
 }
 
-// progressText is one line on a roll-out that runs.
+// progressText renders the progress of a running roll-out as one line.
 func progressText(p *protocol.RolloutProgress) string {
-	left := (time.Duration(p.LeftMS) * time.Millisecond).Round(leftPrecision)
+	left := (time.Duration(p.LeftMS) * time.Millisecond).Round(timeLeftPrecision)
 	return fmt.Sprintf("%s to %s: %s, %.1f %% of the requests, %d of %d answers failed (others %d of %d), evidence %.1f for failures and %.1f for slowness, %d answers on former servers, %s left",
 		p.Rollout.Service, p.Rollout.Version, p.Rollout.Stage, 100*p.Share, p.NewFailed, p.New, p.OldFailed, p.Old, p.Failures, p.Slowness, p.OldRunning, left)
 }
@@ -164,16 +164,16 @@
 	return watchRollout(e, &f, service)
 }
 
-// watchRollout prints a line each watchPause until the roll-out is over. A request that
-// fails is printed and repeated: control instances may be electing a leader.
+// watchRollout prints a line per watchInterval until the roll-out ends. The error of a failed
+// request is printed and the request is repeated: control instances may be electing a leader.
 func watchRollout(e env, f *rolloutFlags, service string) int {
-	for failures := 0; ; time.Sleep(watchPause) {
+	for failures := 0; ; time.Sleep(watchInterval) {
 		var list control.RolloutList
 		if err := f.call(http.MethodGet, "", nil, &list); err != nil {
-			if failures++; failures > mostFailures {
+			if failures++; failures > maxWatchFailures {
 				return failf(e, "%v", err)
 			}
-			fmt.Fprintf(e.err, "weldctl: %v; asked again\n", err)
+			fmt.Fprintf(e.err, "weldctl: %v; retrying\n", err)
 			continue
 		}
 		failures = 0
@@ -195,8 +195,8 @@
 	}
 }
 
-// mostFailures in a row end a watch: about ten seconds.
-const mostFailures = 20
+// maxWatchFailures is the number of consecutive failures that end a watch: about ten seconds.
+const maxWatchFailures = 20
 
 func findRollout(list *control.RolloutList, service string) *protocol.Rollout {
 	for i := range list.Rollouts {
@@ -220,6 +220,6 @@
 	if r.Stage != protocol.RolloutRolledBack {
 		return failf(e, "%s: %s", r.Stage, r.Reason)
 	}
-	fmt.Fprintf(e.out, "roll-out %d of %s is turned back\n", r.Number, r.Service)
+	fmt.Fprintf(e.out, "roll-out %d of %s is rolled back\n", r.Number, r.Service)
 	return exitOK
 }
--- a/cmd/weldctl/rollout_test.go
+++ b/cmd/weldctl/rollout_test.go
@@ -15,12 +15,11 @@
 	"github.com/weldstream/weldstream/transport/control"
 )
 
-// fakeControl is a control instance whose roll-out goes a stage further at each
-// question for it.
+// fakeControl is a control instance whose roll-out advances by one stage per request.
 type fakeControl struct {
-	mu     sync.Mutex
-	stages []protocol.RolloutStage
-	orders []string
+	mu       sync.Mutex
+	stages   []protocol.RolloutStage
+	requests []string
 }
 
 func (f *fakeControl) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -30,7 +29,7 @@
 	if len(f.stages) > 1 {
 		f.stages = f.stages[1:]
 	}
-	f.orders = append(f.orders, r.Method+" "+r.URL.Path)
+	f.requests = append(f.requests, r.Method+" "+r.URL.Path)
 	switch {
 	case r.Method == http.MethodGet:
 		list := control.RolloutList{Rollouts: []protocol.Rollout{rollout}}
@@ -46,9 +45,9 @@
 	}
 }
 
-// TestRollout checks what each call prints and how it ends.
+// TestRollout checks the output and the exit code of each subcommand.
 func TestRollout(t *testing.T) {
-	trial, moving, completed, back := protocol.RolloutTrial, protocol.RolloutMoving, protocol.RolloutCompleted, protocol.RolloutRolledBack
+	trial, moving, completed, rolledBack := protocol.RolloutTrial, protocol.RolloutMoving, protocol.RolloutCompleted, protocol.RolloutRolledBack
 	for name, c := range map[string]struct {
 		args   string
 		stages []protocol.RolloutStage
@@ -58,10 +57,10 @@
 		"begin_without_version": {"begin -service s -within 1m", []protocol.RolloutStage{trial}, exitUsage},
 		"begin_and_watch":       {"begin -service s -version v2 -within 1m -watch", []protocol.RolloutStage{trial, trial, moving, completed}, exitOK},
 		"status":                {"status", []protocol.RolloutStage{trial}, exitOK},
-		"status_json":           {"status -json", []protocol.RolloutStage{back}, exitOK},
-		"watch_rolled_back":     {"watch s", []protocol.RolloutStage{trial, back}, exitFailed},
+		"status_json":           {"status -json", []protocol.RolloutStage{rolledBack}, exitOK},
+		"watch_rolled_back":     {"watch s", []protocol.RolloutStage{trial, rolledBack}, exitFailed},
 		"watch_unknown":         {"watch t", []protocol.RolloutStage{trial}, exitFailed},
-		"abort_none":            {"abort s", []protocol.RolloutStage{back}, exitFailed},
+		"abort_none":            {"abort s", []protocol.RolloutStage{rolledBack}, exitFailed},
 		"no_verb":               {"", []protocol.RolloutStage{trial}, exitUsage},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -74,9 +73,9 @@
 				args = append(args, words[1:]...)
 			}
 			var out, errs bytes.Buffer
-			code := run(env{out: &out, err: &errs, get: func(string) string { return "" }}, args)
+			code := run(env{out: &out, err: &errs, getenv: func(string) string { return "" }}, args)
 			if code != c.code {
-				t.Errorf("ended with %d, want %d", code, c.code)
+				t.Errorf("exit code %d, want %d", code, c.code)
 			}
 			text := out.String()
 			if c.code != exitUsage {
--- a/cmd/weldctl/send.go
+++ b/cmd/weldctl/send.go
@@ -17,39 +17,39 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// KeyVariable names the environment variable with the workspace's key.
+// KeyVariable is the environment variable that holds the workspace's key.
 const KeyVariable = "WELDSTREAM_KEY"
 
 type sendFlags struct {
-	address   string
-	keyFile   string
-	model     string
-	service   string
-	maxTokens int
-	key       string
-	once      bool
-	issuedAt  string
-	priority  string
-	deadline  time.Duration
+	address        string
+	keyFile        string
+	model          string
+	service        string
+	maxTokens      int
+	idempotencyKey string
+	notRepeatable  bool
+	issuedAt       string
+	priority       string
+	deadline       time.Duration
 }
 
 func (s *sendFlags) register(fs *flag.FlagSet) {
 	fs.StringVar(&s.address, "caller", "127.0.0.1:7101", "caller `address` of any instance, IP:port")
-	fs.StringVar(&s.keyFile, "key-file", "", "`file` with the workspace's key; else $"+KeyVariable)
-	fs.StringVar(&s.model, "model", "", "the route's `name`; the arguments are the prompt")
-	fs.StringVar(&s.service, "service", "", "a plain service and `path`, such as gantry/tag; the argument is the body")
-	fs.IntVar(&s.maxTokens, "max-tokens", 64, "tokens of the answer")
-	fs.StringVar(&s.key, "idempotency-key", "", "identity of the request across resends")
-	fs.BoolVar(&s.once, "once", false, "mark the request as not repeatable")
-	fs.StringVar(&s.issuedAt, "issued-at", "", "with -once, the `time` of the first send, RFC 3339, for a resend; now if empty")
-	fs.StringVar(&s.priority, "priority", "", "low, normal or high")
-	fs.DurationVar(&s.deadline, "deadline", 0, "time to wait for the whole answer")
+	fs.StringVar(&s.keyFile, "key-file", "", "`file` with the workspace's key; default: $"+KeyVariable)
+	fs.StringVar(&s.model, "model", "", "`name` of the route; the arguments are the prompt")
+	fs.StringVar(&s.service, "service", "", "plain service and `path`, such as gantry/tag; the argument is the body")
+	fs.IntVar(&s.maxTokens, "max-tokens", 64, "maximum number of tokens in the answer")
+	fs.StringVar(&s.idempotencyKey, "idempotency-key", "", "key that identifies the request across resends")
+	fs.BoolVar(&s.notRepeatable, "once", false, "mark the request as not repeatable")
+	fs.StringVar(&s.issuedAt, "issued-at", "", "for a resend with -once: the `time` of the first send, RFC 3339; default: now")
+	fs.StringVar(&s.priority, "priority", "", "priority: low, normal or high")
+	fs.DurationVar(&s.deadline, "deadline", 0, "maximum time until the answer is complete")
 }
 
 func runSend(e env, fs *flag.FlagSet, args []string) int {
 	var s sendFlags
 	s.register(fs)
-	if code, ok := parse(fs, args); !ok {
+	if code, ok := parseFlags(fs, args); !ok {
 		return code
 	}
 	if (s.model == "") == (s.service == "") {
@@ -59,11 +59,11 @@
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	if err := s.fill(e, req, strings.Join(fs.Args(), " ")); err != nil {
+	if err := s.buildRequest(e, req, strings.Join(fs.Args(), " ")); err != nil {
 		return failf(e, "%v", err)
 	}
-	if s.once {
-		fmt.Fprintf(e.err, "issued at %s: a resend needs -issued-at with this time\n", s.issuedAt)
+	if s.notRepeatable {
+		fmt.Fprintf(e.err, "issued at %s: use -issued-at with this time for a resend\n", s.issuedAt)
 	}
 	client := &fasthttp.Client{StreamResponseBody: true}
 	if err := client.Do(req, resp); err != nil {
@@ -72,8 +72,8 @@
 	return printAnswer(e, resp)
 }
 
-func (s *sendFlags) fill(e env, req *fasthttp.Request, text string) error {
-	key := e.get(KeyVariable)
+func (s *sendFlags) buildRequest(e env, req *fasthttp.Request, text string) error {
+	key := e.getenv(KeyVariable)
 	if s.keyFile != "" {
 		data, err := os.ReadFile(s.keyFile)
 		if err != nil {
@@ -84,7 +84,7 @@
 	req.Header.SetMethod(http.MethodPost)
 	req.Header.Set("Authorization", "Bearer "+key)
 	req.Header.SetContentType("application/json")
-	s.marks(req)
+	s.setHeaders(req)
 	if s.service != "" {
 		req.SetRequestURI("http://" + s.address + "/services/" + s.service)
 		req.SetBodyString(text)
@@ -96,13 +96,13 @@
 	return eris.Wrap(err, "encode request")
 }
 
-func (s *sendFlags) marks(req *fasthttp.Request) {
-	if s.key != "" {
-		req.Header.Set(protocol.HeaderKey, s.key)
+func (s *sendFlags) setHeaders(req *fasthttp.Request) {
+	if s.idempotencyKey != "" {
+		req.Header.Set(protocol.HeaderKey, s.idempotencyKey)
 	}
-	if s.once {
+	if s.notRepeatable {
 		req.Header.Set(protocol.HeaderRepeatable, "false")
-		req.Header.Set(protocol.HeaderIssuedAt, s.issued())
+		req.Header.Set(protocol.HeaderIssuedAt, s.issueTime())
 	}
 	if s.priority != "" {
 		req.Header.Set(protocol.HeaderPriority, s.priority)
@@ -112,8 +112,8 @@
 	}
 }
 
-// issued is the time of the first send.
-func (s *sendFlags) issued() string {
+// issueTime returns the time of the first send. It is set to now if there is none.
+func (s *sendFlags) issueTime() string {
 	if s.issuedAt == "" {
 		s.issuedAt = time.Now().UTC().Format(time.RFC3339Nano)
 	}
@@ -130,7 +130,7 @@
 		if err != nil {
 			return failf(e, "%v", err)
 		}
-		return failf(e, "%s", refusalText(resp.StatusCode(), data))
+		return failf(e, "%s", errorText(resp.StatusCode(), data))
 	}
 	if string(resp.Header.ContentType()) != "text/event-stream" {
 		if _, err := io.Copy(e.out, body); err != nil {
@@ -141,8 +141,8 @@
 	return printEvents(e, body)
 }
 
-// printEvents prints the text of each event as it comes. An answer is whole
-// only when [DONE] came.
+// printEvents prints the text of each event as it arrives. An answer is complete
+// only if it ends with [DONE].
 func printEvents(e env, body io.Reader) int {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
@@ -161,13 +161,13 @@
 			return failf(e, "%v", err)
 		}
 	}
-	return failf(e, "the answer ended before it was whole")
+	return failf(e, "the answer ended before [DONE]: it is incomplete")
 }
 
 func eventText(data string) (text, refusal string) {
 	var failed protocol.ErrorBody
 	if json.Unmarshal([]byte(data), &failed) == nil && failed.Error.Code != "" {
-		return "", refusalText(http.StatusBadGateway, []byte(data))
+		return "", errorText(http.StatusBadGateway, []byte(data))
 	}
 	var c protocol.Chunk
 	if err := json.Unmarshal([]byte(data), &c); err != nil {
--- a/cmd/weldctl/status.go
+++ b/cmd/weldctl/status.go
@@ -15,17 +15,18 @@
 	"github.com/weldstream/weldstream/transport/control"
 )
 
-// statusTime is how long one control instance may take to tell its state: an operator
-// looks on, and one that is cut off answers nothing.
-const statusTime = 2 * time.Second
+// statusTimeout bounds the request to one control instance. It is short because an operator
+// waits for the output, and an unreachable instance does not answer at all.
+const statusTimeout = 2 * time.Second
 
-// tripRound is what round trips are rounded to: those of a region take a millisecond.
-const tripRound = 100 * time.Microsecond
+// roundTripPrecision is the unit to which round trips are rounded: within a region they take
+// about a millisecond.
+const roundTripPrecision = 100 * time.Microsecond
 
-// percent turns a part into percent.
+// percent converts a fraction into percent.
 const percent = 100
 
-// controlView is the part of a control instance's dump that the tables show.
+// controlView is the part of a control instance's state dump that the tables show.
 type controlView struct {
 	group.Status
 	Domain string              `json:"domain"`
@@ -33,13 +34,13 @@
 	Relay  *control.RelayState `json:"relay"`
 }
 
-// runStatus shows who leads, what each control instance has applied, for how many
-// gateways it answers, and the round trips between them.
+// runStatus prints the leader, the entries that each control instance has applied, the
+// number of gateways it relays for, and the round trips between the instances.
 func runStatus(e env, fs *flag.FlagSet, args []string) int {
 	fs.Usage = func() {
-		fmt.Fprintln(fs.Output(), "usage: weldctl status ADDRESS...\nthe metrics addresses of control instances, IP:port")
+		fmt.Fprintln(fs.Output(), "usage: weldctl status ADDRESS...\nADDRESS is the metrics address of a control instance, IP:port")
 	}
-	if code, ok := parse(fs, args); !ok {
+	if code, ok := parseFlags(fs, args); !ok {
 		return code
 	}
 	if fs.NArg() == 0 {
@@ -57,14 +58,14 @@
 		views = append(views, view)
 	}
 	printControls(e, views)
-	printTrips(e, views)
+	printRoundTrips(e, views)
 	return code
 }
 
-// readStatus reads the dump of the control instance with a metrics address.
+// readStatus reads the state dump of the control instance with this metrics address.
 func readStatus(address string) (controlView, error) {
 	var view controlView
-	status, body, err := fasthttp.GetTimeout(nil, "http://"+address+"/dump", statusTime)
+	status, body, err := fasthttp.GetTimeout(nil, "http://"+address+"/dump", statusTimeout)
 	if err != nil {
 		return view, eris.Wrap(err, "read the dump")
 	}
@@ -74,7 +75,7 @@
 	return view, eris.Wrap(json.Unmarshal(body, &view), "read the dump")
 }
 
-// printControls shows a row for each control instance.
+// printControls prints a row for each control instance.
 func printControls(e env, views []controlView) {
 	if len(views) == 0 {
 		return
@@ -84,13 +85,13 @@
 	for i := range views {
 		v := &views[i]
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%d of %d\t%d\t%dms\t%s\n",
-			v.ID.Name, v.Domain, v.Region, v.Role, v.Term, v.Leader.Name, v.Applied, v.Last, v.Document, v.LeaseLeftMS, relaysFor(v.Relay))
+			v.ID.Name, v.Domain, v.Region, v.Role, v.Term, v.Leader.Name, v.Applied, v.Last, v.Document, v.LeaseLeftMS, relayText(v.Relay))
 	}
-	_ = w.Flush() // Writes to the terminal.
+	_ = w.Flush() // Errors on terminal output are ignored.
 }
 
-// relaysFor tells for how many gateways an instance passes questions on.
-func relaysFor(r *control.RelayState) string {
+// relayText renders the number of gateways for which an instance relays requests.
+func relayText(r *control.RelayState) string {
 	switch {
 	case r == nil:
 		return "-"
@@ -100,14 +101,14 @@
 	return fmt.Sprintf("%d gateways", r.Gateways)
 }
 
-// printTrips shows the round trips as the leader knows them; where it is not among the
-// instances or does not tell, as the first one that knows any.
-func printTrips(e env, views []controlView) {
-	knows := func(v controlView) bool { return len(v.RoundTrips) > 0 }
-	leads := func(v controlView) bool { return knows(v) && v.Leader.Name == v.ID.Name }
-	from := slices.IndexFunc(views, leads)
+// printRoundTrips prints the round trips reported by the leader. If the leader is not among
+// the instances or reports none, it prints those of the first instance that reports any.
+func printRoundTrips(e env, views []controlView) {
+	hasRoundTrips := func(v controlView) bool { return len(v.RoundTrips) > 0 }
+	isLeader := func(v controlView) bool { return hasRoundTrips(v) && v.Leader.Name == v.ID.Name }
+	from := slices.IndexFunc(views, isLeader)
 	if from < 0 {
-		from = slices.IndexFunc(views, knows)
+		from = slices.IndexFunc(views, hasRoundTrips)
 	}
 	if from < 0 {
 		return
@@ -115,7 +116,7 @@
 	w := tabwriter.NewWriter(e.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "FROM\tTO\tROUND TRIP\tLATE\tLOST")
 	for _, trip := range views[from].RoundTrips {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.0f%%\n", trip.From, trip.To, trip.Smoothed.Round(tripRound), trip.UpperBound().Round(tripRound), trip.Loss*percent)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.0f%%\n", trip.From, trip.To, trip.Smoothed.Round(roundTripPrecision), trip.UpperBound().Round(roundTripPrecision), trip.Loss*percent)
 	}
-	_ = w.Flush() // Writes to the terminal.
+	_ = w.Flush() // Errors on terminal output are ignored.
 }
--- a/cmd/weldctl/status_test.go
+++ b/cmd/weldctl/status_test.go
@@ -17,8 +17,8 @@
 const followerDump = `{"id":{"name":"10.2.0.1:80"},"role":"follower","term":7,"leader":{"name":"10.1.0.1:80"},"applied":40,"last":42,"document":5,
 "domain":"b-1","region":"b","relay":{"gateways":30,"cut":true},"round_trips":[{"from":"10.2.0.1:80","to":"10.1.0.1:80","smoothed":1}]}`
 
-// dumps serves one control instance's dump, and returns its address.
-func dumps(t *testing.T, status int, body string) string {
+// serveDump serves the dump of one control instance and returns its address.
+func serveDump(t *testing.T, status int, body string) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
@@ -28,10 +28,11 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// TestStatus checks what is shown of control instances, that round trips are the
-// leader's, and that one which tells nothing fails the call and hides no other.
+// TestStatus checks the output for control instances and that the round trips are those of
+// the leader. An instance that does not answer makes the command fail, but the others must
+// still be printed.
 func TestStatus(t *testing.T) {
-	leader, follower := dumps(t, http.StatusOK, leaderDump), dumps(t, http.StatusOK, followerDump)
+	leader, follower := serveDump(t, http.StatusOK, leaderDump), serveDump(t, http.StatusOK, followerDump)
 	for name, c := range map[string]struct {
 		addresses []string
 		code      int
@@ -39,15 +40,15 @@
 	}{
 		"regions":    {[]string{follower, leader}, exitOK, ""},
 		"no_leader":  {[]string{follower}, exitOK, ""},
-		"one_silent": {[]string{leader, dumps(t, http.StatusInternalServerError, "")}, exitFailed, "answered 500"},
-		"not_a_dump": {[]string{dumps(t, http.StatusOK, "{")}, exitFailed, "read the dump"},
+		"one_silent": {[]string{leader, serveDump(t, http.StatusInternalServerError, "")}, exitFailed, "answered 500"},
+		"not_a_dump": {[]string{serveDump(t, http.StatusOK, "{")}, exitFailed, "read the dump"},
 		"no_address": {nil, exitUsage, "usage"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out, errs bytes.Buffer
 			e := env{out: &out, err: &errs}
 			if code := run(e, append([]string{"status"}, c.addresses...)); code != c.code || !strings.Contains(errs.String(), c.stderr) {
-				t.Errorf("ended with %d, want %d: %s", code, c.code, errs.String())
+				t.Errorf("exit code %d, want %d: %s", code, c.code, errs.String())
 			}
 			goldie.New(t).Assert(t, "status_"+name, out.Bytes())
 		})
--- a/cmd/weldctl/trace.go
+++ b/cmd/weldctl/trace.go
@@ -13,21 +13,21 @@
 	"strings"
 )
 
-// traceLine is one log line that names a request.
+// traceLine is one parsed log line.
 type traceLine struct {
-	at     int64
+	timeMS int64
 	text   string
 	fields map[string]any
 }
 
-// logLineBytes bounds one log line.
+// logLineBytes is the maximum length of a log line.
 const logLineBytes = 4 << 20
 
-// runTrace prints what the logs of several processes say of one request, in the
-// order of their times.
+// runTrace prints the log lines of one request from the logs of several processes in
+// chronological order.
 func runTrace(e env, fs *flag.FlagSet, args []string) int {
-	around := fs.Bool("around", false, "also the lines of the same processes, from a second before to the end, that are of no request")
-	if code, ok := parse(fs, args); !ok {
+	around := fs.Bool("around", false, "also print lines of the same processes that belong to no request, from one second before the request to its end")
+	if code, ok := parseFlags(fs, args); !ok {
 		return code
 	}
 	if fs.NArg() < 2 {
@@ -41,75 +41,77 @@
 		if err != nil {
 			return failf(e, "%v", err)
 		}
-		got, err := readTrace(f)
-		_ = f.Close() // It was only read.
+		fileLines, err := readTrace(f)
+		_ = f.Close() // The file was only read.
 		if err != nil {
 			return failf(e, "%s: %v", file, err)
 		}
-		lines = append(lines, got...)
+		lines = append(lines, fileLines...)
 	}
-	story := tell(lines, id, *around)
-	if len(story) == 0 {
-		return failf(e, "no line names request %q", id)
+	timeline := requestTimeline(lines, id, *around)
+	if len(timeline) == 0 {
+		return failf(e, "no log line of request %q found", id)
 	}
-	for _, l := range story {
+	for _, l := range timeline {
 		fmt.Fprintln(e.out, l.text)
 	}
 	return exitOK
 }
 
-// readTrace reads log lines; what stands before the JSON of a line, such as a
-// collector's stamp, is passed over, and so is a line without any.
+// readTrace parses log lines. Text before the JSON of a line, such as the timestamp of a
+// log collector, is ignored, and so are lines without JSON.
 func readTrace(r io.Reader) ([]traceLine, error) {
 	var lines []traceLine
 	scan := bufio.NewScanner(r)
 	scan.Buffer(nil, logLineBytes)
 	for scan.Scan() {
-		at := bytes.IndexByte(scan.Bytes(), '{')
-		if at < 0 {
+		start := bytes.IndexByte(scan.Bytes(), '{')
+		if start < 0 {
 			continue
 		}
 		var fields map[string]any
-		if json.Unmarshal(scan.Bytes()[at:], &fields) != nil {
+		if json.Unmarshal(scan.Bytes()[start:], &fields) != nil {
 			continue
 		}
 		ms, _ := fields["time"].(float64)
-		lines = append(lines, traceLine{at: int64(ms), fields: fields})
+		lines = append(lines, traceLine{timeMS: int64(ms), fields: fields})
 	}
 	return lines, scan.Err()
 }
 
-// tell picks the lines of a request, and of the processes that it met.
-func tell(lines []traceLine, id string, around bool) []traceLine {
-	var story []traceLine
-	met := map[any]bool{}
+// requestTimeline returns the lines of a request in chronological order. With around, it
+// includes lines without a request of control instances and of the processes that handled
+// the request.
+func requestTimeline(lines []traceLine, id string, around bool) []traceLine {
+	var timeline []traceLine
+	instances := map[any]bool{}
 	first, last := int64(0), int64(0)
 	for _, l := range lines {
 		if l.fields["request"] != id {
 			continue
 		}
-		story = append(story, l)
-		met[l.fields["instance"]] = true
-		if first == 0 || l.at < first {
-			first = l.at
+		timeline = append(timeline, l)
+		instances[l.fields["instance"]] = true
+		if first == 0 || l.timeMS < first {
+			first = l.timeMS
 		}
-		last = max(last, l.at)
+		last = max(last, l.timeMS)
 	}
-	const before = 1000 // ms
+	const marginMS = 1000
 	for _, l := range lines {
-		if around && l.fields["request"] == nil && l.at >= first-before && l.at <= last && (met[l.fields["instance"]] || l.fields["role"] == "control") {
-			story = append(story, l)
+		if around && l.fields["request"] == nil && l.timeMS >= first-marginMS && l.timeMS <= last && (instances[l.fields["instance"]] || l.fields["role"] == "control") {
+			timeline = append(timeline, l)
 		}
 	}
-	slices.SortStableFunc(story, func(a, b traceLine) int { return cmp.Compare(a.at, b.at) })
-	for i := range story {
-		story[i].text = render(story[i], first)
+	slices.SortStableFunc(timeline, func(a, b traceLine) int { return cmp.Compare(a.timeMS, b.timeMS) })
+	for i := range timeline {
+		timeline[i].text = render(timeline[i], first)
 	}
-	return story
+	return timeline
 }
 
-// render writes a line for a person: time since the request's first, instance,
-// message, and the other fields by name.
+// render formats a line: time since the first line of the request, instance, message, and
+// the other fields sorted by name.
 func render(l traceLine, first int64) string {
 	var names []string
 	for name := range l.fields {
@@ -121,7 +123,7 @@
 	}
 	slices.Sort(names)
 	var out strings.Builder
-	fmt.Fprintf(&out, "%+6d ms  %-16v %v", l.at-first, l.fields["instance"], l.fields["message"])
+	fmt.Fprintf(&out, "%+6d ms  %-16v %v", l.timeMS-first, l.fields["instance"], l.fields["message"])
 	for _, name := range names {
 		fmt.Fprintf(&out, "  %s=%v", name, l.fields[name])
 	}
--- a/cmd/weldctl/trace_test.go
+++ b/cmd/weldctl/trace_test.go
@@ -21,8 +21,8 @@
 {"level":"info","instance":"core-1","role":"control","term":5,"time":5000,"message":"elected leader"}
 `
 
-// TestTrace tells one request's story out of two processes' logs, with and
-// without what happened around it.
+// TestTrace checks the timeline of a request from the logs of two processes, with and
+// without the lines around it.
 func TestTrace(t *testing.T) {
 	dir := t.TempDir()
 	var files []string
@@ -37,16 +37,16 @@
 	e := env{out: &out, err: &errs}
 	for _, args := range [][]string{{"aa"}, {"-around", "aa"}} {
 		if code := runTrace(e, flag.NewFlagSet("trace", flag.ContinueOnError), append(args, files...)); code != exitOK {
-			t.Errorf("%v ended with %d: %s", args, code, errs.String())
+			t.Errorf("%v: exit code %d: %s", args, code, errs.String())
 		}
 		out.WriteByte('\n')
 	}
 	goldie.New(t).Assert(t, "trace", out.Bytes())
 	if code := runTrace(e, flag.NewFlagSet("trace", flag.ContinueOnError), append([]string{"cc"}, files...)); code != exitFailed {
-		t.Errorf("a request that no line names ended with %d", code)
+		t.Errorf("unknown request: exit code %d", code)
 	}
 	fs := flag.NewFlagSet("trace", flag.ContinueOnError)
 	if code := runTrace(e, fs, []string{"aa"}); code != exitUsage {
-		t.Errorf("without a file it ended with %d", code)
+		t.Errorf("no file: exit code %d", code)
 	}
 }
