--- a/cmd/weldsoak/main.go
+++ b/cmd/weldsoak/main.go
@@ -1,10 +1,10 @@
-// Command weldsoak runs the daemons as separate processes on this machine and
-// harms them while it holds their promises; see package soak.
+// Command weldsoak runs the daemons as separate processes on this machine, injects
+// faults and checks that the guarantees of the system hold; see package soak.
 //
 //	weldsoak -daemon bin/weldstreamd [-seeds 1,2,3 | -first 1 -count 50] [-time 12s] [-controls 3] [-gateways 3] [-regions 3] [-earlier PROGRAM -mix gateways|controls|first|last]
 //
-// It prints a line a seed, and for one that broke a promise its plan, what was
-// broken and where the logs are. It exits with 1 if any did, with 2 on wrong use.
+// It prints one line per seed, and for a failed seed the plan, the violated guarantees
+// and the directory with the logs. Exit status: 1 if a seed failed, 2 on a usage error.
 package main
 
 import (
@@ -20,31 +20,31 @@
 
 func main() { os.Exit(run()) }
 
-// regionDelay is between two regions some thousand kilometers apart, one way.
+// regionDelay is the one-way delay between two regions some thousand kilometers apart.
 const regionDelay = 8 * time.Millisecond
 
 func run() int {
-	daemon := flag.String("daemon", "", "the daemon's `program` (required)")
-	list := flag.String("seeds", "", "`seeds`, separated by commas")
-	first := flag.Uint64("first", 1, "the first `seed`, without -seeds")
-	count := flag.Uint64("count", 1, "how many seeds, without -seeds")
-	length := flag.Duration("time", 12*time.Second, "how long each seed's faults go on")
+	daemon := flag.String("daemon", "", "`program` of the daemon (required)")
+	seedList := flag.String("seeds", "", "`seeds`, separated by commas")
+	first := flag.Uint64("first", 1, "the first `seed`, if -seeds is not set")
+	count := flag.Uint64("count", 1, "number of seeds, if -seeds is not set")
+	length := flag.Duration("time", 12*time.Second, "duration of the fault injection per seed")
 	size := soak.Size{}
-	flag.IntVar(&size.Controls, "controls", 3, "control instances, 1 to 9")
-	flag.IntVar(&size.Gateways, "gateways", 3, "gateways, 1 to 30")
-	flag.IntVar(&size.Backends, "backends", 6, "backend servers, 1 to 30")
-	flag.IntVar(&size.Regions, "regions", 0, "regions that all lie in, 2 or 3; 0 for none")
-	flag.DurationVar(&size.Delay, "delay", regionDelay, "the delay between two regions, one way")
-	reclaim := flag.Bool("reclaim", false, "take servers away with what runs there as well")
-	crash := flag.Bool("crash", false, "have requests come that end each server which runs them")
-	words := flag.Bool("words", false, "have servers name limits and ask for rest")
-	earlier := builds{}
-	flag.StringVar(&earlier.program, "earlier", "", "the daemon's `program` of an earlier build, for some processes")
-	mix := flag.String("mix", string(soak.MixFirst), "which processes run it: gateways, controls, first (lives) or last (lives)")
+	flag.IntVar(&size.Controls, "controls", 3, "number of control instances, 1 to 9")
+	flag.IntVar(&size.Gateways, "gateways", 3, "number of gateways, 1 to 30")
+	flag.IntVar(&size.Backends, "backends", 6, "number of backend servers, 1 to 30")
+	flag.IntVar(&size.Regions, "regions", 0, "number of regions that instances and servers are spread over, 2 or 3; 0 for none")
+	flag.DurationVar(&size.Delay, "delay", regionDelay, "one-way delay between two regions")
+	reclaim := flag.Bool("reclaim", false, "also reclaim servers while requests run on them")
+	crash := flag.Bool("crash", false, "also send requests that crash every server that runs them")
+	limitsAndRests := flag.Bool("words", false, "also let servers announce request limits and ask for pauses")
+	earlier := earlierBuild{}
+	flag.StringVar(&earlier.program, "earlier", "", "`program` of an earlier build of the daemon, for some of the processes")
+	mix := flag.String("mix", string(soak.MixFirst), "processes that run the earlier build: gateways, controls, first (every process until its first restart) or last (every process after its first restart)")
 	flag.Parse()
 	earlier.mix = soak.Mix(*mix)
-	seeds, err := parseSeeds(*list, *first, *count)
-	if err != nil || *daemon == "" || flag.NArg() > 0 || !sound(size) {
+	seeds, err := parseSeeds(*seedList, *first, *count)
+	if err != nil || *daemon == "" || flag.NArg() > 0 || !validSize(size) {
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "weldsoak:", err)
 		}
@@ -53,7 +53,7 @@
 	}
 	failed := 0
 	for _, seed := range seeds {
-		if !play(*daemon, earlier, seed, *length, size, *reclaim, *crash, *words) {
+		if !runSeed(*daemon, earlier, seed, *length, size, *reclaim, *crash, *limitsAndRests) {
 			failed++
 		}
 	}
@@ -64,9 +64,9 @@
 	return 0
 }
 
-func sound(s soak.Size) bool {
-	in := func(n, most int) bool { return n >= 1 && n <= most }
-	return in(s.Controls, 9) && in(s.Gateways, 30) && in(s.Backends, 30) && (s.Regions == 0 || in(s.Regions, 3)) && s.Delay >= 0
+func validSize(s soak.Size) bool {
+	inRange := func(n, upper int) bool { return n >= 1 && n <= upper }
+	return inRange(s.Controls, 9) && inRange(s.Gateways, 30) && inRange(s.Backends, 30) && (s.Regions == 0 || inRange(s.Regions, 3)) && s.Delay >= 0
 }
 
 func parseSeeds(list string, first, count uint64) ([]uint64, error) {
@@ -80,22 +80,23 @@
 	for text := range strings.SplitSeq(list, ",") {
 		seed, err := strconv.ParseUint(strings.TrimSpace(text), 10, 64)
 		if err != nil {
-			return nil, fmt.Errorf("seed %q is no number", text)
+			return nil, fmt.Errorf("seed %q is not a number", text)
 		}
 		seeds = append(seeds, seed)
 	}
 	return seeds, nil
 }
 
-// builds are which processes run an earlier build; none without a program.
-type builds struct {
+// earlierBuild is an earlier build of the daemon and the processes that run it; none do
+// if program is empty.
+type earlierBuild struct {
 	program string
 	mix     soak.Mix
 }
 
-// play runs one seed and reports whether every promise held. Logs of a run that
-// broke one are kept.
-func play(daemon string, earlier builds, seed uint64, length time.Duration, size soak.Size, reclaim, crash, words bool) bool {
+// runSeed runs one seed and reports whether all guarantees held. The logs of a failed
+// run are kept.
+func runSeed(daemon string, earlier earlierBuild, seed uint64, length time.Duration, size soak.Size, reclaim, crash, limitsAndRests bool) bool {
 	dir, err := os.MkdirTemp("", fmt.Sprintf("weldsoak-%d-", seed))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "weldsoak:", err)
@@ -120,19 +121,19 @@
 	if crash {
 		plan = plan.WithCrashes()
 	}
-	if words {
+	if limitsAndRests {
 		plan = plan.WithWords()
 	}
 	result, err := soak.Run(c, plan)
 	c.Close()
 	if err == nil && len(result.Breaches) == 0 {
-		fmt.Printf("seed %d: %d faults, %d of %d requests served, %d roll-outs completed, %d turned back, %d answers moved, %d servers ended under requests, %d limits kept to, nothing broken\n",
+		fmt.Printf("seed %d: %d faults, %d of %d requests served, %d roll-outs completed, %d rolled back, %d answers moved, %d servers crashed by requests, %d request limits kept, no violations\n",
 			seed, len(plan.Steps), result.Served, result.Asked, result.Completed, result.RolledBack, result.Moved, result.Crashed, result.Limits)
 		return os.RemoveAll(dir) == nil
 	}
-	fmt.Printf("seed %d: BROKEN, error %v, logs in %s\n%s", seed, err, dir, plan)
+	fmt.Printf("seed %d: FAILED, error %v, logs in %s\n%s", seed, err, dir, plan)
 	for _, b := range result.Breaches {
-		fmt.Println("  broken:", b)
+		fmt.Println("  violation:", b)
 	}
 	return false
 }
