--- a/cmd/weldstandin/main.go
+++ b/cmd/weldstandin/main.go
@@ -1,12 +1,12 @@
-// Command weldstandin runs one stand-in: a model engine, a plain service or
-// the platform. It is for demos and tests only.
+// Command weldstandin runs a stand-in for a model engine, a plain service or the
+// platform. It is for demos and tests only.
 //
 //	weldstandin engine -id e1 -listen 127.0.0.1:9001 -control 127.0.0.1:9101 -models docket-8b
 //	weldstandin service -id gantry-1 -listen 127.0.0.1:9201 -control 127.0.0.1:9301
 //	weldstandin platform -listen 127.0.0.1:9401 -control 127.0.0.1:9501
 //
-// With port 0 the kernel chooses; the first line on standard output names the
-// addresses as "listen=IP:PORT control=IP:PORT".
+// Port 0 selects a free port; the first line on standard output gives the addresses
+// as "listen=IP:PORT control=IP:PORT".
 package main
 
 import (
@@ -24,7 +24,7 @@
 
 const (
 	exitUsage = 2
-	// exitCrash is that of an engine which a request ended.
+	// exitCrash is the exit status of an engine that a request crashed.
 	exitCrash = 3
 )
 
@@ -43,7 +43,7 @@
 	fs := flag.NewFlagSet(args[0], flag.ExitOnError)
 	listen := fs.String("listen", "127.0.0.1:0", "address to serve, `IP:port`")
 	control := fs.String("control", "127.0.0.1:0", "control address, `IP:port`")
-	build, ok := kinds(fs)[args[0]]
+	build, ok := registerKinds(fs)[args[0]]
 	if !ok {
 		return usage()
 	}
@@ -68,25 +68,26 @@
 	return exitUsage
 }
 
-// kinds registers the flags of all kinds and returns how to build each.
-func kinds(fs *flag.FlagSet) map[string]func() server {
-	id := fs.String("id", "standin", "identity in the platform's list")
-	models := fs.String("models", "", "engine: models loaded, comma separated")
-	adapters := fs.String("adapters", "", "engine: adapters loaded, comma separated")
+// registerKinds registers the flags of all kinds of stand-ins and returns a constructor
+// for each kind.
+func registerKinds(fs *flag.FlagSet) map[string]func() server {
+	id := fs.String("id", "standin", "name in the platform's server list")
+	models := fs.String("models", "", "engine: loaded models, separated by commas")
+	adapters := fs.String("adapters", "", "engine: loaded adapters, separated by commas")
 	cfg := standin.EngineConfig{}
-	fs.DurationVar(&cfg.TokenTime, "token-time", 20*time.Millisecond, "engine: time between two tokens of a lone request")
-	fs.DurationVar(&cfg.BatchTime, "batch-time", time.Millisecond, "engine: time added for each further request in the batch")
-	fs.IntVar(&cfg.MaxBatch, "max-batch", 16, "engine: requests in the batch")
-	fs.IntVar(&cfg.PrefillRate, "prefill-rate", 200, "engine: prompt tokens computed in a step")
-	fs.IntVar(&cfg.CacheTokens, "cache-tokens", 20000, "engine: tokens in the prefix cache")
+	fs.DurationVar(&cfg.TokenTime, "token-time", 20*time.Millisecond, "engine: time per token with a single request in the batch")
+	fs.DurationVar(&cfg.BatchTime, "batch-time", time.Millisecond, "engine: additional time per token for each further request in the batch")
+	fs.IntVar(&cfg.MaxBatch, "max-batch", 16, "engine: maximum number of requests in the batch")
+	fs.IntVar(&cfg.PrefillRate, "prefill-rate", 200, "engine: prompt tokens computed per step")
+	fs.IntVar(&cfg.CacheTokens, "cache-tokens", 20000, "engine: capacity of the prefix cache in tokens")
 	fs.DurationVar(&cfg.ReportLag, "report-lag", 100*time.Millisecond, "engine: age of a load report")
-	fs.IntVar(&cfg.EventGapEach, "event-gap", 7, "engine: lose each n-th cache event; 0 loses none")
-	fs.StringVar(&cfg.CrashWord, "crash-word", "", "engine: `word` in the prompts that end the engine as they begin to run; empty for none")
+	fs.IntVar(&cfg.EventGapEach, "event-gap", 7, "engine: drop every n-th cache event; 0 drops none")
+	fs.StringVar(&cfg.CrashWord, "crash-word", "", "engine: a prompt with this `word` crashes the engine when it starts to run; empty for none")
 	cfg.Crash = func() { os.Exit(exitCrash) }
-	fs.BoolVar(&cfg.IgnoreFence, "ignore-fence", false, "engine: accept orders whatever their fence")
+	fs.BoolVar(&cfg.IgnoreFence, "ignore-fence", false, "engine: accept orders even if their fencing token is stale")
 	return map[string]func() server{
 		"engine": func() server {
-			cfg.ID, cfg.Models, cfg.Adapters = *id, list(*models), list(*adapters)
+			cfg.ID, cfg.Models, cfg.Adapters = *id, splitList(*models), splitList(*adapters)
 			return standin.NewEngine(cfg)
 		},
 		"service":  func() server { return standin.NewService(*id) },
@@ -94,7 +95,7 @@
 	}
 }
 
-func list(text string) []string {
+func splitList(text string) []string {
 	if text == "" {
 		return nil
 	}
