--- a/settings/defaults.go
+++ b/settings/defaults.go
@@ -46,17 +46,17 @@
 	DefaultUsageWindow    = 5 * time.Second        // window that one usage report covers
 	DefaultUsageDue       = 10 * time.Second       // a usage report is due this long after the end of its window
 	DefaultTrialShare     = 0.1                    // fraction of a service's requests that a new version may receive before a roll-out moves to it
-	DefaultTrialSlack     = 50.0                   // requests that the version may receive in addition to that fraction
+	DefaultTrialSlack     = 50.0                   // requests that the version may receive in addition to bounds.trial_share
 	DefaultOrderRepeat    = 5 * time.Second        // time during which the order of a roll-out may be sent again
 	DefaultCopies         = true                   // copy shared prompt prefixes between servers
 	DefaultMoves          = true                   // move running answers from leaving servers to other servers
 	DefaultMoveAhead      = time.Second            // answers are moved this long before their server ends: the servers of a domain have hundreds, and each takes 5 to 200 ms on their links
 	DefaultMemoryFraction = 0.4                    // fraction of memory_mb that bodies, answers and connections may use, 0 for no limit: the heap may grow to 0.7 of memory_mb, and the garbage collector needs a quarter more than what is held
 	DefaultCallerRate     = 1 << 10                // minimum rate in bytes per second at which a caller must send a body or read an answer, 0 for one byte per window: a tenth of the throughput of the slowest links in use
-	DefaultCallerWindow   = 15 * time.Second       // window over which that rate is measured: longer than it takes to retransmit a lost packet several times
+	DefaultCallerWindow   = 15 * time.Second       // window over which memory.rate is measured: longer than it takes to retransmit a lost packet several times
 	DefaultSocketKB       = 64                     // kernel buffer of a connection of a caller or server in each direction, in KB, 0 for the default of the kernel: the kernel doubles the value, which is enough for 20 MB/s at a round trip of 6 ms
-	DefaultNodeElection   = 200 * time.Millisecond // minimum election timeout of control instances
-	DefaultNodeHeartbeat  = 40 * time.Millisecond  // interval between two heartbeats of the leader of the control instances
-	DefaultNodeSnapshot   = 1024                   // log entries between two snapshots of a control instance
-	DefaultNodeReserve    = 8 << 20                // bytes of a control instance's disk kept free
+	DefaultNodeElection   = 200 * time.Millisecond // minimum election timeout; the maximum is twice as long
+	DefaultNodeHeartbeat  = 40 * time.Millisecond  // interval between two heartbeats of a leader
+	DefaultNodeSnapshot   = 1024                   // log entries between two snapshots
+	DefaultNodeReserve    = 8 << 20                // bytes of disk space kept free
 )
--- a/settings/node.go
+++ b/settings/node.go
@@ -115,13 +115,13 @@
 	Grace       time.Duration `yaml:"grace" validate:"dmin=100ms,dmax=1h"`        // Grace is the time from the stop signal to the end of the process.
 	Lease       time.Duration `yaml:"lease" validate:"dmin=0s,dmax=1h"`           // Lease is how long a former holder of a duty may still act.
 	RetryRatio  float64       `yaml:"retry_ratio" validate:"min=0,max=10"`        // RetryRatio is the fraction of requests that may be retried.
-	RetryExtra  float64       `yaml:"retry_extra" validate:"min=0"`               // RetryExtra is the number of retries allowed in a window in addition to that fraction.
+	RetryExtra  float64       `yaml:"retry_extra" validate:"min=0"`               // RetryExtra is the number of retries allowed in a window in addition to retry_ratio.
 	RetryWindow time.Duration `yaml:"retry_window" validate:"dmin=100ms,dmax=1h"` // RetryWindow is the window over which both are counted.
 	QuotaWindow time.Duration `yaml:"quota_window" validate:"dmin=100ms,dmax=1h"` // QuotaWindow is the window over which quotas are checked.
 	UsageWindow time.Duration `yaml:"usage_window" validate:"dmin=100ms,dmax=1h"` // UsageWindow is the window that one usage report covers.
 	UsageDue    time.Duration `yaml:"usage_due" validate:"dmin=100ms,dmax=1h"`    // UsageDue is how long after the end of its window a usage report is due.
 	TrialShare  float64       `yaml:"trial_share" validate:"min=0,max=1"`         // TrialShare is the fraction of a service's requests that a new version may receive before a roll-out moves to it.
-	TrialSlack  float64       `yaml:"trial_slack" validate:"min=0"`               // TrialSlack is the number of requests that the version may receive in addition to that fraction.
+	TrialSlack  float64       `yaml:"trial_slack" validate:"min=0"`               // TrialSlack is the number of requests that the version may receive in addition to trial_share.
 	OrderRepeat time.Duration `yaml:"order_repeat" validate:"dmin=0s,dmax=1h"`    // OrderRepeat is the time during which the order of a roll-out may be sent again.
 }
 
