--- a/cmd/weldctl/admin.go
+++ b/cmd/weldctl/admin.go
@@ -195,7 +195,7 @@
 	if status != http.StatusOK {
 		return failf(e, "%s", errorText(status, body))
 	}
-	fmt.Fprintf(e.out, "removing replica %s from the group; see weldctl dump\n", fs.Arg(0))
+	fmt.Fprintf(e.out, "%s is being taken out; see weldctl dump\n", fs.Arg(0))
 	return exitOK
 }
 
@@ -214,7 +214,7 @@
 	}
 	fmt.Fprintf(e.out, "configuration %d, digest %s, in force on %d of %d instances\n", view.Revision.Number, view.Revision.Digest.Short(), countInForce(view.Places), len(view.Places))
 	if view.Leader != "" {
-		fmt.Fprintf(e.out, "leader: %s, as last reported to %s\n", view.Leader, a.address)
+		fmt.Fprintf(e.out, "leader: %s, when %s last asked\n", view.Leader, a.address)
 	}
 	printConfig(e, view.Revision.Config)
 	printPlaces(e, view.Places)
--- a/cmd/weldctl/check.go
+++ b/cmd/weldctl/check.go
@@ -77,7 +77,7 @@
 		return printJSON(e, config)
 	}
 	digest := protocol.DigestOf(state.Canonical(config))
-	fmt.Fprintf(e.out, "valid: %d models, %d adapters, %d routes, %d services, %d workspaces, digest %s\n",
+	fmt.Fprintf(e.out, "good: %d models, %d adapters, %d routes, %d services, %d workspaces, digest %s\n",
 		len(config.Models), len(config.Adapters), len(config.Routes), len(config.Services), len(config.Workspaces), digest.Short())
 	return exitOK
 }
--- a/cmd/weldctl/dump.go
+++ b/cmd/weldctl/dump.go
@@ -77,7 +77,7 @@
 	}
 	fmt.Fprintf(e.out, "%s in %s, %s, configuration %d\n", v.Name, v.Domain, ready, v.Number)
 	w := tabwriter.NewWriter(e.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "SERVER\tKIND\tDOMAIN\tLEAVING\tOUTSTANDING\tRUNNING\tWAITING\tAGE\tSENT\tFAILED")
+	fmt.Fprintln(w, "SERVER\tKIND\tDOMAIN\tLEAVING\tOUR\tRUNNING\tWAITING\tAGE\tSENT\tFAILED")
 	for _, s := range v.Servers {
 		age := (time.Duration(s.ReportAgeMS) * time.Millisecond).String()
 		if s.ReportAgeMS < 0 {
@@ -107,7 +107,7 @@
 		return
 	}
 	w := tabwriter.NewWriter(e.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "MODEL\tSLOTS\tALLOCATED HERE\tWORKSPACE\tSHARE\tRUNNING\tQUEUED\tLOW RUNNING\tLOW QUEUED")
+	fmt.Fprintln(w, "MODEL\tSLOTS\tDIVIDED HERE\tWORKSPACE\tSHARE\tRUNNING\tQUEUED\tLOW RUNNING\tLOW QUEUED")
 	for _, p := range pools {
 		for _, d := range p.Demand {
 			fmt.Fprintf(w, "%s\t%d\t%v\t%s\t%d\t%d\t%d\t%d\t%d\n", p.Pool, p.Slots, p.Leads, d.Workspace, d.Share,
--- a/cmd/weldctl/rollout.go
+++ b/cmd/weldctl/rollout.go
@@ -220,6 +220,6 @@
 	if r.Stage != protocol.RolloutRolledBack {
 		return failf(e, "%s: %s", r.Stage, r.Reason)
 	}
-	fmt.Fprintf(e.out, "roll-out %d of %s is rolled back\n", r.Number, r.Service)
+	fmt.Fprintf(e.out, "roll-out %d of %s is turned back\n", r.Number, r.Service)
 	return exitOK
 }
--- a/cmd/weldctl/send.go
+++ b/cmd/weldctl/send.go
@@ -63,7 +63,7 @@
 		return failf(e, "%v", err)
 	}
 	if s.notRepeatable {
-		fmt.Fprintf(e.err, "issued at %s: use -issued-at with this time for a resend\n", s.issuedAt)
+		fmt.Fprintf(e.err, "issued at %s: a resend needs -issued-at with this time\n", s.issuedAt)
 	}
 	client := &fasthttp.Client{StreamResponseBody: true}
 	if err := client.Do(req, resp); err != nil {
--- a/cmd/weldsoak/main.go
+++ b/cmd/weldsoak/main.go
@@ -127,13 +127,13 @@
 	result, err := soak.Run(c, plan)
 	c.Close()
 	if err == nil && len(result.Breaches) == 0 {
-		fmt.Printf("seed %d: %d faults, %d of %d requests served, %d roll-outs completed, %d rolled back, %d answers moved, %d servers crashed by requests, %d request limits kept, no violations\n",
+		fmt.Printf("seed %d: %d faults, %d of %d requests served, %d roll-outs completed, %d turned back, %d answers moved, %d servers ended under requests, %d limits kept to, nothing broken\n",
 			seed, len(plan.Steps), result.Served, result.Asked, result.Completed, result.RolledBack, result.Moved, result.Crashed, result.Limits)
 		return os.RemoveAll(dir) == nil
 	}
-	fmt.Printf("seed %d: FAILED, error %v, logs in %s\n%s", seed, err, dir, plan)
+	fmt.Printf("seed %d: BROKEN, error %v, logs in %s\n%s", seed, err, dir, plan)
 	for _, b := range result.Breaches {
-		fmt.Println("  violation:", b)
+		fmt.Println("  broken:", b)
 	}
 	return false
 }
--- a/cmd/weldstreamd/group.go
+++ b/cmd/weldstreamd/group.go
@@ -16,7 +16,7 @@
 
 // errUnconfirmed is the reason why a newly started instance is not ready: its
 // configuration may be older than the accepted one.
-var errUnconfirmed = errors.New("the configuration has not been confirmed by a quorum yet")
+var errUnconfirmed = errors.New("the configuration is not confirmed by a quorum yet")
 
 const (
 	confirmTimeout = 2 * time.Second
