--- a/cmd/weldstreamd/control.go
+++ b/cmd/weldstreamd/control.go
@@ -120,7 +120,7 @@
 		return nil
 	}
 	if err := c.links.Call(leader, "Uplink.Progress", true, &list, progressTimeout); err != nil {
-		c.log.Debug().Err(err).Str("leader", leader).Msg("progress of roll-outs not known")
+		c.log.Debug().Err(err).Str("leader", leader).Msg("could not read the progress of roll-outs from the leader")
 	}
 	return list
 }
@@ -260,7 +260,7 @@
 	for {
 		select {
 		case <-c.reloads:
-			c.log.Info().Msg("settings are read at the next start")
+			c.log.Info().Msg("reload ignored: a control instance reads its settings only at start")
 			continue
 		case s := <-c.stops:
 			c.log.Info().Stringer("signal", s).Msg("stopping")
--- a/cmd/weldstreamd/group.go
+++ b/cmd/weldstreamd/group.go
@@ -115,7 +115,7 @@
 func (d *daemon) install(number uint64, config []byte) {
 	rev, err := state.ParseCanonical(number, config)
 	if err != nil {
-		d.log.Error().Err(err).Uint64("number", number).Msg("an accepted configuration cannot be read")
+		d.log.Error().Err(err).Uint64("number", number).Msg("could not parse an accepted configuration")
 		return
 	}
 	if d.tables.Install(rev) {
--- a/cmd/weldstreamd/leave.go
+++ b/cmd/weldstreamd/leave.go
@@ -35,18 +35,18 @@
 		pause.For(ctx, platformCallPoll) // A longer call does no harm: the calls of the successor have a higher fencing token.
 	}
 	if err := c.group.HandOver(ctx); err != nil {
-		c.log.Warn().Err(err).Msg("stopping without a successor")
+		c.log.Warn().Err(err).Msg("leadership hand-over failed; stopping without a successor")
 		return
 	}
 	for ctx.Err() == nil {
 		changed := c.group.Changed()
 		if leader := c.group.Status().Leader; !leader.IsZero() && leader != c.group.ID() {
-			c.log.Info().Str("to", leader.Name).Dur("after", time.Since(start)).Msg("another control instance leads")
+			c.log.Info().Str("to", leader.Name).Dur("after", time.Since(start)).Msg("another control instance took over leadership")
 			return
 		}
 		pause.Until(ctx, leaderHandOverTimeout, changed)
 	}
-	c.log.Warn().Dur("after", time.Since(start)).Msg("no control instance leads yet behind a hand-over")
+	c.log.Warn().Dur("after", time.Since(start)).Msg("no new leader within the hand-over timeout")
 }
 
 // isLeader reports whether this replica is the leader.
--- a/cmd/weldstreamd/main.go
+++ b/cmd/weldstreamd/main.go
@@ -73,7 +73,7 @@
 	dumps := make(chan os.Signal, 1)
 	signal.Notify(dumps, syscall.SIGQUIT)
 	if err := d.run(stops, dumps); err != nil {
-		log.Error().Err(err).Msg("stopped by an error")
+		log.Error().Err(err).Msg("stopped after an error")
 		return exitFailed
 	}
 	log.Info().Msg("stopped")
--- a/cmd/weldstreamd/role.go
+++ b/cmd/weldstreamd/role.go
@@ -163,7 +163,7 @@
 // reload reads the settings again and applies them if they are valid.
 func (r *roleRun) reload(apply func(*settings.Node)) {
 	n, ok := loadNode(r.check, r.file)
-	r.log.Info().Bool("sound", ok).Msg("settings read anew")
+	r.log.Info().Bool("sound", ok).Msg("settings file read again")
 	if ok {
 		apply(n)
 	}
--- a/cmd/weldstreamd/stop.go
+++ b/cmd/weldstreamd/stop.go
@@ -26,7 +26,7 @@
 	case n := <-d.reclaims:
 		left := time.Until(n.At)
 		limit = min(limit, max(left-handOverTimeout, left/2))
-		d.log.Warn().Time("at", n.At).Msg("this instance will be reclaimed")
+		d.log.Warn().Time("at", n.At).Msg("the platform will reclaim this instance")
 	case <-ctx.Done():
 		return nil
 	}
@@ -59,7 +59,7 @@
 	select {
 	case <-d.tables.Streams.Idle():
 	case <-time.After(handOverTimeout):
-		d.log.Error().Int("requests", len(d.tables.Streams.Rows())).Msg("stopping: requests are cut")
+		d.log.Error().Int("requests", len(d.tables.Streams.Rows())).Msg("stopping: requests cut off because the hand-over did not finish in time")
 	}
 }
 
@@ -67,11 +67,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := d.gateway.Shutdown(ctx); err != nil {
-		d.log.Warn().Err(err).Msg("stopping: connections are left")
+		d.log.Warn().Err(err).Msg("stopping: caller connections still open")
 	}
 	d.membership.Leave(ctx)
 	if err := d.admin.Shutdown(ctx); err != nil {
-		d.log.Debug().Err(err).Msg("operators' connections are left")
+		d.log.Debug().Err(err).Msg("stopping: operator connections still open")
 	}
 	return nil
 }
