--- a/coordination/place/cell.go
+++ b/coordination/place/cell.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	// reportHalfLife is the age at which a reported load counts half.
-	reportHalfLife = 2 * time.Second
-	// minDistrust and maxDistrust bound how long a failing server is skipped (exponential
-	// backoff).
+	// reportDecayTime is the age at which the load of other gateways in a report counts
+	// half: it is weighted by 1/(1+age/reportDecayTime).
+	reportDecayTime = 2 * time.Second
+	// minDistrust and maxDistrust bound how long a failing server is suspect and so penalized
+	// (exponential backoff).
 	minDistrust = 400 * time.Millisecond
 	maxDistrust = 6 * time.Second
 	// distrustThreshold is the number of consecutive failures after which a server is
-	// skipped.
+	// suspect.
 	distrustThreshold = 2
 	// sharedDistrustTTL is how long a distrust shared by other gateways holds unless it is
 	// renewed.
@@ -32,10 +33,10 @@
 	outstandingAtReport int        // outstandingAtReport is the part of reportedLoad that is this gateway's.
 	reportedAt          time.Time
 	consecutiveFailures int
-	distrustedUntil     time.Time // distrustedUntil is when the server stops being skipped for failures that this gateway saw.
-	sharedDistrustUntil time.Time // sharedDistrustUntil is the same for failures that other gateways reported.
+	distrustedUntil     time.Time // distrustedUntil is the end of the distrust for failures that this gateway saw.
+	sharedDistrustUntil time.Time // sharedDistrustUntil is the same for failures that other gateways saw.
 	sentOutstanding     int       // sentOutstanding is outstanding as last sent to the leader.
-	stopsAt             time.Time // stopsAt is when a leaving server stops running; zero if unknown.
+	assumedStop         time.Time // assumedStop is when a leaving server counts as stopped, see SetLeaving; zero if unknown.
 	pendingPrefill      float64   // pendingPrefill is the prompt length still to be prefilled, in prompts of mean length.
 	failureRate         float64   // failureRate is the moving average of failed requests, from 0 to 1.
 }
@@ -97,8 +98,8 @@
 	return newly
 }
 
-// distrustedLocally reports whether the server is skipped for failures that this gateway
-// saw itself.
+// distrustedLocally reports whether the server is suspect for failures that this
+// gateway saw itself.
 func (s *ServerStats) distrustedLocally(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,9 +107,9 @@
 }
 
 // RequestFailed records a failure that counts against the server, and reports whether the
-// server is skipped from now on. A hard failure, such as a refused connection, reaches the
-// threshold at once.
-func (s *ServerStats) RequestFailed(hard bool, now time.Time) (distrusted bool) {
+// failure makes a server suspect that was not. A hard failure, such as a refused
+// connection, reaches the threshold at once.
+func (s *ServerStats) RequestFailed(hard bool, now time.Time) (started bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	trusted := !now.Before(s.distrustedUntil)
@@ -126,14 +127,14 @@
 }
 
 // RequestSucceeded records an answer that counts in favor of the server, and reports
-// whether the server was skipped until now.
-func (s *ServerStats) RequestSucceeded() (trusted bool) {
+// whether failures seen here had made the server suspect since the previous success.
+func (s *ServerStats) RequestSucceeded() (wasDistrusted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	trusted = !s.distrustedUntil.IsZero()
+	wasDistrusted = !s.distrustedUntil.IsZero()
 	s.consecutiveFailures, s.distrustedUntil = 0, time.Time{}
 	s.failureRate -= failureRateWeight * s.failureRate
-	return trusted
+	return wasDistrusted
 }
 
 // Outstanding returns how many requests of this gateway the server has.
@@ -143,8 +144,8 @@
 	return s.outstanding
 }
 
-// Suspect reports whether the server is to be skipped for recent failures, seen here or by
-// other gateways.
+// Suspect reports whether the server failed recently, as seen here or by other gateways. It
+// is penalized then, and chosen only if all others are worse.
 func (s *ServerStats) Suspect(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,7 +165,7 @@
 	defer s.mu.Unlock()
 	load = float64(s.outstanding)
 	if !s.reportedAt.IsZero() {
-		age := float64(now.Sub(s.reportedAt)) / float64(reportHalfLife)
+		age := float64(now.Sub(s.reportedAt)) / float64(reportDecayTime)
 		others := float64(max(0, s.reportedLoad-s.outstandingAtReport)) / (1 + age)
 		load += others
 	}
@@ -176,19 +177,21 @@
 // arrive a second late.
 const maxUseAfterNotice = 1500 * time.Millisecond
 
-// SetLeaving records that the server is leaving and stops after the given time. The first
-// notice counts, since a later one may have been delayed for longer.
+// SetLeaving records that the server is leaving and stops after the given time. It counts as
+// stopped earlier if that time is long: leavingCandidates requires minRemainingTime before
+// the stop, so the last request is sent at most maxUseAfterNotice after the notice. The
+// first notice counts, since a later one may have been delayed for longer.
 func (s *ServerStats) SetLeaving(after time.Duration, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.stopsAt.IsZero() {
-		s.stopsAt = now.Add(min(after, maxUseAfterNotice+minRemainingTime))
+	if s.assumedStop.IsZero() {
+		s.assumedStop = now.Add(min(after, maxUseAfterNotice+minRemainingTime))
 	}
 }
 
-// stopTime returns when a leaving server stops running; zero if unknown.
+// stopTime returns when a leaving server counts as stopped; zero if unknown.
 func (s *ServerStats) stopTime() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.stopsAt
+	return s.assumedStop
 }
--- a/coordination/place/cell_test.go
+++ b/coordination/place/cell_test.go
@@ -51,7 +51,7 @@
 	c.RequestStarted()
 	c.SetReportedLoad(8, start) // Two of them are this gateway's.
 	c.RequestEnded()
-	for age, want := range map[time.Duration]float64{0: 7, reportHalfLife: 4} {
+	for age, want := range map[time.Duration]float64{0: 7, reportDecayTime: 4} {
 		if got, _, _, _ := c.load(start.Add(age)); got != want {
 			t.Errorf("at age %v the load is %v, want %v", age, got, want)
 		}
--- a/coordination/place/holders.go
+++ b/coordination/place/holders.go
@@ -26,8 +26,8 @@
 
 const (
 	// maxHoldersPerLink is how many servers are remembered for one link. Most servers of a
-	// lane hold the common first parts: with a limit of 4, most of their readings counted
-	// as new, and the leader sent 0.007 GB a minute more.
+	// lane hold the common first parts: with a limit of 4, most prefills counted as new,
+	// and the leader sent 0.007 GB a minute more.
 	maxHoldersPerLink = 64
 	// maxLinks bounds the remembered links; each takes a few hundred bytes.
 	maxLinks = 8192
@@ -67,7 +67,7 @@
 type holderEntry struct {
 	server       string
 	lastPrefill  time.Time // lastPrefill is when the link was last sent to the server.
-	firstPrefill time.Time // firstPrefill is when it was first sent, without a gap of prefixTTL since.
+	firstPrefill time.Time // firstPrefill is the start of the latest series of sends with no gap of prefixTTL or more.
 }
 
 // NewHolders returns an empty tracker.
--- a/coordination/place/holders_test.go
+++ b/coordination/place/holders_test.go
@@ -182,11 +182,11 @@
 func TestReadingsAreBounded(t *testing.T) {
 	r := NewReadings()
 	r.SetServers([]string{"a"})
-	for i := range 3 * maxReadings {
+	for i := range 3 * maxPrefills {
 		r.Add(1, "a", []uint32{uint32(i)})
 	}
 	packed, next := r.Since(1)
-	if len(packed) != len(r.rows)*readingBytes || len(r.rows) > maxReadings || next != 3*maxReadings {
+	if len(packed) != len(r.rows)*prefillBytes || len(r.rows) > maxPrefills || next != 3*maxPrefills {
 		t.Errorf("%d bytes of %d rows, next position %d", len(packed), len(r.rows), next)
 	}
 	if packed, again := r.Since(next + 1000); len(packed) != 0 || again != next {
--- a/coordination/place/lane.go
+++ b/coordination/place/lane.go
@@ -24,9 +24,9 @@
 	promptWeight = 0.01
 	// minLanePrompts is the number of prompts seen before lanes are used.
 	minLanePrompts = 30
-	// maxTermsWeight is the number of prompts from which on the terms of a gateway count in
-	// full.
-	maxTermsWeight = 200
+	// maxParamsWeight is the number of prompts from which on the parameters of a gateway
+	// have full weight.
+	maxParamsWeight = 200
 	// minLongShare and maxLongShare bound the share of prefill tokens in long prompts for
 	// which lanes pay off.
 	minLongShare, maxLongShare = 0.15, 0.9
@@ -34,7 +34,7 @@
 
 // Lanes learns from the prompts of one service which of them are long, namely those above
 // the mean length, and how much server time each kind takes. All gateways see about the
-// same mix of prompts and agree on the terms through the leader.
+// same mix of prompts and agree on the parameters through the leader.
 type Lanes struct {
 	prompts         int
 	meanTokens      float64 // meanTokens is the mean length of a prompt in tokens.
@@ -42,19 +42,19 @@
 	meanLongPrefill float64 // meanLongPrefill is the part of meanPrefill that is in long prompts.
 
 	endedRequests int
-	meanHold      float64 // meanHold is how long a request holds a slot, in ms of a whole server.
+	meanHold      float64 // meanHold is how long a request holds a slot, divided by the server's slots (server-milliseconds).
 	meanLongHold  float64 // meanLongHold is the part of meanHold that is due to long prompts.
 	runningShort  int     // runningShort counts requests with short prompts that hold a slot.
 	busyShort     float64 // busyShort is the moving average of the slots that they hold, in whole servers.
 	busyUpdatedAt time.Time
 
-	// agreed holds the terms of all gateways; agreed.Seen is 0 before they were received.
+	// agreed holds the parameters of all gateways; agreed.Seen is 0 before they were received.
 	agreed protocol.LaneParams
 }
 
 const (
 	// prefillRate is the assumed prefill rate of a server in tokens per millisecond.
-	// Engines prefill 64 to 112 alone, and half of that while they serve streams.
+	// Engines reach 64 to 112 without other work, and half of that while they serve streams.
 	prefillRate = 50.0
 	// holdWeight is the weight of the latest request in the mean hold times, which follow a
 	// burst within seconds.
@@ -68,20 +68,21 @@
 	shortLaneUse = 0.6
 )
 
-// Local returns the terms that this gateway observed itself.
+// Local returns the parameters that this gateway observed itself.
 func (l *Lanes) Local() protocol.LaneParams {
-	t := protocol.LaneParams{Mean: l.meanTokens, Seen: l.prompts, Parts: protocol.LaneShares{Short: l.shortWork()}}
+	params := protocol.LaneParams{Mean: l.meanTokens, Seen: l.prompts, Parts: protocol.LaneShares{Short: l.shortWork()}}
 	if l.meanPrefill > 0 {
-		t.Parts.Tokens = l.meanLongPrefill / l.meanPrefill
+		params.Parts.Tokens = l.meanLongPrefill / l.meanPrefill
 	}
 	if all := l.meanPrefill/prefillRate + l.meanHold; all > 0 {
-		t.Parts.Work = (l.meanLongPrefill/prefillRate + l.meanLongHold) / all
+		params.Parts.Work = (l.meanLongPrefill/prefillRate + l.meanLongHold) / all
 	}
-	return t
+	return params
 }
 
 // shortWork returns how many servers the short prompts of this gateway keep busy: the slots
-// that they hold plus their prefill, in the proportion of the mean prompt.
+// that they hold plus their prefill time, estimated from the mean ratio of prefill to hold
+// time of short prompts.
 func (l *Lanes) shortWork() float64 {
 	hold := l.meanHold - l.meanLongHold
 	if hold <= 0 {
@@ -118,15 +119,15 @@
 	l.busyUpdatedAt = now
 }
 
-// SetAgreed sets the terms of all gateways, so that all assign the same lanes.
-func (l *Lanes) SetAgreed(t protocol.LaneParams) { l.agreed = t }
+// SetAgreed sets the parameters of all gateways, so that all assign the same lanes.
+func (l *Lanes) SetAgreed(params protocol.LaneParams) { l.agreed = params }
 
 // MergeTerms merges the terms of several gateways: means are weighted by the prompts that
 // each has seen, and the servers kept busy by short prompts are added up.
-func MergeTerms(terms []protocol.LaneParams) protocol.LaneParams {
+func MergeTerms(list []protocol.LaneParams) protocol.LaneParams {
 	var all protocol.LaneParams
-	for _, t := range terms {
-		n := float64(min(t.Seen, maxTermsWeight))
+	for _, t := range list {
+		n := float64(min(t.Seen, maxParamsWeight))
 		all.Mean += t.Mean * n
 		all.Parts.Tokens += t.Parts.Tokens * n
 		all.Parts.Work += t.Parts.Work * n
@@ -147,16 +148,20 @@
 // shortLaneUse of it is in use, up to its share of all work.
 //
 // This covers the load of lost failure domains during a burst. With 116 servers and 480
-// model requests a second, the short lane had 36 servers by tokens and its requests started
-// after 1.2 s, while the 80 servers of the long lane ran one request each. Of the requests
-// from 24 to 40 s of that day, 3,153 were late with a split by tokens alone, 779 with a
-// split by work alone (which made long prompts late on calm days), and 546 with this rule.
+// model requests a second, a split by tokens gave the short lane 36 servers, where requests
+// started after 1.2 s, while the 80 servers of the long lane ran one request each. Within
+// 16 s of such a load, 3,153 requests were late with a split by tokens alone, 779 with a
+// split by work alone (which made long prompts late without a burst), and 546 with this
+// rule.
 func longServers(p protocol.LaneShares, servers int) int {
 	return splitServers(longShare(p, servers), servers)
 }
 
 // longShare returns the share of the servers that is reserved for long prompts, from 0 to
-// 1.
+// 1. At most, it is the share of the prefill tokens in long prompts. It is lower if the short
+// lane needs more: p.Short servers are kept busy by short prompts, so p.Short/shortLaneUse
+// are to be in that lane. But long prompts keep their share of all work, if that is below
+// their share of the tokens.
 func longShare(p protocol.LaneShares, servers int) float64 {
 	share := min(p.Tokens, 1-p.Short/shortLaneUse/float64(servers))
 	return max(share, min(p.Tokens, p.Work))
@@ -188,17 +193,17 @@
 	}
 	l.meanPrefill += weight * (prefill - l.meanPrefill)
 	l.meanLongPrefill += weight * (longPrefill - l.meanLongPrefill)
-	terms := l.Local()
+	params := l.Local()
 	if l.agreed.Seen > 0 {
-		terms = l.agreed
+		params = l.agreed
 	}
 	switch {
-	case terms.Seen < minLanePrompts || terms.Parts.Tokens < minLongShare || terms.Parts.Tokens > maxLongShare:
-		return LaneAny, terms.Parts
+	case params.Seen < minLanePrompts || params.Parts.Tokens < minLongShare || params.Parts.Tokens > maxLongShare:
+		return LaneAny, params.Parts
 	case isLong:
-		return LaneLong, terms.Parts
+		return LaneLong, params.Parts
 	}
-	return LaneShort, terms.Parts
+	return LaneShort, params.Parts
 }
 
 // threshold returns the length in tokens above which a prompt is long.
--- a/coordination/place/lane_test.go
+++ b/coordination/place/lane_test.go
@@ -58,11 +58,11 @@
 			}
 		}
 	}
-	var terms []protocol.LaneParams
+	var params []protocol.LaneParams
 	for i := range lanes {
-		terms = append(terms, lanes[i].Local())
+		params = append(params, lanes[i].Local())
 	}
-	return MergeTerms(terms).Parts
+	return MergeTerms(params).Parts
 }
 
 func poisson(rnd *rand.Rand, mean float64) int {
@@ -85,10 +85,10 @@
 		byTokens bool
 		fill     float64 // fill is the maximum use of the short lane.
 	}{
-		{"a calm fleet", 1, 168, true, 0.6},
-		{"a fleet at full price, few requests", 0.7, 93, true, 0.6},
-		{"a burst with lost domains", 1.45, 90, false, 0.85},
-		{"a burst on half of the fleet", 1.45, 60, false, 1.25},
+		{"168 servers, normal load", 1, 168, true, 0.6},
+		{"93 servers, 0.7 of the load", 0.7, 93, true, 0.6},
+		{"90 servers, 1.45 times the load", 1.45, 90, false, 0.85},
+		{"60 servers, 1.45 times the load", 1.45, 60, false, 1.25},
 	} {
 		parts := agreedParts(mixedLoad(c.times), 20, slots)
 		n := longServers(parts, c.servers)
@@ -105,9 +105,9 @@
 	}
 }
 
-// TestLanesWithoutReports checks that a gateway without terms from the leader splits the
-// servers by what it observed itself.
-func TestLanesWithoutReports(t *testing.T) {
+// TestLongServersBounds checks the number of servers for long prompts: by tokens if nothing
+// else is known, by work if short prompts need more than all servers, and at least one.
+func TestLongServersBounds(t *testing.T) {
 	if n := longServers(protocol.LaneShares{Tokens: 0.6}, 10); n != 6 {
 		t.Errorf("%d of 10 servers for long prompts, by tokens alone", n)
 	}
--- a/coordination/place/ledger.go
+++ b/coordination/place/ledger.go
@@ -44,7 +44,7 @@
 // PromptScheduler places the long prompts of all gateways. The prefill of a long prompt
 // stalls every stream on the same server, so a placement depends most on where the other
 // long prompts are, and no single gateway knows that. The leader of the control role runs
-// one scheduler; a gateway that gets no prompt answer from it chooses by itself.
+// one scheduler; a gateway that gets no answer from it in time chooses by itself.
 type PromptScheduler struct {
 	loads        *Loads // loads counts the requests of all gateways, including those placed here.
 	queues       map[string]*serverQueue
@@ -63,7 +63,7 @@
 // WithTopology sets the regions of the failure domains; without it all servers count as
 // near.
 func WithTopology(t *topology.Topology) SchedulerOption {
-	return func(l *PromptScheduler) { l.topology = t }
+	return func(ps *PromptScheduler) { ps.topology = t }
 }
 
 // serverQueue is what the scheduler knows of one server.
@@ -86,9 +86,9 @@
 const (
 	initialPrefillSpeed = 40.0
 	initialTokenPace    = 8.0
-	// observationWeight is the weight of the latest request in the learned rates. An
-	// observation that is faster than the estimate weighs less by fasterWeight, since the
-	// server may have held more of the prompt than is known here.
+	// observationWeight is the weight of the latest request in the learned rates. For
+	// an observation that is faster than the estimate, it is multiplied by fasterWeight,
+	// since the server may have held more of the prompt than is known here.
 	observationWeight = 0.1
 	fasterWeight      = 0.15
 	// gapShare is the share of the acceptable gap that a prefill may take before it counts
@@ -98,16 +98,19 @@
 	// how many prefixes are remembered for each server.
 	prefixTTL            = 30 * time.Second
 	maxPrefixesPerServer = 128
-	// The costs are in units of one stalled stream: a first event past its target, a first
-	// event exactly at its target, and a request that the server already has.
-	// distancePenalty is in the same unit.
-	lateCost    = 2.0
-	waitCost    = 0.5
+	// All costs, and distancePenalty, are in units of one stalled stream. lateCost is the
+	// cost of a first event past its target.
+	lateCost = 2.0
+	// waitCost is the cost of a first event exactly at its target; earlier and later ones
+	// are charged in proportion.
+	waitCost = 0.5
+	// requestCost is the cost of each request that the server already has.
 	requestCost = 0.1
 	// distrustCost keeps prompts off failing servers while there are others.
 	distrustCost = 1000.0
-	// recomputeCost is the cost of a prompt that could have been cached completely
-	// elsewhere.
+	// recomputeCost is the cost of a completely shared prompt at a server that does not hold
+	// it. In general it is multiplied by the shared part of the prompt, whether or not
+	// another server holds that.
 	recomputeCost = 0.8
 	// minCopyShare of recomputeCost is the least cost of a copied prompt. A copy takes
 	// memory at both servers and their network links, so a prompt stays with its holder
@@ -118,12 +121,12 @@
 // NewPromptScheduler returns a scheduler without placements that reads the loads of all
 // gateways.
 func NewPromptScheduler(loads *Loads, opts ...SchedulerOption) *PromptScheduler {
-	l := &PromptScheduler{loads: loads, queues: map[string]*serverQueue{}, requests: map[uint64]*placedRequest{}, prefillSpeed: initialPrefillSpeed, tokenPace: initialTokenPace}
+	ps := &PromptScheduler{loads: loads, queues: map[string]*serverQueue{}, requests: map[uint64]*placedRequest{}, prefillSpeed: initialPrefillSpeed, tokenPace: initialTokenPace}
 	for _, opt := range opts {
-		opt(l)
+		opt(ps)
 	}
-	l.holders = NewHolders(l.topology)
-	return l
+	ps.holders = NewHolders(ps.topology)
+	return ps
 }
 
 // Place returns a server for a long prompt, or false if there is none.
@@ -217,23 +220,25 @@
 	if m.Gap <= 0 {
 		limit = m.Target
 	}
-	stalls, stalled := prefill > limit, 0
-	for _, st := range q.requests {
-		// A running request stalls for the whole block of prefills; one that is still
-		// waiting before this prompt stalls only for this prompt's prefill.
-		if block := wait + prefill; !st.prefillEnd.After(now) {
+	exceedsGap, stalledStreams := prefill > limit, 0
+	for _, request := range q.requests {
+		// A request whose prefill has ended stalls until all prefills end. It counts if this
+		// one makes that longer than the limit; if the wait alone exceeds the limit, earlier
+		// prompts have stalled it already. A request that is still to be prefilled stalls
+		// only for this prompt's prefill.
+		if block := wait + prefill; !request.prefillEnd.After(now) {
 			if block > limit && wait <= limit {
-				stalled++
+				stalledStreams++
 			}
-		} else if stalls {
-			stalled++
+		} else if exceedsGap {
+			stalledStreams++
 		}
 	}
 	others := max(0, ps.loads.Running(s.ID)-len(q.requests))
-	if stalls {
-		stalled += others
+	if exceedsGap {
+		stalledStreams += others
 	}
-	cost := float64(stalled)
+	cost := float64(stalledStreams)
 	if m.Target > 0 {
 		cost += waitCost * float64(wait+prefill) / float64(m.Target)
 		if wait+prefill > m.Target {
@@ -265,9 +270,9 @@
 	}
 	q.prefillUntil = from.Add(ps.prefillTime(tokens))
 	ps.lastNumber++
-	st := &placedRequest{server: server, prefillEnd: q.prefillUntil, prefillTokens: tokens, answerTokens: m.Answer, uncontended: uncontended}
-	st.expectedEnd = st.prefillEnd.Add(time.Duration(ps.tokenPace * float64(m.Answer) * float64(time.Millisecond)))
-	q.requests[ps.lastNumber], ps.requests[ps.lastNumber] = st, st
+	request := &placedRequest{server: server, prefillEnd: q.prefillUntil, prefillTokens: tokens, answerTokens: m.Answer, uncontended: uncontended}
+	request.expectedEnd = request.prefillEnd.Add(time.Duration(ps.tokenPace * float64(m.Answer) * float64(time.Millisecond)))
+	q.requests[ps.lastNumber], ps.requests[ps.lastNumber] = request, request
 	q.recordPrefix(m.Prefix, now)
 	newLinks := ps.holders.Record(server, m.Chain, now)
 	return Placed{Server: server, Holder: holder, Number: ps.lastNumber, NewLinks: newLinks}
@@ -294,20 +299,20 @@
 
 // Done removes a placed request that ended and learns from its timing.
 func (ps *PromptScheduler) Done(m DoneMsg) {
-	st := ps.requests[m.Number]
-	if st == nil {
+	request := ps.requests[m.Number]
+	if request == nil {
 		return
 	}
-	ps.remove(m.Number, st)
-	if m.First <= 0 || !st.uncontended {
+	ps.remove(m.Number, request)
+	if m.First <= 0 || !request.uncontended {
 		return
 	}
 	if first := float64(m.First) / float64(time.Millisecond); first > 1 {
-		ps.prefillSpeed += speedStep(float64(st.prefillTokens)/first - ps.prefillSpeed)
+		ps.prefillSpeed += speedStep(float64(request.prefillTokens)/first - ps.prefillSpeed)
 	}
-	if st.answerTokens > 0 {
+	if request.answerTokens > 0 {
 		rest := float64(m.Took-m.First) / float64(time.Millisecond)
-		ps.tokenPace += observationWeight * (rest/float64(st.answerTokens) - ps.tokenPace)
+		ps.tokenPace += observationWeight * (rest/float64(request.answerTokens) - ps.tokenPace)
 	}
 }
 
@@ -319,9 +324,9 @@
 	return observationWeight * diff
 }
 
-func (ps *PromptScheduler) remove(number uint64, st *placedRequest) {
+func (ps *PromptScheduler) remove(number uint64, request *placedRequest) {
 	delete(ps.requests, number)
-	delete(ps.queues[st.server].requests, number)
+	delete(ps.queues[request.server].requests, number)
 }
 
 // overdueAfter is how long after its expected end a request is removed whose end was never
@@ -329,9 +334,9 @@
 const overdueAfter = 2 * time.Second
 
 func (ps *PromptScheduler) removeOverdue(now time.Time) {
-	for number, st := range ps.requests {
-		if now.Sub(st.expectedEnd) > overdueAfter {
-			ps.remove(number, st)
+	for number, request := range ps.requests {
+		if now.Sub(request.expectedEnd) > overdueAfter {
+			ps.remove(number, request)
 		}
 	}
 }
--- a/coordination/place/loads.go
+++ b/coordination/place/loads.go
@@ -17,14 +17,14 @@
 	reports         map[string]GatewayReport
 	relays          map[string]*relaySums
 	relayOf         map[string]string          // relayOf maps a gateway to the relay that it reports to; gateways that report to the leader are absent.
-	leaderDistrusts map[string]map[string]bool // leaderDistrusts holds, at a relay, the servers that the leader told the gateways of each domain to skip; see Replace.
+	leaderDistrusts map[string]map[string]bool // leaderDistrusts holds, at a relay, the servers that the leader told the gateways of each domain to distrust; see Replace.
 }
 
 // GatewayReport is what one gateway reports of the servers.
 type GatewayReport struct {
 	Domain    string                // Domain is the gateway's failure domain.
 	Running   []protocol.ServerLoad // Running holds its outstanding requests by server.
-	Distrusts []string              // Distrusts lists the servers that it skips.
+	Distrusts []string              // Distrusts lists the servers that it distrusts for failures that it saw itself.
 }
 
 // NewLoads returns loads without any report.
@@ -66,12 +66,12 @@
 }
 
 // distrustQuorum is how many gateways of one domain, or how many domains with any such
-// gateway, must distrust a server before others skip it.
+// gateway, must distrust a server before others do, too.
 const distrustQuorum = 2
 
-// Distrusted reports whether the gateways of a domain are to skip a server. The report of a
-// single gateway is never enough, since the fault may be its own; nor are the reports of
-// one other domain, which may have lost its path to the server.
+// Distrusted reports whether the gateways of a domain are to distrust a server. The report
+// of a single gateway is never enough, since the fault may be its own; nor are the reports
+// of one other domain, which may have lost its path to the server.
 func (l *Loads) Distrusted(server, domain string) bool {
 	domains := l.distrusts[server]
 	return l.leaderDistrusts[domain][server] || domains[domain] >= distrustQuorum || len(domains) >= distrustQuorum
@@ -91,7 +91,7 @@
 }
 
 // PackDistrust returns a bit set, in the order of the given servers, of those that the
-// gateways of a domain are to skip; nil if there are none.
+// gateways of a domain are to distrust; nil if there are none.
 func (l *Loads) PackDistrust(servers []string, domain string) []byte {
 	var packed []byte
 	for i, id := range servers {
@@ -128,7 +128,7 @@
 	return rows
 }
 
-// Distrusts returns the servers that this gateway skips for failures that it saw itself.
+// Distrusts returns the servers that this gateway distrusts for failures that it saw itself.
 func (v *View) Distrusts(now time.Time) []string {
 	if v == nil {
 		return nil
@@ -143,8 +143,8 @@
 }
 
 // ApplyLoads applies the loads of all servers in the view's order, as of the latest call of
-// Running or later, and the bit set of servers to skip. It returns the servers that are
-// skipped from now on and were not before.
+// Running or later, and the bit set of servers to distrust. It returns the servers that
+// other gateways distrust now and did not before.
 func (v *View) ApplyLoads(loads, distrusted []byte, now time.Time) []string {
 	if v == nil || len(loads) != len(v.Servers) {
 		return nil // They belong to another list of servers.
--- a/coordination/place/loads_test.go
+++ b/coordination/place/loads_test.go
@@ -51,26 +51,26 @@
 // changes of this gateway's requests since its report are added.
 func TestSharedLoad(t *testing.T) {
 	v := fleet(2)
-	cell := v.Servers[1].Stats
-	cell.RequestStarted()
-	cell.RequestStarted()
+	stats := v.Servers[1].Stats
+	stats.RequestStarted()
+	stats.RequestStarted()
 	rows := v.Running()
 	if diff := cmp.Diff([]protocol.ServerLoad{{Server: "server-1", Running: 2}}, rows); diff != "" {
 		t.Fatal(diff)
 	}
-	cell.RequestStarted() // Started after the report, so the leader does not count it.
+	stats.RequestStarted() // Started after the report, so the leader does not count it.
 	v.ApplyLoads([]byte{0, 7}, nil, start)
-	if load, _, _, _ := cell.load(start); load != 8 {
+	if load, _, _, _ := stats.load(start); load != 8 {
 		t.Errorf("the load is %v, want the 7 reported and one more", load)
 	}
-	cell.RequestEnded()
-	cell.RequestEnded()
-	cell.RequestEnded()
-	if load, _, _, _ := cell.load(start); load != 5 {
+	stats.RequestEnded()
+	stats.RequestEnded()
+	stats.RequestEnded()
+	if load, _, _, _ := stats.load(start); load != 5 {
 		t.Errorf("the load is %v, want the 5 of other gateways", load)
 	}
 	v.ApplyLoads([]byte{9}, nil, start.Add(time.Second)) // The length belongs to another list.
-	if load, _, _, _ := cell.load(start); load != 5 {
+	if load, _, _, _ := stats.load(start); load != 5 {
 		t.Errorf("loads of another list were applied: %v", load)
 	}
 }
@@ -89,7 +89,7 @@
 }
 
 // TestDistrustIsShared checks how many gateways of which domains must distrust a server
-// before others skip it.
+// before others do, too.
 func TestDistrustIsShared(t *testing.T) {
 	for name, c := range map[string]struct {
 		by        map[string]string // by maps the gateways that distrust the server to their domains.
@@ -108,7 +108,7 @@
 			l.SetReport(gateway, GatewayReport{Domain: domain, Distrusts: []string{"s"}}) // A repeated report counts once.
 		}
 		if here, far := l.Distrusted("s", "here"), l.Distrusted("s", "far"); here != c.here || far != c.far {
-			t.Errorf("%s: skipped here %v, want %v; in a far domain %v, want %v", name, here, c.here, far, c.far)
+			t.Errorf("%s: distrusted here %v, want %v; in a far domain %v, want %v", name, here, c.here, far, c.far)
 		}
 		for gateway := range c.by {
 			l.Drop(gateway)
@@ -119,13 +119,13 @@
 	}
 }
 
-// TestSharedDistrust checks that a server which others distrust is skipped until they stop
+// TestSharedDistrust checks that a server which others distrust is suspect until they stop
 // or the report expires, and that this gateway does not report their distrust as its own.
 func TestSharedDistrust(t *testing.T) {
 	v := fleet(10)
 	loads := make([]byte, 10)
 	if since := v.ApplyLoads(loads, []byte{0, 2}, start); len(since) != 1 || since[0] != v.Servers[9].ID {
-		t.Errorf("newly skipped: %v, want the tenth server", since)
+		t.Errorf("newly distrusted: %v, want the tenth server", since)
 	}
 	if since := v.ApplyLoads(loads, []byte{0, 2}, start.Add(time.Millisecond)); len(since) > 0 {
 		t.Errorf("a repeated report counts as new: %v", since)
--- a/coordination/place/near.go
+++ b/coordination/place/near.go
@@ -11,28 +11,35 @@
 	// gateway's domain may be before one in another domain of the region is preferred.
 	sameRegionPenalty = 0.12
 	// otherRegionPenalty is the same for servers in the gateway's region before those in
-	// other regions. A near server has a free slot until its fill is 1, and a remote one
-	// rarely lacks one.
+	// other regions. A server has a free slot until its fill is 1, and remote servers rarely
+	// have none: with a penalty of 1 or more, requests would be sent to full servers in the
+	// region while remote ones have free slots.
 	otherRegionPenalty = 0.6
 	// regionFailureLimit is the number of servers in the gateway's region that must fail a
 	// request before it is sent to another region. Routes usually allow three attempts, and
-	// a region that is cut off would use up all of them. Servers that rejected the request
-	// for their load do not count: counting them cost 0.008 of the score, in the mean of
-	// three, on days when domains of each region are lost in turn.
+	// a region that is cut off would use up all of them. Servers that
+	// rejected the request because of their load do not count as failed: when domains of each
+	// region were lost in turn, counting them lowered the score by 0.008 (mean of three).
 	regionFailureLimit = 2
 )
 
-// distancePenalty is added to the fill of a server for its distance. Penalties computed from
-// the bytes of request and answer and from measured round trips gave the same traffic within
-// a twentieth, so the simpler constants are kept.
+// distancePenalty is indexed by distance. Choose adds it to the fill of servers when it looks
+// for the least loaded one, and PromptScheduler to the cost of placing a prompt. Penalties
+// computed from the bytes of request and answer and from measured round trips gave the same
+// traffic within a twentieth, so constants are used.
 var distancePenalty = [...]float64{topology.SameDomain: 0, topology.SameRegion: sameRegionPenalty, topology.OtherRegion: otherRegionPenalty}
 
 // preferRegion returns the candidates in the gateway's region. It returns those of the
-// other regions instead if their median fill is lower by otherRegionPenalty, or if it
-// leaves room and regionFailureLimit servers of the gateway's region failed the request. So
-// requests that share a prompt meet within a region first, and remote servers are used
-// before a near one is late. Domains of one region count alike here, since a prefill of
-// shared prompts in each domain cost as much as the traffic that it saved.
+// other regions instead if
+//
+//   - their median fill plus otherRegionPenalty is below the median fill in the region, or
+//   - their median fill is below fullLoad, and at least regionFailureLimit servers of the
+//     region that the request was sent to are suspect.
+//
+// So requests that share a prompt are sent to servers of one region at first, and remote
+// servers are used before the near ones are too loaded to respond in time. Domains of one
+// region are treated alike here, since a prefill of shared prompts in each domain cost as
+// much as the traffic that it saved.
 func preferRegion(v *View, rows []candidate, m ChooseMsg) []candidate {
 	if !v.topology.MultiRegion() {
 		return rows
@@ -59,7 +66,7 @@
 }
 
 // splitByRegion splits the candidates into those of the gateway's region and the others,
-// which are in reverse order.
+// which are in reverse order, as the two fill one slice from both ends.
 func (v *View) splitByRegion(rows []candidate, domain string) (near, far []candidate) {
 	from, split := v.topology.Location(domain), make([]candidate, len(rows))
 	first, last := 0, len(rows)
@@ -76,9 +83,9 @@
 }
 
 // medianFill returns the median fill, or infinity if there are no candidates. The minimum
-// would not do: servers that rank first for no shared prompt are nearly idle while all
-// others are full, and in a region that is cut off the last server would have to be tried
-// before requests went to another region.
+// is no measure of the load: servers that rank first for no shared prompt are nearly idle
+// while all others are full. And in a region that is cut off, it would stay low until a
+// request had failed at each server.
 func medianFill(rows []candidate) float64 {
 	if len(rows) == 0 {
 		return math.Inf(1)
--- a/coordination/place/near_test.go
+++ b/coordination/place/near_test.go
@@ -215,7 +215,9 @@
 
 // TestPreferRegionKeepsOneSide checks for any loads that the result is either the gateway's
 // region or all other candidates, is never empty, and never is a side on which every server
-// has a fill more than otherRegionPenalty above all of the other side.
+// has a fill more than otherRegionPenalty above all of the other side; and that the other
+// candidates are returned only if one of them has a fill lower than that of a server in the
+// region by at least otherRegionPenalty.
 func TestPreferRegionKeepsOneSide(t *testing.T) {
 	regions := threeRegions()
 	rapid.Check(t, func(t *rapid.T) {
@@ -379,9 +381,9 @@
 	}
 }
 
-// TestOneRegionHasOneLane checks that with a single region, servers in domains of unknown
-// region are in the same lanes as the others.
-func TestOneRegionHasOneLane(t *testing.T) {
+// TestUnknownRegionInSingleRegion checks that with a single region, servers in domains of
+// unknown region are split between the lanes together with the others.
+func TestUnknownRegionInSingleRegion(t *testing.T) {
 	m := ChooseMsg{Service: "model", Now: start, Lane: LaneLong, Parts: protocol.LaneShares{Tokens: 0.5}}
 	want := spreadOver(nil, 3, "a-1", "a-2", "d-1")
 	got := spreadOver(topology.New(map[string]string{"a-1": "a", "a-2": "a"}), 3, "a-1", "a-2", "d-1")
@@ -407,9 +409,9 @@
 	})
 }
 
-// TestRegionCutOffFromFullOnes checks that a request leaves a region whose servers are
-// suspect although all slots of the other regions are in use.
-func TestRegionCutOffFromFullOnes(t *testing.T) {
+// TestSuspectRegionBesideFullRegions checks that a request is sent to another region if all
+// servers of its own are suspect, although all slots of the others are in use.
+func TestSuspectRegionBesideFullRegions(t *testing.T) {
 	v := spreadOver(threeRegions(), 3, sixDomains...)
 	for i := range v.Servers {
 		s := &v.Servers[i]
--- a/coordination/place/place.go
+++ b/coordination/place/place.go
@@ -140,10 +140,10 @@
 	Domain         string // Domain is the gateway's failure domain.
 	Rand           uint64 // Rand is fresh randomness.
 	Avoid          []string
-	Lane           Lane
-	Parts          protocol.LaneShares
-	Brief          bool // Brief says that little is lost if the server stops before the request ends.
-	MaxOutstanding int  // MaxOutstanding limits the requests of this gateway at one server; 0 means no limit.
+	Lane           Lane                // Lane selects the servers that are preferred.
+	Parts          protocol.LaneShares // Parts is how the servers are split between the lanes.
+	Brief          bool                // Brief says that little is lost if the server stops before the request ends.
+	MaxOutstanding int                 // MaxOutstanding limits the requests of this gateway at one server; 0 means no limit.
 	Now            time.Time
 }
 
@@ -191,6 +191,7 @@
 	}
 	rows = preferRegion(v, rows, m)
 	if m.Prefix != 0 {
+		// The servers of a service are taken to have the same number of slots.
 		width := float64(v.Servers[rows[0].index].Width())
 		return highestRanked(rows, v.prefixLimit(rows, width)), true
 	}
@@ -262,11 +263,11 @@
 }
 
 // prefixLimit returns the fill up to which a server takes prompts for their prefix. With
-// several regions, the limit leaves room for one more request.
+// several regions, it is at most the fill of a server with one free slot.
 func (v *View) prefixLimit(rows []candidate, width float64) float64 {
 	sum, n := 0.0, 0
 	for _, r := range rows {
-		if r.fill < suspectPenalty {
+		if r.fill < suspectPenalty { // Excludes suspect servers.
 			sum += r.fill
 			n++
 		}
--- a/coordination/place/place_test.go
+++ b/coordination/place/place_test.go
@@ -99,8 +99,9 @@
 	}
 }
 
-// TestPrefixSkipsAFullServer checks that a server two requests above the bound is skipped,
-// whatever its number of slots. An earlier bound let it run six requests ahead.
+// TestPrefixSkipsAFullServer checks that among idle servers of 64 slots one with at most four
+// requests is skipped. The slack must not grow with the slots: with an earlier bound, a server
+// had six requests more than the others.
 func TestPrefixSkipsAFullServer(t *testing.T) {
 	v := fleet(4)
 	for i := range v.Servers {
@@ -143,9 +144,9 @@
 	}
 }
 
-// TestNearServerFirst checks that among equal servers the one in the gateway's domain is
-// chosen, but not if it is clearly fuller.
-func TestNearServerFirst(t *testing.T) {
+// TestServerInOwnDomainFirst checks that among equal servers the one in the gateway's
+// domain is chosen, but not if it is clearly fuller.
+func TestServerInOwnDomainFirst(t *testing.T) {
 	v := fleet(4)
 	m := ChooseMsg{Service: "model", Domain: "domain-2", Now: start}
 	if i, _ := Choose(v, m); i != 2 {
@@ -252,10 +253,10 @@
 	}
 }
 
-// TestLeavingServersHelpOut checks that a brief request is sent to a leaving server while
-// all others are full, if that server still runs for long enough and its notice is recent,
+// TestBriefRequestsUseLeavingServers checks that a brief request is sent to a leaving server
+// while all others are full, if that server still runs for long enough and its notice is recent,
 // and that no other request is.
-func TestLeavingServersHelpOut(t *testing.T) {
+func TestBriefRequestsUseLeavingServers(t *testing.T) {
 	for name, c := range map[string]struct {
 		brief, full bool
 		left, since time.Duration
--- a/coordination/place/placements.go
+++ b/coordination/place/placements.go
@@ -8,9 +8,9 @@
 
 // With failure domains in several regions, several instances place long prompts: the
 // leader, and relays for the gateways near them. Each sends its placements to the others
-// with the next batch. Schedulers that did not know one another's placements prefilled 3.4
-// times as many shared tokens again, and 27 in 1,000 fewer requests met their target (three
-// regions, 65 gateways, 60 engines, one day of the same load).
+// with the next batch. Without this exchange, 3.4 times as many shared tokens were prefilled
+// again, and 27 in 1,000 fewer requests met their target (65 gateways and 60 engines in
+// three regions).
 
 // maxUnsent is how many placements an instance keeps for the others between two batches; a
 // relay sends several batches a second.
@@ -18,8 +18,8 @@
 
 // keepUnsent keeps a placement until it is sent to the other instances.
 func (ps *PromptScheduler) keepUnsent(p Placed, m PromptMsg) {
-	st := ps.requests[p.Number]
-	ps.unsent = append(ps.unsent, protocol.Placement{Server: p.Server, Prefix: m.Prefix, Tokens: st.prefillTokens})
+	request := ps.requests[p.Number]
+	ps.unsent = append(ps.unsent, protocol.Placement{Server: p.Server, Prefix: m.Prefix, Tokens: request.prefillTokens})
 	if len(ps.unsent) > maxUnsent {
 		ps.unsent = ps.unsent[len(ps.unsent)-maxUnsent:]
 	}
@@ -43,8 +43,10 @@
 		}
 		q.prefillUntil = from.Add(ps.prefillTime(r.Tokens))
 		ps.lastNumber++
-		st := &placedRequest{server: r.Server, prefillEnd: q.prefillUntil, expectedEnd: q.prefillUntil.Add(-overdueAfter), prefillTokens: r.Tokens}
-		q.requests[ps.lastNumber], ps.requests[ps.lastNumber] = st, st
+		// removeOverdue drops the request as soon as its prefill has ended, since expectedEnd is
+		// overdueAfter before that.
+		request := &placedRequest{server: r.Server, prefillEnd: q.prefillUntil, expectedEnd: q.prefillUntil.Add(-overdueAfter), prefillTokens: r.Tokens}
+		q.requests[ps.lastNumber], ps.requests[ps.lastNumber] = request, request
 		q.recordPrefix(r.Prefix, now)
 	}
 }
--- a/coordination/place/readings.go
+++ b/coordination/place/readings.go
@@ -8,31 +8,29 @@
 // Readings is the leader's log of which links were sent to which servers for prefill. It
 // serves short prompts, which each gateway places by itself: each gateway gets the rows
 // that it has not seen, so that a server can copy the parts that another server prefilled
-// for another gateway. With 65 gateways, one gateway alone knew a holder for 0.55 of the
-// tokens of first parts that were prefilled again, and for 0.05 of those of second parts
-// (computed from the log of a calm day).
+// for another gateway. Without the log, each of 65 gateways knew a holder for 0.55 of
+// the tokens of first parts that were prefilled again, and for 0.05 of those of second parts.
 type Readings struct {
 	first  uint64 // first is the position of the first row kept.
-	rows   []readingRow
+	rows   []prefillRow
 	packed []byte // packed holds the rows encoded for gateways that have the current server list.
 	index  map[string]uint16
 }
 
-type readingRow struct {
+type prefillRow struct {
 	key    linkKey
 	server string
 	source uint64 // source is the incarnation of the instance that forwarded the row.
 }
 
 const (
-	// A packed row is a link key of keyBytes followed by the server's index in the list of
-	// indexBytes.
+	// A packed row is a 4-byte link key, followed by a 2-byte index into the server list.
 	keyBytes     = 4
 	indexBytes   = 2
-	readingBytes = keyBytes + indexBytes
-	// maxReadings is how many rows are kept for gateways that have not polled for a while:
+	prefillBytes = keyBytes + indexBytes
+	// maxPrefills is how many rows are kept for gateways that have not polled for a while:
 	// about ten seconds of 400 requests a second.
-	maxReadings = 4096
+	maxPrefills = 4096
 	// unlisted is the index of a server that is not in the list.
 	unlisted = 0xffff
 )
@@ -44,16 +42,16 @@
 // incarnation.
 func (r *Readings) Add(from uint64, server string, keys []uint32) {
 	for _, key := range keys {
-		row := readingRow{key: linkKey(key), server: server, source: from}
+		row := prefillRow{key: linkKey(key), server: server, source: from}
 		r.rows = append(r.rows, row)
 		r.packed = r.pack(r.packed, row)
 	}
-	if extra := len(r.rows) - maxReadings; extra > 0 {
-		// Half of the rows are dropped at once, so that copies are rare.
-		extra += maxReadings / 2
+	if extra := len(r.rows) - maxPrefills; extra > 0 {
+		// Half of the rows are dropped at once, so that the slices are rarely reallocated.
+		extra += maxPrefills / 2
 		r.first += uint64(extra)
-		r.rows = append([]readingRow(nil), r.rows[extra:]...)
-		r.packed = append([]byte(nil), r.packed[extra*readingBytes:]...)
+		r.rows = append([]prefillRow(nil), r.rows[extra:]...)
+		r.packed = append([]byte(nil), r.packed[extra*prefillBytes:]...)
 	}
 }
 
@@ -65,14 +63,14 @@
 			r.index[id] = uint16(i)
 		}
 	}
-	r.packed = make([]byte, 0, len(r.rows)*readingBytes)
+	r.packed = make([]byte, 0, len(r.rows)*prefillBytes)
 	for _, row := range r.rows {
 		r.packed = r.pack(r.packed, row)
 	}
 }
 
 // pack appends a row, packed with the current server list.
-func (r *Readings) pack(to []byte, row readingRow) []byte {
+func (r *Readings) pack(to []byte, row prefillRow) []byte {
 	at, ok := r.index[row.server]
 	if !ok {
 		at = unlisted
@@ -89,7 +87,7 @@
 		position = next // The position belongs to another log.
 	}
 	from := max(position, r.first) - r.first
-	return r.packed[from*readingBytes : len(r.packed) : len(r.packed)], next
+	return r.packed[from*prefillBytes : len(r.packed) : len(r.packed)], next
 }
 
 // SinceExcept returns the packed rows from a position on that were not forwarded by the
@@ -117,7 +115,7 @@
 // eachPacked calls row with the server index and the link key of each packed row whose
 // index is below servers.
 func eachPacked(packed []byte, servers int, row func(i int, key uint32)) {
-	for ; len(packed) >= readingBytes; packed = packed[readingBytes:] {
+	for ; len(packed) >= prefillBytes; packed = packed[prefillBytes:] {
 		key := binary.LittleEndian.Uint32(packed)
 		if i := int(binary.LittleEndian.Uint16(packed[keyBytes:])); i < servers {
 			row(i, key)
--- a/coordination/place/relayed.go
+++ b/coordination/place/relayed.go
@@ -12,7 +12,7 @@
 // count in addition to the new reports of its gateways, and each server would seem twice as
 // loaded.
 type relaySums struct {
-	sums
+	reportTotals
 	movedAway int // movedAway counts the gateways in the sums that now report elsewhere.
 }
 
@@ -30,10 +30,10 @@
 	r := l.relays[m.Relay]
 	if r == nil || m.Whole {
 		l.DropRelay(m.Relay)
-		r = &relaySums{sums: sums{running: map[string]int{}, distrusts: map[distrustKey]int{}, counted: map[string]bool{}}}
+		r = &relaySums{reportTotals: reportTotals{running: map[string]int{}, distrusts: map[distrustKey]int{}, gateways: map[string]bool{}}}
 		l.relays[m.Relay] = r
 	}
-	before, awayBefore := len(r.counted), r.movedAway
+	before, awayBefore := len(r.gateways), r.movedAway
 	if awayBefore > 0 {
 		l.addRelay(r, -1)
 	}
@@ -52,7 +52,7 @@
 	if r.movedAway == 0 {
 		return nil
 	}
-	for name, here := range r.counted {
+	for name, here := range r.gateways {
 		if !here {
 			moved = append(moved, name)
 		}
@@ -64,7 +64,7 @@
 // report to it.
 func (l *Loads) updateMembers(relay string, r *relaySums, m *RelayMsg) {
 	for _, name := range m.Sums.Gone {
-		delete(r.counted, name)
+		delete(r.gateways, name)
 		if l.relayOf[name] == relay {
 			delete(l.relayOf, name)
 		}
@@ -74,18 +74,18 @@
 			l.detach(name)
 			l.relayOf[name] = relay
 		}
-		if _, ok := r.counted[name]; ok {
-			r.counted[name] = true
+		if _, ok := r.gateways[name]; ok {
+			r.gateways[name] = true
 		}
 	}
 	for _, name := range m.Sums.Counted {
 		if _, direct := l.reports[name]; !direct && l.relayOf[name] == "" {
 			l.relayOf[name] = relay
 		}
-		r.counted[name] = l.relayOf[name] == relay
+		r.gateways[name] = l.relayOf[name] == relay
 	}
 	r.movedAway = 0
-	for _, here := range r.counted {
+	for _, here := range r.gateways {
 		if !here {
 			r.movedAway++
 		}
@@ -99,11 +99,11 @@
 	relay := l.relayOf[gateway]
 	delete(l.relayOf, gateway)
 	r := l.relays[relay]
-	if r == nil || !r.counted[gateway] {
+	if r == nil || !r.gateways[gateway] {
 		return
 	}
 	l.addRelay(r, -1)
-	r.counted[gateway] = false
+	r.gateways[gateway] = false
 	r.movedAway++
 	l.addRelay(r, 1)
 }
@@ -116,7 +116,7 @@
 	}
 	l.addRelay(r, -1)
 	delete(l.relays, relay)
-	for name := range r.counted {
+	for name := range r.gateways {
 		if l.relayOf[name] == relay {
 			delete(l.relayOf, name)
 		}
@@ -157,7 +157,7 @@
 // addRelay adds a relay's sums to the totals, or subtracts them if sign is -1, scaled by
 // the share of gateways that still report to the relay.
 func (l *Loads) addRelay(r *relaySums, sign int) {
-	l.addRelayShare(r, sign, len(r.counted), r.movedAway)
+	l.addRelayShare(r, sign, len(r.gateways), r.movedAway)
 }
 
 // addRelayShare is addRelay for a given number of gateways in the sums (counted), of which
@@ -194,7 +194,7 @@
 }
 
 // Replace replaces a relay's knowledge by the leader's: the loads in the order of the
-// servers, and for each domain a bit set of the servers that its gateways are to skip.
+// servers, and for each domain a bit set of the servers that its gateways are to distrust.
 func (l *Loads) Replace(servers []string, loads []byte, distrusted map[string][]byte) {
 	clear(l.totals)
 	for i, n := range loads {
--- a/coordination/place/starts_test.go
+++ b/coordination/place/starts_test.go
@@ -23,10 +23,10 @@
 	var s Incarnations
 	now := time.Unix(1_800_000_000, 0)
 	for _, step := range []struct {
-		name  string
-		list  []string
-		kept  []string
-		again int
+		name     string
+		list     []string
+		kept     []string
+		restarts int
 	}{
 		{"the first list", []string{"a@10", "b@10", "c"}, []string{"a@10", "b@10", "c"}, 0},
 		{"a restarts", []string{"a@20", "b@10", "c"}, []string{"a@20", "b@10", "c"}, 1},
@@ -38,13 +38,13 @@
 		{"without its start time", []string{"a"}, nil, 0},
 	} {
 		now = now.Add(time.Second)
-		kept, again := s.Filter(listOf(step.list...), now)
+		kept, restarted := s.Filter(listOf(step.list...), now)
 		var ids []string
 		for _, in := range kept {
 			ids = append(ids, in.ID)
 		}
-		if !slices.Equal(ids, step.kept) || len(again) != step.again {
-			t.Errorf("%s: kept %v, want %v; %d restarts, want %d", step.name, ids, step.kept, len(again), step.again)
+		if !slices.Equal(ids, step.kept) || len(restarted) != step.restarts {
+			t.Errorf("%s: kept %v, want %v; %d restarts, want %d", step.name, ids, step.kept, len(restarted), step.restarts)
 		}
 	}
 	if s.Filter(listOf("x@1"), now.Add(2*incarnationTTL)); len(s.newest) != 1 {
--- a/coordination/place/sum.go
+++ b/coordination/place/sum.go
@@ -13,14 +13,14 @@
 // flight.
 type Sum struct {
 	loads    *Loads
-	lastSent *sums // lastSent holds the sums of the latest batch; nil if the leader may lack them.
+	lastSent *reportTotals // lastSent holds the totals of the latest batch; nil if the leader may lack them.
 }
 
-// sums holds the combined reports of a relay's gateways.
-type sums struct {
+// reportTotals holds the combined reports of a relay's gateways.
+type reportTotals struct {
 	running   map[string]int      // running holds the outstanding requests by server.
 	distrusts map[distrustKey]int // distrusts counts the gateways that distrust a server.
-	counted   map[string]bool     // counted lists the gateways in the sums; at the leader, the value is false for a gateway that now reports elsewhere.
+	gateways  map[string]bool     // gateways lists the gateways in the totals; at the leader, the value is false for a gateway that now reports elsewhere.
 }
 
 // distrustKey identifies a count of distrusts: a server and the domain of the gateways that
@@ -39,11 +39,11 @@
 // Changes returns the changes since the last call for the next batch, and whether they are
 // the complete sums, as after Invalidate.
 func (s *Sum) Changes() (m protocol.SumsMsg, whole bool) {
-	now := s.loads.sums()
+	now := s.loads.combineReports()
 	before := s.lastSent
 	s.lastSent = now
 	if whole = before == nil; whole {
-		before = &sums{}
+		before = &reportTotals{}
 	}
 	eachChange(now.running, before.running, func(server string, n int) {
 		m.Running = append(m.Running, protocol.ServerSum{Server: server, Running: n})
@@ -51,13 +51,13 @@
 	eachChange(now.distrusts, before.distrusts, func(v distrustKey, n int) {
 		m.Distrusts = append(m.Distrusts, protocol.DistrustSum{Server: v.server, Domain: v.domain, Gateways: n})
 	})
-	for _, name := range slices.Sorted(maps.Keys(now.counted)) {
-		if !before.counted[name] {
+	for _, name := range slices.Sorted(maps.Keys(now.gateways)) {
+		if !before.gateways[name] {
 			m.Counted = append(m.Counted, name)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(before.counted)) {
-		if !now.counted[name] {
+	for _, name := range slices.Sorted(maps.Keys(before.gateways)) {
+		if !now.gateways[name] {
 			m.Gone = append(m.Gone, name)
 		}
 	}
@@ -86,16 +86,16 @@
 // the last batch or another leader is used.
 func (s *Sum) Invalidate() { s.lastSent = nil }
 
-// sums returns a copy of the combined reports.
-func (l *Loads) sums() *sums {
-	s := &sums{running: maps.Clone(l.totals), distrusts: map[distrustKey]int{}, counted: make(map[string]bool, len(l.reports))}
+// combineReports returns a copy of the combined reports.
+func (l *Loads) combineReports() *reportTotals {
+	s := &reportTotals{running: maps.Clone(l.totals), distrusts: map[distrustKey]int{}, gateways: make(map[string]bool, len(l.reports))}
 	for server, domains := range l.distrusts {
 		for domain, n := range domains {
 			s.distrusts[distrustKey{server, domain}] = n
 		}
 	}
 	for name := range l.reports {
-		s.counted[name] = true
+		s.gateways[name] = true
 	}
 	return s
 }
--- a/coordination/place/vector.go
+++ b/coordination/place/vector.go
@@ -92,10 +92,10 @@
 	return loads, nil
 }
 
-// UpdateLoads returns the loads of a client after an answer: those that it held under the
-// mark from, with the changes applied, or the complete loads in the answer. An answer
-// without changes under another mark belongs to another list of servers and holds its
-// complete loads, if there are any.
+// UpdateLoads returns the loads of a client after an answer: those that it held at version
+// from, with the changes up to version to applied, or the complete loads in the answer. An
+// answer without changes at another version belongs to another list of servers and holds
+// its complete loads, if there are any.
 func UpdateLoads(held []byte, from protocol.LoadVersion, whole, changes []byte, to protocol.LoadVersion) ([]byte, error) {
 	if len(whole) > 0 || from.Incarnation != to.Incarnation || (len(changes) == 0 && from != to) {
 		return whole, nil
