--- a/coordination/place/holders_test.go
+++ b/coordination/place/holders_test.go
@@ -126,7 +126,7 @@
 // a row to the wrong server.
 func TestReadingsReachAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r, holders := NewReadings(), NewHolders(nil)
+		r, holders := NewPrefillLog(), NewHolders(nil)
 		v := fleet(6)
 		list := func() {
 			var order []string
@@ -180,7 +180,7 @@
 // a position of another log counts as the end or the beginning of this one instead of
 // addressing missing rows.
 func TestReadingsAreBounded(t *testing.T) {
-	r := NewReadings()
+	r := NewPrefillLog()
 	r.SetServers([]string{"a"})
 	for i := range 3 * maxPrefills {
 		r.Add(1, "a", []uint32{uint32(i)})
--- a/coordination/place/lane.go
+++ b/coordination/place/lane.go
@@ -122,9 +122,9 @@
 // SetAgreed sets the parameters of all gateways, so that all assign the same lanes.
 func (l *Lanes) SetAgreed(params protocol.LaneParams) { l.agreed = params }
 
-// MergeTerms merges the terms of several gateways: means are weighted by the prompts that
+// MergeParams merges the terms of several gateways: means are weighted by the prompts that
 // each has seen, and the servers kept busy by short prompts are added up.
-func MergeTerms(list []protocol.LaneParams) protocol.LaneParams {
+func MergeParams(list []protocol.LaneParams) protocol.LaneParams {
 	var all protocol.LaneParams
 	for _, t := range list {
 		n := float64(min(t.Seen, maxParamsWeight))
--- a/coordination/place/lane_test.go
+++ b/coordination/place/lane_test.go
@@ -62,7 +62,7 @@
 	for i := range lanes {
 		params = append(params, lanes[i].Local())
 	}
-	return MergeTerms(params).Parts
+	return MergeParams(params).Parts
 }
 
 func poisson(rnd *rand.Rand, mean float64) int {
--- a/coordination/place/ledger.go
+++ b/coordination/place/ledger.go
@@ -31,7 +31,7 @@
 	Server   string
 	Holder   string // Holder is a server to copy the shared parts from if Server lacks them; empty for none.
 	Number   uint64
-	NewLinks []uint32 // NewLinks are the links that Server was not known to hold; see [Readings].
+	NewLinks []uint32 // NewLinks are the links that Server was not known to hold; see [PrefillLog].
 }
 
 // DoneMsg reports the timing of a placed request that ended.
--- a/coordination/place/ledger_test.go
+++ b/coordination/place/ledger_test.go
@@ -208,7 +208,7 @@
 		a.Observe(500, 0)
 		b.Observe(9000, 0)
 	}
-	terms := MergeTerms([]protocol.LaneParams{a.Local(), b.Local()})
+	terms := MergeParams([]protocol.LaneParams{a.Local(), b.Local()})
 	if terms.Mean < 4000 || terms.Mean > 5500 {
 		t.Fatalf("merged terms are %+v", terms)
 	}
--- a/coordination/place/near_test.go
+++ b/coordination/place/near_test.go
@@ -419,7 +419,7 @@
 			s.Stats.RequestFailed(true, start)
 			continue
 		}
-		for range s.Width() {
+		for range s.SlotCount() {
 			s.Stats.RequestStarted()
 		}
 	}
@@ -440,7 +440,7 @@
 			v := spreadOver(threeRegions(), 4, sixDomains...)
 			for i := range v.Servers {
 				s := &v.Servers[i]
-				for range s.Width() {
+				for range s.SlotCount() {
 					if full && s.location.Region != "b" {
 						s.Stats.RequestStarted()
 					}
--- a/coordination/place/place.go
+++ b/coordination/place/place.go
@@ -192,7 +192,7 @@
 	rows = preferRegion(v, rows, m)
 	if m.Prefix != 0 {
 		// The servers of a service are taken to have the same number of slots.
-		width := float64(v.Servers[rows[0].index].Width())
+		width := float64(v.Servers[rows[0].index].SlotCount())
 		return highestRanked(rows, v.prefixLimit(rows, width)), true
 	}
 	return leastLoaded(v, rows, m), true
@@ -224,8 +224,8 @@
 		if m.MaxOutstanding > 0 && s.Stats.Outstanding() >= m.MaxOutstanding {
 			continue
 		}
-		load += pendingPrefillPenalty * pending * float64(s.Width())
-		r := candidate{index: i, fill: load/float64(s.Width()) + failurePenalty*failing}
+		load += pendingPrefillPenalty * pending * float64(s.SlotCount())
+		r := candidate{index: i, fill: load/float64(s.SlotCount()) + failurePenalty*failing}
 		if suspect {
 			r.fill += suspectPenalty
 		}
@@ -242,8 +242,8 @@
 	return rows
 }
 
-// Width returns the number of requests that the server runs at once.
-func (s *Server) Width() int {
+// SlotCount returns the number of requests that the server runs at once.
+func (s *Server) SlotCount() int {
 	if s.Slots > 0 {
 		return s.Slots
 	}
--- a/coordination/place/readings.go
+++ b/coordination/place/readings.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Readings is the leader's log of which links were sent to which servers for prefill. It
+// PrefillLog is the leader's log of which links were sent to which servers for prefill. It
 // serves short prompts, which each gateway places by itself: each gateway gets the rows
 // that it has not seen, so that a server can copy the parts that another server prefilled
 // for another gateway. Without the log, each of 65 gateways knew a holder for 0.55 of
 // the tokens of first parts that were prefilled again, and for 0.05 of those of second parts.
-type Readings struct {
+type PrefillLog struct {
 	first  uint64 // first is the position of the first row kept.
 	rows   []prefillRow
 	packed []byte // packed holds the rows encoded for gateways that have the current server list.
@@ -35,12 +35,12 @@
 	unlisted = 0xffff
 )
 
-// NewReadings returns an empty log.
-func NewReadings() *Readings { return &Readings{} }
+// NewPrefillLog returns an empty log.
+func NewPrefillLog() *PrefillLog { return &PrefillLog{} }
 
 // Add records that a server prefilled links, as forwarded by the instance with the given
 // incarnation.
-func (r *Readings) Add(from uint64, server string, keys []uint32) {
+func (r *PrefillLog) Add(from uint64, server string, keys []uint32) {
 	for _, key := range keys {
 		row := prefillRow{key: linkKey(key), server: server, source: from}
 		r.rows = append(r.rows, row)
@@ -56,7 +56,7 @@
 }
 
 // SetServers sets the server list in whose order rows are packed from now on.
-func (r *Readings) SetServers(order []string) {
+func (r *PrefillLog) SetServers(order []string) {
 	r.index = make(map[string]uint16, len(order))
 	for i, id := range order {
 		if i < unlisted {
@@ -70,7 +70,7 @@
 }
 
 // pack appends a row, packed with the current server list.
-func (r *Readings) pack(to []byte, row prefillRow) []byte {
+func (r *PrefillLog) pack(to []byte, row prefillRow) []byte {
 	at, ok := r.index[row.server]
 	if !ok {
 		at = unlisted
@@ -81,7 +81,7 @@
 
 // Since returns the packed rows from a position on, and the position after them. The
 // returned slice is never modified.
-func (r *Readings) Since(position uint64) (packed []byte, next uint64) {
+func (r *PrefillLog) Since(position uint64) (packed []byte, next uint64) {
 	next = r.first + uint64(len(r.rows))
 	if position > next {
 		position = next // The position belongs to another log.
@@ -92,7 +92,7 @@
 
 // SinceExcept returns the packed rows from a position on that were not forwarded by the
 // instance with the given incarnation, and the position after them.
-func (r *Readings) SinceExcept(position, except uint64) (packed []byte, next uint64) {
+func (r *PrefillLog) SinceExcept(position, except uint64) (packed []byte, next uint64) {
 	next = r.first + uint64(len(r.rows))
 	if position > next {
 		position = next // The position belongs to another log.
@@ -105,10 +105,10 @@
 	return packed, next
 }
 
-// EachReading calls row with the server and the link key of each packed row. The order must
+// EachPrefill calls row with the server and the link key of each packed row. The order must
 // be the server list with which the rows were packed; rows of servers that are not in it
 // are skipped.
-func EachReading(packed []byte, order []string, row func(server string, key uint32)) {
+func EachPrefill(packed []byte, order []string, row func(server string, key uint32)) {
 	eachPacked(packed, len(order), func(i int, key uint32) { row(order[i], key) })
 }
 
--- a/transport/control/copies.go
+++ b/transport/control/copies.go
@@ -32,7 +32,7 @@
 	vector     place.LoadVector     // vector is those loads under this relay's own versions, for its gateways.
 	distrusted map[string][]byte
 
-	readings *place.Readings
+	readings *place.PrefillLog
 	fresh    []protocol.Prefill // fresh are readings that were not yet sent to the leader.
 
 	incarnation uint64 // incarnation is drawn with each new copies: versions of loads and placed requests go by it.
@@ -49,7 +49,7 @@
 		incarnation: rand.Uint64(),
 		loads:       loads,
 		places:      place.NewPromptScheduler(loads, place.WithTopology(t)),
-		readings:    place.NewReadings(),
+		readings:    place.NewPrefillLog(),
 		topology:    t,
 	}
 }
@@ -85,7 +85,7 @@
 		return // They are packed by the order of another list.
 	}
 	now := clock.Now()
-	place.EachReading(r.Readings, c.order, func(server string, key uint32) {
+	place.EachPrefill(r.Readings, c.order, func(server string, key uint32) {
 		c.readings.Add(0, server, []uint32{key})
 		c.places.RecordPrefill(server, []uint32{key}, now)
 	})
--- a/transport/control/load.go
+++ b/transport/control/load.go
@@ -57,7 +57,7 @@
 	}
 	rows := make([]protocol.ServiceLanes, 0, len(terms))
 	for name, list := range terms {
-		rows = append(rows, protocol.ServiceLanes{Service: name, Terms: place.MergeTerms(list)})
+		rows = append(rows, protocol.ServiceLanes{Service: name, Terms: place.MergeParams(list)})
 	}
 	return rows
 }
--- a/transport/control/relay_test.go
+++ b/transport/control/relay_test.go
@@ -578,7 +578,7 @@
 		if known[gateway] == nil {
 			known[gateway] = map[uint32]string{}
 		}
-		place.EachReading(r.Readings, []string{"a", "b"}, func(server string, key uint32) {
+		place.EachPrefill(r.Readings, []string{"a", "b"}, func(server string, key uint32) {
 			known[gateway][key] = server
 			rows[gateway]++
 		})
--- a/transport/control/steps.go
+++ b/transport/control/steps.go
@@ -104,7 +104,7 @@
 
 func width(in *protocol.Instance) int {
 	s := place.Server{Instance: *in}
-	return s.Width()
+	return s.SlotCount()
 }
 
 // keepTo reports whether all gateways that ask keep to the stage. It needs u.mu.
--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -70,7 +70,7 @@
 	marks    *usage.Watermarks // marks are up to when the gateways have told their counts.
 	view     *place.View
 	places   *place.PromptScheduler
-	readings *place.Readings
+	readings *place.PrefillLog
 	loads    *place.Loads
 	vector   place.LoadVector // vector is the loads as they were told last.
 	relays   map[string]*relayRecord
@@ -198,7 +198,7 @@
 	u.vector.Reset(nil)
 	u.relays, u.placed = map[string]*relayRecord{}, place.Placements{}
 	u.view, u.places = nil, place.NewPromptScheduler(u.loads, place.WithTopology(u.topology))
-	u.readings = place.NewReadings()
+	u.readings = place.NewPrefillLog()
 	u.keeper = quarantine.NewCoordinator()
 	u.book = backpressure.NewPermitAllocator()
 	u.rolled, u.trials, u.unnamed = 0, nil, map[versionOf]time.Time{}
--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -168,7 +168,7 @@
 	x.g.meters.attempts.Inc(1)
 	t.server.Stats.RequestStarted()
 	t.server.Stats.PrefillStarted(x.size)
-	x.takesSlot(t.server.Width())
+	x.takesSlot(t.server.SlotCount())
 	t.beginBytes()
 	stop := context.AfterFunc(x.ctx, t.conn.Close)
 	defer func() {
@@ -218,7 +218,7 @@
 	t.untrack()
 	t.hasRead()
 	t.server.Stats.RequestEnded()
-	t.x.givesBack(time.Since(t.began), t.server.Width())
+	t.x.givesBack(time.Since(t.began), t.server.SlotCount())
 	t.endBytes()
 }
 
