--- a/coordination/quarantine/broken.go
+++ b/coordination/quarantine/broken.go
@@ -7,8 +7,7 @@
 )
 
 // BrokenConnections collects, by server, the requests whose connections broke a moment ago.
-// A process that ends breaks all of its connections within 3 ms, as measured at nine
-// gateways. The zero value is empty.
+// The zero value is empty.
 type BrokenConnections struct {
 	byServer map[string][]brokenRequest
 }
@@ -44,5 +43,6 @@
 // Len returns the number of servers with broken connections.
 func (b *BrokenConnections) Len() int { return len(b.byServer) }
 
-// BrokenConnectionWindow is how long the broken connections of a server are collected.
+// BrokenConnectionWindow is how long the broken connections of a server are collected. A
+// process that ends breaks all of its connections within 3 ms, as measured at nine gateways.
 const BrokenConnectionWindow = 20 * time.Millisecond
--- a/coordination/quarantine/fingerprint.go
+++ b/coordination/quarantine/fingerprint.go
@@ -13,7 +13,7 @@
 
 // Request holds the parts of a request by which it is recognized when it is sent again.
 type Request struct {
-	Caller string // Caller is the workspace, or the key if there is none.
+	Caller string // Caller is the workspace, or the secret of the caller's API key if there is none.
 	Host   string
 	Path   string // Path includes the query.
 	Body   []byte
@@ -38,7 +38,8 @@
 	}
 }
 
-// separator separates the parts; it cannot occur in a header.
+// separator ends each part before the body. NUL cannot occur in a header, so that parts
+// cannot run into each other.
 const separator = "\x00"
 
 // writeTo writes all parts to a hash.
--- a/coordination/quarantine/fleet_test.go
+++ b/coordination/quarantine/fleet_test.go
@@ -42,10 +42,10 @@
 
 // fleetRequest is one send of a caller.
 type fleetRequest struct {
-	fingerprint protocol.Fingerprint
-	poison      int // poison is the number of a request that crashes servers; -1 for others.
-	attempts    int
-	resends     int // resends is how often its caller sends it again.
+	fingerprint  protocol.Fingerprint
+	harmfulIndex int // harmfulIndex is the number of a request that crashes servers; -1 for others.
+	attempts     int
+	resends      int // resends is how often its caller sends it again.
 }
 
 type fleetServer struct {
@@ -108,7 +108,7 @@
 func (f *fleet) send(r *fleetRequest, gateway int) {
 	if f.gateways[gateway].check(r.fingerprint, f.now).Held {
 		f.refused++
-		if r.poison < 0 {
+		if r.harmfulIndex < 0 {
 			f.harmlessRefused++
 		}
 		return
@@ -125,8 +125,8 @@
 	r.attempts--
 	s := up[f.rnd.IntN(len(up))]
 	run := &fleetRun{r: r, gateway: gateway, sent: f.now}
-	if r.poison >= 0 {
-		f.arrivals[r.poison] = append(f.arrivals[r.poison], f.now)
+	if r.harmfulIndex >= 0 {
+		f.arrivals[r.harmfulIndex] = append(f.arrivals[r.harmfulIndex], f.now)
 		run.ends = f.now.Add(50*time.Millisecond + f.randomDuration(150*time.Millisecond))
 	} else {
 		run.ends = f.now.Add(100*time.Millisecond + f.randomDuration(1400*time.Millisecond))
@@ -180,8 +180,8 @@
 			switch {
 			case f.now.Before(run.ends):
 				left = append(left, run)
-			case run.r.poison >= 0:
-				crashed = run.r.poison
+			case run.r.harmfulIndex >= 0:
+				crashed = run.r.harmfulIndex
 				left = append(left, run)
 			default:
 				f.gateways[run.gateway].filter.RecordSuccess(run.r.fingerprint.Quick, func() protocol.Fingerprint { return run.r.fingerprint }, f.now)
@@ -216,17 +216,17 @@
 // sync has a gateway report to the leader. A tenth of the reports and of the replies are lost.
 func (f *fleet) sync(g *fleetGateway) {
 	list := g.filter.Report(f.term, f.now)
-	known, mark := g.filter.SyncState()
+	known, watchHash := g.filter.SyncState()
 	if f.rnd.IntN(10) == 0 {
 		return
 	}
 	f.coordinator.AddObservations(g.name, list, func(string) bool { return false }, f.now)
-	news, watch := f.logged().UpdateSince(known), protocol.NewWatchUpdate(f.coordinator.Watched(), mark)
+	update, watch := f.logged().UpdateSince(known), protocol.NewWatchUpdate(f.coordinator.Watched(), watchHash)
 	if f.rnd.IntN(10) == 0 {
 		return
 	}
 	g.filter.Acknowledged(f.term, list)
-	g.filter.ApplyUpdate(news, watch, f.now)
+	g.filter.ApplyUpdate(update, watch, f.now)
 }
 
 func (f *fleet) logged() *protocol.QuarantineLog {
@@ -244,12 +244,12 @@
 
 // lateSends returns how often a harmful request was sent more than fleetHoldDeadline after
 // its third crash, without counting the times right after a leader change.
-func (f *fleet) lateSends(poison int) int {
-	if len(f.crashes[poison]) < 3 {
+func (f *fleet) lateSends(harmfulIndex int) int {
+	if len(f.crashes[harmfulIndex]) < 3 {
 		return 0
 	}
-	deadline, n := f.crashes[poison][2].Add(fleetHoldDeadline), 0
-	for _, at := range f.arrivals[poison] {
+	deadline, n := f.crashes[harmfulIndex][2].Add(fleetHoldDeadline), 0
+	for _, at := range f.arrivals[harmfulIndex] {
 		stable := true
 		for _, u := range f.leaderChanges {
 			stable = stable && (at.Before(u) || at.After(u.Add(fleetHoldDeadline)))
@@ -274,7 +274,7 @@
 			for !f.now.Before(next[i]) {
 				next[i] = next[i].Add(period/2 + f.randomDuration(period))
 				for range p.copies[i] {
-					f.send(&fleetRequest{fingerprint: fingerprintOf(fmt.Sprint("poison-", i)), poison: i, attempts: p.attempts}, f.rnd.IntN(fleetGateways))
+					f.send(&fleetRequest{fingerprint: fingerprintOf(fmt.Sprint("poison-", i)), harmfulIndex: i, attempts: p.attempts}, f.rnd.IntN(fleetGateways))
 				}
 			}
 		}
@@ -284,16 +284,16 @@
 			if f.requests%5 == 0 {
 				name = fmt.Sprint("shared-", f.rnd.IntN(4))
 			}
-			f.send(&fleetRequest{fingerprint: fingerprintOf(name), poison: -1, attempts: 2, resends: 1}, f.rnd.IntN(fleetGateways))
+			f.send(&fleetRequest{fingerprint: fingerprintOf(name), harmfulIndex: -1, attempts: 2, resends: 1}, f.rnd.IntN(fleetGateways))
 		}
-		if p.storms > 0 && f.rnd.Int64N(int64(fleetTime/fleetStep)) < int64(p.storms) {
+		if p.massCrashes > 0 && f.rnd.Int64N(int64(fleetTime/fleetStep)) < int64(p.massCrashes) {
 			for i := range f.servers {
 				if f.rnd.IntN(2) == 0 && !f.now.Before(f.servers[i].upAt) {
 					f.crash(i)
 				}
 			}
 		}
-		if p.leaders > 0 && f.rnd.Int64N(int64(fleetTime/fleetStep)) < int64(p.leaders) {
+		if p.leaderChanges > 0 && f.rnd.Int64N(int64(fleetTime/fleetStep)) < int64(p.leaderChanges) {
 			f.changeLeader()
 		}
 	}
@@ -301,23 +301,23 @@
 
 // fleetPlan is the plan of one simulation.
 type fleetPlan struct {
-	periods  []time.Duration // periods are the mean times between two sends of each harmful request.
-	copies   []int           // copies are how many copies of each are sent at once, at random gateways.
-	attempts int
-	storms   int // storms is the average number of times that half of the servers crash for other reasons.
-	leaders  int // leaders is the average number of leader changes.
+	periods       []time.Duration // periods are the mean times between two sends of each harmful request.
+	copies        []int           // copies are how many copies of each are sent at once, at random gateways.
+	attempts      int
+	massCrashes   int // massCrashes is the average number of times that half of the servers crash for other reasons.
+	leaderChanges int // leaderChanges is the average number of leader changes.
 }
 
 // fleetMaxHarmlessRefused is how many refusals of harmless requests a simulation may have.
 const fleetMaxHarmlessRefused = 8
 
-// fleetSeeds is the number of seeds in each test run. A manual run of 401 had no failure.
+// fleetSeeds is the number of seeds in each test run. A longer run with 401 seeds had no failure.
 const fleetSeeds = 16
 
-// TestBoundInAFleet checks that each of many harmful requests is sent no more often than
-// the requirements allow, and that of the other requests, 8,000 in a simulation, at most
-// fleetMaxHarmlessRefused are refused.
-func TestBoundInAFleet(t *testing.T) {
+// TestHarmfulRequestsAreHeldInSimulation checks that each of many harmful requests is sent
+// no more often than the requirements allow, and that of the other requests, 8,000 in a
+// simulation, at most fleetMaxHarmlessRefused are refused.
+func TestHarmfulRequestsAreHeldInSimulation(t *testing.T) {
 	for seed := range uint64(fleetSeeds) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
@@ -339,7 +339,7 @@
 // randomPlan returns the plan of a seed.
 func randomPlan(seed uint64) fleetPlan {
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	p := fleetPlan{attempts: 1 + rnd.IntN(3), storms: rnd.IntN(5), leaders: rnd.IntN(3)}
+	p := fleetPlan{attempts: 1 + rnd.IntN(3), massCrashes: rnd.IntN(5), leaderChanges: rnd.IntN(3)}
 	for range rnd.IntN(9) {
 		p.periods = append(p.periods, 50*time.Millisecond+time.Duration(rnd.Int64N(int64(3*time.Second))))
 		p.copies = append(p.copies, 1+rnd.IntN(2)*rnd.IntN(6))
--- a/coordination/quarantine/gate.go
+++ b/coordination/quarantine/gate.go
@@ -13,7 +13,7 @@
 	changes      uint64 // changes is the counter of quarantine changes up to which held is current.
 	held         map[protocol.Fingerprint]*heldRequest
 	watched      map[protocol.Fingerprint]bool
-	watchMark    uint64          // watchMark identifies the list of watched requests.
+	watchHash    uint64          // watchMark identifies the list of watched requests.
 	quickHashes  map[uint64]bool // quickHashes are those of all held and watched requests.
 	successes    *SuccessCache
 	observations Observations
@@ -40,42 +40,42 @@
 
 // ApplyUpdate applies the leader's changes of held and of watched requests; nil means no
 // change.
-func (q *Filter) ApplyUpdate(n *protocol.QuarantineUpdate, w *protocol.WatchUpdate, now time.Time) {
-	if n != nil {
-		q.applyChanges(n)
+func (q *Filter) ApplyUpdate(update *protocol.QuarantineUpdate, watch *protocol.WatchUpdate, now time.Time) {
+	if update != nil {
+		q.applyChanges(update)
 	}
-	if w != nil {
-		q.setWatched(w.Requests, now)
+	if watch != nil {
+		q.setWatched(watch.Requests, now)
 	}
-	if n != nil || w != nil {
+	if update != nil || watch != nil {
 		q.rebuildIndex()
 	}
 }
 
 // applyChanges applies changes of the held requests.
-func (q *Filter) applyChanges(n *protocol.QuarantineUpdate) {
+func (q *Filter) applyChanges(update *protocol.QuarantineUpdate) {
 	before := q.held
-	if n.Whole {
-		q.held = make(map[protocol.Fingerprint]*heldRequest, len(n.Held))
+	if update.Whole {
+		q.held = make(map[protocol.Fingerprint]*heldRequest, len(update.Held))
 	}
-	for _, f := range n.Free {
+	for _, f := range update.Free {
 		delete(q.held, f)
 	}
-	for i := range n.Held {
-		next := &heldRequest{HeldRequest: n.Held[i]}
+	for i := range update.Held {
+		next := &heldRequest{HeldRequest: update.Held[i]}
 		if old := before[next.Fingerprint]; old != nil && old.Trials <= next.Trials {
 			next.usedTrial = old.usedTrial // Fewer trials mean that the request was released and is held anew.
 		}
 		q.held[next.Fingerprint] = next
 	}
-	q.changes = n.Changes
+	q.changes = update.Changes
 }
 
 // setWatched replaces the requests whose successes are reported, and reports the successes
 // that newly watched ones had within the last trustTime.
 func (q *Filter) setWatched(list []protocol.Fingerprint, now time.Time) {
 	before := q.watched
-	q.watched, q.watchMark = make(map[protocol.Fingerprint]bool, len(list)), protocol.WatchHash(list)
+	q.watched, q.watchHash = make(map[protocol.Fingerprint]bool, len(list)), protocol.WatchHash(list)
 	for _, f := range list {
 		q.watched[f] = true
 		if ago, ok := q.successes.Age(f.Quick, now); ok && !before[f] {
@@ -103,9 +103,9 @@
 // Held returns the number of held requests.
 func (q *Filter) Held() int { return len(q.held) }
 
-// SyncState returns the counter of quarantine changes that this filter is at, and the mark
+// SyncState returns the counter of quarantine changes that this filter is at, and the hash
 // of the list of watched requests.
-func (q *Filter) SyncState() (changes, watched uint64) { return q.changes, q.watchMark }
+func (q *Filter) SyncState() (changes, watched uint64) { return q.changes, q.watchHash }
 
 // Report returns the observations that the leader of a term does not have yet.
 func (q *Filter) Report(term uint64, now time.Time) []protocol.Observation {
@@ -144,7 +144,7 @@
 // Decision says whether a request may be sent to a server.
 type Decision struct {
 	Held    bool  // Held means that the request may not be sent.
-	Servers int   // Servers is the number of servers that crashed under it.
+	Servers int   // Servers is how many servers crashed under it, or at least so many if only this gateway holds it.
 	Until   int64 // Until is the time of the next trial, in ms since 1970; 0 if only this gateway holds it.
 	Trial   int   // Trial is the number of the trial that lets it pass; 0 for none.
 }
--- a/coordination/quarantine/judge.go
+++ b/coordination/quarantine/judge.go
@@ -40,7 +40,7 @@
 }
 
 // settledCrashes returns the crashes that count against a request and were reported at
-// least settleTime ago, so that all gateways have had the time to report them.
+// least settleTime ago, so that the gateways that saw them have had the time to report them.
 func (t *CrashTable) settledCrashes(f protocol.Fingerprint, now time.Time) []*crash {
 	all := t.suspects[f].crashesSinceSuccess()
 	if len(all) < holdThreshold {
@@ -69,10 +69,15 @@
 	return s != nil && !s.succeededAt.IsZero() && len(s.crashesSinceSuccess()) < holdThreshold
 }
 
-// isDoubtful reports whether a held request may well be harmless and should be tried early:
-// fewer than holdThreshold servers crashed under it one after the other without another
-// request that explains the crash as well. It waits for doubtfulDelay, after which the
-// requests that were running when it was held have ended.
+// isDoubtful reports whether a held request may well be harmless and should be tried early.
+// All of this must hold:
+//
+//   - The table has crashes under the request.
+//   - The latest of them was first reported at least doubtfulDelay ago, so that the requests
+//     that were running when it was held have ended.
+//   - Of the crashes since its last success that no other request explains as well (see
+//     hasOtherExplanation), fewer than holdThreshold happened one after the other (see
+//     countSequential).
 func (t *CrashTable) isDoubtful(f protocol.Fingerprint, now time.Time) bool {
 	s := t.suspects[f]
 	if s == nil || len(s.crashes) == 0 {
--- a/coordination/quarantine/keeper.go
+++ b/coordination/quarantine/keeper.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// IgnoreCrash removes the crash of a server, so that it counts against no request.
+// IgnoreCrash removes the crashes of a server, so that they count against no request. It
+// matches only crashes that were observed without the server's start time.
 func (c *Coordinator) IgnoreCrash(server string) { c.table.Update(IgnoreCrashMsg{Server: server}) }
 
 // Decide returns the changes to write to the log; see [CrashTable.Decide].
--- a/coordination/quarantine/observations.go
+++ b/coordination/quarantine/observations.go
@@ -45,7 +45,7 @@
 }
 
 // Report returns the observations that the leader of a term does not have yet, the oldest
-// first.
+// first and at most maxReported. Term 0 stands for an unknown leader, which has none.
 func (o *Observations) Report(term uint64, now time.Time) []protocol.Observation {
 	var list []protocol.Observation
 	for i := range o.rows {
--- a/coordination/quarantine/quarantine.go
+++ b/coordination/quarantine/quarantine.go
@@ -31,14 +31,16 @@
 	// The requirements allow this many; a lower number would hold more harmless requests.
 	holdThreshold = 3
 	// settleTime is how long observations of one crash from several gateways are collected. A
-	// gateway that saw a crash reports at once, the others report every 150 to 450 ms.
+	// gateway that saw the crash reports it at once. Reports of other gateways, such as those
+	// of successes, are sent every 150 to 450 ms and may arrive later.
 	settleTime = 300 * time.Millisecond
-	// doubtfulDelay is how long after the last crash a doubtful request is tried. By then
-	// the requests that were running have ended, and the trial still ends within the 3 s in
+	// doubtfulDelay is how long after its latest crash was first reported a doubtful request
+	// is tried; see isDoubtful. By then the requests that were running have ended, and the trial still ends within the 3 s in
 	// which all gateways have to hold a harmful request.
 	doubtfulDelay = time.Second
-	// trustTime is how long a successful request is trusted. Requests that many callers send
-	// succeed many times within it, even while few servers are left.
+	// trustTime is how long after a success of a request crashes do not count against it. So
+	// a harmless request that many callers send is not held: it succeeds many times within
+	// this time, even while few servers are left.
 	trustTime = 10 * time.Second
 	// mergeWindow is the time within which observations of one server belong to the same
 	// crash: a server takes longer than that to restart and to get requests.
@@ -67,7 +69,7 @@
 // crash is the unannounced end of a server.
 type crash struct {
 	server     string
-	start      int64
+	start      int64 // start is when the server had started, in ms since 1970 by its own clock; 0 if not reported.
 	at         time.Time
 	reportedAt time.Time // reportedAt is when it was first reported.
 	runs       map[protocol.Fingerprint]crashRun
--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -160,7 +160,7 @@
 			s.crash("x")
 			s.advance(3 * second)
 		}, ""},
-		"beside it at two of three crashes": {func(s *scenario) {
+		"x beside the harmful p at two of three crashes": {func(s *scenario) {
 			s.crash("p", "x-900")
 			s.advance(second)
 			s.crash("p", "x-900", "y")
@@ -168,7 +168,7 @@
 			s.crash("p", "y")
 			s.advance(3 * second)
 		}, "p"},
-		"beside it at all three crashes, not at the fourth": {func(s *scenario) {
+		"x beside the harmful p at all three crashes, not at the fourth": {func(s *scenario) {
 			for range 3 {
 				s.crash("p", "x-900")
 				s.advance(second)
@@ -176,20 +176,20 @@
 			s.crash("p", "y")
 			s.advance(3 * second)
 		}, "p"},
-		"beside it at all four crashes, sent earlier": {func(s *scenario) {
+		"x beside the harmful p at all four crashes, sent earlier": {func(s *scenario) {
 			for range 4 {
 				s.crash("p-50", "x-400")
 				s.advance(second)
 			}
 		}, "p"},
-		"beside it at all four crashes, sent later": {func(s *scenario) {
+		"x beside the harmful p at all four crashes, sent later": {func(s *scenario) {
 			for range 4 {
 				s.crash("p-400", "x-50")
 				s.advance(second)
 			}
 			s.advance(second)
 		}, "p"},
-		"beside two harmful requests": {func(s *scenario) {
+		"x beside the harmful p and q": {func(s *scenario) {
 			s.crash("p", "x-900")
 			s.advance(second)
 			s.crash("q", "x-900")
@@ -396,9 +396,9 @@
 	}
 }
 
-// TestFreedRequestsLeaveNothing checks that a held request that succeeds, and is at no
-// crash in the table, leaves no entry behind once it is released.
-func TestFreedRequestsLeaveNothing(t *testing.T) {
+// TestReleaseRemovesSuspect checks that a held request that succeeds, and has no crash in the
+// table, is removed from the table once it is released.
+func TestReleaseRemovesSuspect(t *testing.T) {
 	s := newScenario()
 	s.log[fingerprintOf("p")] = protocol.Quarantined{Fingerprint: fingerprintOf("p"), Held: true, Servers: 3, Until: startTime.Add(time.Hour).UnixMilli()}
 	s.table.Update(LogStateMsg{Entries: s.log.entries()})
