--- a/coordination/backpressure/alone.go
+++ b/coordination/backpressure/alone.go
@@ -21,10 +21,10 @@
 // leaderlessBucket is a token bucket of one request. It limits what a gateway sends to one
 // server while no leader answers; the more gateways there are, the slower it fills.
 type leaderlessBucket struct {
-	rate         float64   // rate is in requests per second.
-	level        float64   // level is the part of the next request that is available, 0 to 1.
-	updatedAt    time.Time // updatedAt is when level was last updated.
-	episodeStart time.Time // episodeStart is the unansweredSince for which the bucket was last prepared.
+	rate        float64   // rate is in requests per second.
+	level       float64   // level is the part of the next request that is available, 0 to 1.
+	updatedAt   time.Time // updatedAt is when level was last updated.
+	preparedFor time.Time // preparedFor is the start (unansweredSince) of the leaderless period that the bucket was last initialized for.
 }
 
 // isLeaderless reports whether reports to the leader have been unanswered for longer than
@@ -39,13 +39,13 @@
 // once.
 func (b *leaderlessBucket) prepare(l *Limits, limit protocol.RateLimit, now time.Time) {
 	b.rate = max(limit.PerSecond, minRate) * leaderlessShare / float64(l.gateways)
-	if b.episodeStart.Equal(l.unansweredSince) {
+	if b.preparedFor.Equal(l.unansweredSince) {
 		return
 	}
 	if b.updatedAt.IsZero() || now.Sub(b.updatedAt) > bucketRetention {
 		b.level = l.random()
 	}
-	b.episodeStart, b.updatedAt = l.unansweredSince, now
+	b.preparedFor, b.updatedAt = l.unansweredSince, now
 }
 
 // take uses a whole request if the bucket holds one, and reports whether it did.
--- a/coordination/backpressure/backpressure_test.go
+++ b/coordination/backpressure/backpressure_test.go
@@ -54,7 +54,7 @@
 		}
 		n := 0
 		for k := i; k >= 0 && a.at.Sub(s.arrivals[k].at) <= Window; k-- {
-			if by := s.arrivals[k].from; !by.toldAt.IsZero() && a.at.Sub(by.toldAt) >= gatewayGrace {
+			if by := s.arrivals[k].from; !by.limitSeenAt.IsZero() && a.at.Sub(by.limitSeenAt) >= gatewayGrace {
 				n++
 			}
 		}
@@ -71,10 +71,10 @@
 // gateway is one gateway of a simulation.
 type gateway struct {
 	limits      *Limits
-	life        uint64
+	incarnation uint64
 	next        time.Time // next is when it sends its next report.
 	isolated    bool      // isolated means that its messages reach no control instance.
-	toldAt      time.Time // toldAt is when it got the first response with a limit; zero before.
+	limitSeenAt time.Time // limitSeenAt is when it got the first response with a limit; zero before.
 	responses   []time.Time
 	nextControl int // nextControl is the index of the control instance that it asks next without a leader.
 	marks       []protocol.SharedLimitsVersion
@@ -105,7 +105,7 @@
 }
 
 func (f *fleet) addGateway() {
-	m := &gateway{limits: NewLimits(WithRandom(f.rnd.Float64)), life: f.rnd.Uint64(), next: f.now.Add(f.randomDelay()), marks: make([]protocol.SharedLimitsVersion, controlInstances)}
+	m := &gateway{limits: NewLimits(WithRandom(f.rnd.Float64)), incarnation: f.rnd.Uint64(), next: f.now.Add(f.randomDelay()), marks: make([]protocol.SharedLimitsVersion, controlInstances)}
 	f.gateways = append(f.gateways, m)
 	for _, m := range f.gateways {
 		m.limits.SetGateways(len(f.gateways))
@@ -166,8 +166,8 @@
 func (f *fleet) deliver(m *gateway) {
 	for len(m.responses) > 0 && !f.now.Before(m.responses[0]) {
 		m.responses = m.responses[1:]
-		if m.toldAt.IsZero() && f.server.limit.Named {
-			m.toldAt = f.now
+		if m.limitSeenAt.IsZero() && f.server.limit.Named {
+			m.limitSeenAt = f.now
 		}
 		if m.limits.UpdateLimit("s", f.server.limit, f.now) {
 			m.next = f.now
@@ -185,7 +185,7 @@
 	if !hasData && !m.limits.IsStale(f.leaderMark()) || m.isolated || f.rnd.Float64() < f.lossRate {
 		return
 	}
-	msg.Gateway, msg.Life = strconv.FormatUint(m.life, 16), m.life
+	msg.Gateway, msg.Life = strconv.FormatUint(m.incarnation, 16), m.incarnation
 	reply := f.allocator.HandleReport(&msg, f.term, f.now)
 	if f.rnd.Float64() < f.lossRate {
 		return
@@ -257,9 +257,9 @@
 	})
 }
 
-// TestLimitOfHundreds has hundreds of gateways share limits of few requests: with a leader,
-// without one, and with a new one.
-func TestLimitOfHundreds(t *testing.T) {
+// TestLimitSharedByHundredsOfGateways has hundreds of gateways share limits of few requests:
+// with a leader, without one, and with a new one.
+func TestLimitSharedByHundredsOfGateways(t *testing.T) {
 	for _, gateways := range []int{100, 300} {
 		for _, limit := range []float64{0, 2.4, 30} {
 			f := newFleet(uint64(gateways), gateways)
@@ -329,9 +329,9 @@
 	}
 }
 
-// TestOlderLimitIsOverruled checks that a gateway that reports a limit to the leader adopts
-// a newer one that another gateway reported.
-func TestOlderLimitIsOverruled(t *testing.T) {
+// TestGatewayAdoptsLaterLimit checks that a gateway that reports a limit to the leader adopts
+// a later one that another gateway reported.
+func TestGatewayAdoptsLaterLimit(t *testing.T) {
 	b, l := NewPermitAllocator(), NewLimits()
 	named := protocol.RateLimit{Named: true, PerSecond: 3}
 	b.HandleReport(&protocol.LimitsMsg{Gateway: "other", Heard: []protocol.ReportedLimit{{Server: "s", Limit: named}}}, 1, start)
@@ -348,8 +348,9 @@
 	}
 }
 
-// TestNewServerHasNoLimit checks that the limit of a server that left is forgotten.
-func TestNewServerHasNoLimit(t *testing.T) {
+// TestPruneRemovesLimit checks that the limits of servers that are no longer listed are
+// removed.
+func TestPruneRemovesLimit(t *testing.T) {
 	b, l := NewPermitAllocator(), NewLimits()
 	l.UpdateLimit("s", protocol.RateLimit{Named: true, PerSecond: 1}, start)
 	m, _ := l.Report(start)
@@ -434,9 +435,10 @@
 	}
 }
 
-// TestWaitEndsWithTheLeader checks that the time until the next permit, as the leader told
-// it, is ignored once no leader answers: the gateway then uses its leaderless share.
-func TestWaitEndsWithTheLeader(t *testing.T) {
+// TestPermitWaitIsIgnoredWithoutLeader checks that the time until the next permit, as the
+// leader told it, is ignored once no leader answers: the gateway then uses its leaderless
+// share.
+func TestPermitWaitIsIgnoredWithoutLeader(t *testing.T) {
 	l := NewLimits(WithRandom(func() float64 { return 1 }))
 	l.UpdateLimit("s", protocol.RateLimit{Named: true, PerSecond: 1}, start)
 	m, _ := l.Report(start)
@@ -503,10 +505,12 @@
 	}
 }
 
-// TestLimitUnheardWithoutLeader has the leader fail right as a server names its limit,
-// before most gateways, which rarely send, have got it. Each of them learns the limit only
-// from the response to a request that it sent without knowing it.
-func TestLimitUnheardWithoutLeader(t *testing.T) {
+// TestLimitIsForwardedWithoutLeader has the leader fail right as a server names its limit,
+// before most gateways, which rarely send, have got it. A gateway learns the limit from the
+// response to a request that it sent without knowing it, or from a control instance. With
+// fewer gateways than in TestLimitIsForwardedAtScale, each may send a larger part of the
+// limit.
+func TestLimitIsForwardedWithoutLeader(t *testing.T) {
 	const gateways, limit = 40, 1
 	f := newFleet(2, gateways)
 	f.run(Window, limit)
--- a/coordination/backpressure/book.go
+++ b/coordination/backpressure/book.go
@@ -12,11 +12,11 @@
 // issues the permits for them.
 type PermitAllocator struct {
 	change  uint64 // change is a counter that rises with each change of a limit.
-	entries map[string]*entry
+	entries map[string]*serverPermits
 }
 
-// entry is the state of one server.
-type entry struct {
+// serverPermits is the limit of one server and the permits issued for it.
+type serverPermits struct {
 	limit      protocol.RateLimit
 	statedAt   time.Time // statedAt is when the server sent the limit.
 	change     uint64    // change is the allocator's counter at the last change of this limit.
@@ -28,8 +28,8 @@
 
 // gatewayIncarnation identifies one start of a gateway.
 type gatewayIncarnation struct {
-	gateway string
-	life    uint64
+	gateway     string
+	incarnation uint64
 }
 
 // requestCount is a number of requests at one time.
@@ -53,7 +53,9 @@
 )
 
 // NewPermitAllocator returns an allocator that knows no limits.
-func NewPermitAllocator() *PermitAllocator { return &PermitAllocator{entries: map[string]*entry{}} }
+func NewPermitAllocator() *PermitAllocator {
+	return &PermitAllocator{entries: map[string]*serverPermits{}}
+}
 
 // HandleReport processes a gateway's report. It returns the limits that the gateway does
 // not know yet, and the permits issued to it.
@@ -85,7 +87,7 @@
 	statedAt := now.Add(-h.Ago)
 	e := a.entries[h.Server]
 	if e == nil {
-		e = &entry{refilledAt: now, counted: map[gatewayIncarnation]bool{}}
+		e = &serverPermits{refilledAt: now, counted: map[gatewayIncarnation]bool{}}
 		a.entries[h.Server] = e
 	}
 	if statedAt.Before(e.statedAt) {
@@ -157,7 +159,7 @@
 // Prune removes servers that are no longer listed, and limits withdrawn longer ago than
 // withdrawnRetention.
 func (a *PermitAllocator) Prune(listed func(server string) bool, now time.Time) {
-	maps.DeleteFunc(a.entries, func(server string, e *entry) bool {
+	maps.DeleteFunc(a.entries, func(server string, e *serverPermits) bool {
 		return !listed(server) || (!e.limit.Named && now.Sub(e.statedAt) > withdrawnRetention)
 	})
 }
@@ -184,11 +186,11 @@
 }
 
 // rate is the rate to enforce, in requests per second.
-func (e *entry) rate() float64 { return max(e.limit.PerSecond, minRate) }
+func (e *serverPermits) rate() float64 { return max(e.limit.PerSecond, minRate) }
 
 // refill adds the permits that became available since the last call, and drops counts that
 // are older than accountingPeriod.
-func (e *entry) refill(now time.Time) {
+func (e *serverPermits) refill(now time.Time) {
 	burst := max(1, e.rate()*burstPeriod.Seconds())
 	e.available = min(burst, e.available+e.rate()*max(0, now.Sub(e.refilledAt).Seconds()))
 	e.refilledAt = now
@@ -202,7 +204,7 @@
 }
 
 // headroom returns how many more permits the accountingPeriod that ends now allows.
-func (e *entry) headroom() int {
+func (e *serverPermits) headroom() int {
 	left := e.maxInPeriod()
 	for _, c := range e.recent {
 		left -= c.requests
@@ -211,11 +213,11 @@
 }
 
 // maxInPeriod returns how many permits may be issued within an accountingPeriod.
-func (e *entry) maxInPeriod() int { return int(max(1, e.rate()*accountingPeriod.Seconds())) }
+func (e *serverPermits) maxInPeriod() int { return int(max(1, e.rate()*accountingPeriod.Seconds())) }
 
 // charge counts permits that are issued, or requests that were sent without one. The
 // deficit from the latter is at most what becomes available within a Window.
-func (e *entry) charge(requests int, now time.Time) {
+func (e *serverPermits) charge(requests int, now time.Time) {
 	if requests == 0 {
 		return
 	}
@@ -225,7 +227,7 @@
 
 // reclaim takes back permits that expired unused. It takes them from the latest counts, as
 // permits expire soon after they are issued.
-func (e *entry) reclaim(n int) {
+func (e *serverPermits) reclaim(n int) {
 	e.available += float64(n)
 	for i := len(e.recent) - 1; i >= 0 && n > 0; i-- {
 		part := min(n, e.recent[i].requests)
@@ -235,7 +237,7 @@
 }
 
 // untilNext returns how long it takes until the next permit is available.
-func (e *entry) untilNext(now time.Time) time.Duration {
+func (e *serverPermits) untilNext(now time.Time) time.Duration {
 	wait := time.Duration((1 - e.available) / e.rate() * float64(time.Second))
 	excess := 1 - e.headroom()
 	for _, c := range e.recent { // Not sorted by time: gateways report earlier requests later.
--- a/coordination/backpressure/limits.go
+++ b/coordination/backpressure/limits.go
@@ -55,7 +55,7 @@
 type LimitsOption func(*Limits)
 
 // WithRandom sets the source of random numbers from 0 to 1. The default always returns 0,
-// so that all gateways draw the same.
+// with which a leaderlessBucket starts empty.
 func WithRandom(random func() float64) LimitsOption { return func(l *Limits) { l.random = random } }
 
 // NewLimits returns the Limits of a gateway that knows no limits yet.
@@ -260,13 +260,15 @@
 	if s.counted {
 		w.Alone = s.unpermitted // Otherwise they are part of the counts of sent requests.
 	}
-	s.shortfall, s.expired = 0, 0 // They are lost if the message is lost.
+	// If the message is lost, waiting requests have to ask for permits again, and the leader
+	// counts the expired permits as used.
+	s.shortfall, s.expired = 0, 0
 	return w
 }
 
-// HandleReply processes the leader's reply to a report that was made at the time asked. It
-// reports whether a limit changed or permits arrived, so that waiting requests may proceed.
-func (l *Limits) HandleReply(m *protocol.LimitsMsg, reply *protocol.LimitsReply, asked, now time.Time) (changed bool) {
+// HandleReply processes the leader's reply to a report that was made at reportedAt. It
+// returns whether a limit changed or permits arrived, so that waiting requests may proceed.
+func (l *Limits) HandleReply(m *protocol.LimitsMsg, reply *protocol.LimitsReply, reportedAt, now time.Time) (changed bool) {
 	l.unansweredSince = time.Time{}
 	if reply.Term != l.term {
 		l.resetReported(reply.Term)
@@ -274,10 +276,10 @@
 	l.markReported(m)
 	l.heldChange = reply.Change
 	for i := range reply.Limits {
-		changed = l.applyLimit(&reply.Limits[i], asked) || changed
+		changed = l.applyLimit(&reply.Limits[i], reportedAt) || changed
 	}
 	for i := range reply.Grants {
-		changed = l.addGrant(&reply.Grants[i], asked, now) || changed
+		changed = l.addGrant(&reply.Grants[i], reportedAt, now) || changed
 	}
 	maps.DeleteFunc(l.servers, func(_ string, s *serverState) bool { return !s.limit.Named && s.reported })
 	return changed
@@ -310,7 +312,7 @@
 
 // applyLimit takes a limit from the leader. A limit from a server's response to this gateway
 // that has not been reported yet takes precedence.
-func (l *Limits) applyLimit(update *protocol.ServerLimit, asked time.Time) (changed bool) {
+func (l *Limits) applyLimit(update *protocol.ServerLimit, reportedAt time.Time) (changed bool) {
 	s := l.servers[update.Server]
 	if s != nil && !s.reported {
 		return false
@@ -319,7 +321,7 @@
 		s = &serverState{reported: true}
 		l.servers[update.Server] = s
 	}
-	s.statedAt = asked
+	s.statedAt = reportedAt
 	if !s.setLimit(update.Limit, true) {
 		return false
 	}
@@ -328,7 +330,7 @@
 }
 
 // addGrant adds the permits of a grant, and reports whether there are any.
-func (l *Limits) addGrant(g *protocol.PermitGrant, asked, now time.Time) bool {
+func (l *Limits) addGrant(g *protocol.PermitGrant, reportedAt, now time.Time) bool {
 	s := l.servers[g.Server]
 	if s == nil {
 		return false
@@ -338,7 +340,7 @@
 		s.nextPermitAt = now.Add(g.Wait)
 	}
 	if g.Count > 0 {
-		s.permits = append(s.permits, permitBatch{count: g.Count, expiresAt: asked.Add(g.Lasts)})
+		s.permits = append(s.permits, permitBatch{count: g.Count, expiresAt: reportedAt.Add(g.Lasts)})
 	}
 	return g.Count > 0
 }
