--- a/coordination/quarantine/gate.go
+++ b/coordination/quarantine/gate.go
@@ -40,104 +40,104 @@
 
 // ApplyUpdate applies the leader's changes of held and of watched requests; nil means no
 // change.
-func (q *Filter) ApplyUpdate(update *protocol.QuarantineUpdate, watch *protocol.WatchUpdate, now time.Time) {
+func (flt *Filter) ApplyUpdate(update *protocol.QuarantineUpdate, watch *protocol.WatchUpdate, now time.Time) {
 	if update != nil {
-		q.applyChanges(update)
+		flt.applyChanges(update)
 	}
 	if watch != nil {
-		q.setWatched(watch.Requests, now)
+		flt.setWatched(watch.Requests, now)
 	}
 	if update != nil || watch != nil {
-		q.rebuildIndex()
+		flt.rebuildIndex()
 	}
 }
 
 // applyChanges applies changes of the held requests.
-func (q *Filter) applyChanges(update *protocol.QuarantineUpdate) {
-	before := q.held
+func (flt *Filter) applyChanges(update *protocol.QuarantineUpdate) {
+	before := flt.held
 	if update.Whole {
-		q.held = make(map[protocol.Fingerprint]*heldRequest, len(update.Held))
+		flt.held = make(map[protocol.Fingerprint]*heldRequest, len(update.Held))
 	}
 	for _, f := range update.Free {
-		delete(q.held, f)
+		delete(flt.held, f)
 	}
 	for i := range update.Held {
 		next := &heldRequest{HeldRequest: update.Held[i]}
 		if old := before[next.Fingerprint]; old != nil && old.Trials <= next.Trials {
 			next.usedTrial = old.usedTrial // Fewer trials mean that the request was released and is held anew.
 		}
-		q.held[next.Fingerprint] = next
+		flt.held[next.Fingerprint] = next
 	}
-	q.changes = update.Changes
+	flt.changes = update.Changes
 }
 
 // setWatched replaces the requests whose successes are reported, and reports the successes
 // that newly watched ones had within the last trustTime.
-func (q *Filter) setWatched(list []protocol.Fingerprint, now time.Time) {
-	before := q.watched
-	q.watched, q.watchHash = make(map[protocol.Fingerprint]bool, len(list)), protocol.WatchHash(list)
+func (flt *Filter) setWatched(list []protocol.Fingerprint, now time.Time) {
+	before := flt.watched
+	flt.watched, flt.watchHash = make(map[protocol.Fingerprint]bool, len(list)), protocol.WatchHash(list)
 	for _, f := range list {
-		q.watched[f] = true
-		if ago, ok := q.successes.Age(f.Quick, now); ok && !before[f] {
-			q.reportSuccess(f, now.Add(-ago))
+		flt.watched[f] = true
+		if ago, ok := flt.successes.Age(f.Quick, now); ok && !before[f] {
+			flt.reportSuccess(f, now.Add(-ago))
 		}
 	}
 }
 
 // rebuildIndex recomputes the quick hashes.
-func (q *Filter) rebuildIndex() {
-	q.quickHashes = make(map[uint64]bool, len(q.held)+len(q.watched))
-	for f := range q.held {
-		q.quickHashes[f.Quick] = true
+func (flt *Filter) rebuildIndex() {
+	flt.quickHashes = make(map[uint64]bool, len(flt.held)+len(flt.watched))
+	for f := range flt.held {
+		flt.quickHashes[f.Quick] = true
 	}
-	for f := range q.watched {
-		q.quickHashes[f.Quick] = true
+	for f := range flt.watched {
+		flt.quickHashes[f.Quick] = true
 	}
 }
 
 // reportSuccess adds a success to the observations to be reported.
-func (q *Filter) reportSuccess(f protocol.Fingerprint, at time.Time) {
-	q.observations.Add(protocol.Observation{Runs: []protocol.ObservedRun{{Fingerprint: f}}}, at)
+func (flt *Filter) reportSuccess(f protocol.Fingerprint, at time.Time) {
+	flt.observations.Add(protocol.Observation{Runs: []protocol.ObservedRun{{Fingerprint: f}}}, at)
 }
 
 // Held returns the number of held requests.
-func (q *Filter) Held() int { return len(q.held) }
+func (flt *Filter) Held() int { return len(flt.held) }
 
 // SyncState returns the counter of quarantine changes that this filter is at, and the hash
 // of the list of watched requests.
-func (q *Filter) SyncState() (changes, watched uint64) { return q.changes, q.watchHash }
+func (flt *Filter) SyncState() (changes, watched uint64) { return flt.changes, flt.watchHash }
 
 // Report returns the observations that the leader of a term does not have yet.
-func (q *Filter) Report(term uint64, now time.Time) []protocol.Observation {
-	return q.observations.Report(term, now)
+func (flt *Filter) Report(term uint64, now time.Time) []protocol.Observation {
+	return flt.observations.Report(term, now)
 }
 
 // Acknowledged marks a report as received by the leader of a term.
-func (q *Filter) Acknowledged(term uint64, list []protocol.Observation) {
-	q.observations.Acknowledged(term, list)
+func (flt *Filter) Acknowledged(term uint64, list []protocol.Observation) {
+	flt.observations.Acknowledged(term, list)
 }
 
 // RecordCrash records that a server crashed with the given requests running on it.
-func (q *Filter) RecordCrash(server string, runs []protocol.ObservedRun, now time.Time) {
+func (flt *Filter) RecordCrash(server string, runs []protocol.ObservedRun, now time.Time) {
 	for i := range runs {
-		if ago, ok := q.successes.Age(runs[i].Quick, now); ok {
+		if ago, ok := flt.successes.Age(runs[i].Quick, now); ok {
 			runs[i].Well = ago
 		}
 	}
 	o := protocol.Observation{Server: server, Runs: runs}
-	q.observations.Add(o, now)
-	q.crashes.Update(ObservedMsg{Now: now, Gateway: q.name, Observation: o})
+	flt.observations.Add(o, now)
+	flt.crashes.Update(ObservedMsg{Now: now, Gateway: flt.name, Observation: o})
 }
 
 // RecordSuccess records that a server completed a request. The fingerprint is computed only
 // if the quick hash matches a held or watched request.
-func (q *Filter) RecordSuccess(quick uint64, fingerprint func() protocol.Fingerprint, now time.Time) {
-	q.successes.Add(quick, now)
-	if !q.quickHashes[quick] {
+func (flt *Filter) RecordSuccess(quick uint64, fingerprint func() protocol.Fingerprint, now time.Time) {
+	flt.successes.Add(quick, now)
+	if !flt.quickHashes[quick] {
 		return
 	}
-	if f := fingerprint(); q.watched[f] || q.held[f] != nil {
-		q.reportSuccess(f, now)
+	if f := fingerprint(); flt.watched[f] || flt.held[f] != nil {
+		flt.reportSuccess(f, now)
 	}
 }
 
@@ -165,38 +165,38 @@
 
 // Check decides whether a request may be sent. If use is set, a trial that lets it pass is
 // used up. leaderless means that the gateway has not heard from a leader recently.
-func (q *Filter) Check(quick uint64, fingerprint func() protocol.Fingerprint, use, leaderless bool, now time.Time) Decision {
-	h := q.find(quick, fingerprint)
+func (flt *Filter) Check(quick uint64, fingerprint func() protocol.Fingerprint, use, leaderless bool, now time.Time) Decision {
+	h := flt.find(quick, fingerprint)
 	switch {
-	case h != nil && h.Trial == q.name && h.Trials > h.usedTrial:
+	case h != nil && h.Trial == flt.name && h.Trials > h.usedTrial:
 		if use {
 			h.usedTrial = h.Trials
 		}
 		return Decision{Servers: h.Servers, Trial: h.Trials}
 	case h != nil:
 		return Decision{Held: true, Servers: h.Servers, Until: h.Until}
-	case leaderless && q.heldLocally(quick, fingerprint, now):
+	case leaderless && flt.heldLocally(quick, fingerprint, now):
 		return Decision{Held: true, Servers: holdThreshold}
 	}
 	return Decision{}
 }
 
 // find returns the held request with the same fingerprint, or nil.
-func (q *Filter) find(quick uint64, fingerprint func() protocol.Fingerprint) *heldRequest {
-	if len(q.held) == 0 || !q.quickHashes[quick] {
+func (flt *Filter) find(quick uint64, fingerprint func() protocol.Fingerprint) *heldRequest {
+	if len(flt.held) == 0 || !flt.quickHashes[quick] {
 		return nil
 	}
-	return q.held[fingerprint()]
+	return flt.held[fingerprint()]
 }
 
 // heldLocally reports whether this gateway saw enough servers crash under the request, and
 // no success within trustTime.
-func (q *Filter) heldLocally(quick uint64, fingerprint func() protocol.Fingerprint, now time.Time) bool {
-	if !q.crashes.HasCrashes() {
+func (flt *Filter) heldLocally(quick uint64, fingerprint func() protocol.Fingerprint, now time.Time) bool {
+	if !flt.crashes.HasCrashes() {
 		return false
 	}
-	if _, succeeded := q.successes.Age(quick, now); succeeded {
+	if _, succeeded := flt.successes.Age(quick, now); succeeded {
 		return false
 	}
-	return q.crashes.ShouldHold(fingerprint(), now)
+	return flt.crashes.ShouldHold(fingerprint(), now)
 }
