--- a/coordination/place/ledger_test.go
+++ b/coordination/place/ledger_test.go
@@ -28,10 +28,10 @@
 // TestPromptsSpread checks that prompts which arrive together are placed on different
 // servers while there are idle ones.
 func TestPromptsSpread(t *testing.T) {
-	l, v := NewPromptScheduler(NewLoads()), fleet(6)
+	ps, v := NewPromptScheduler(NewLoads()), fleet(6)
 	used := map[string]bool{}
 	for range 5 { // One server always remains in the short lane.
-		p := placeAt(t, l, v, longPrompt(20_000), start)
+		p := placeAt(t, ps, v, longPrompt(20_000), start)
 		if used[p.Server] {
 			t.Errorf("%s got two prompts while other servers had none", p.Server)
 		}
@@ -42,17 +42,17 @@
 // TestPromptsAvoidStreams checks that a prompt whose prefill would stall two streams is
 // queued behind another prompt at a server without streams.
 func TestPromptsAvoidStreams(t *testing.T) {
-	l, v := NewPromptScheduler(NewLoads()), fleet(3)
+	ps, v := NewPromptScheduler(NewLoads()), fleet(3)
 	lane := inLane(v, candidates(v, ChooseMsg{Service: "model", Now: start}), ChooseMsg{Lane: LaneLong, Parts: protocol.LaneShares{Tokens: 1}})
 	a, b := &v.Servers[lane[0].index], &v.Servers[lane[1].index]
 	// Two streams run at a; b prefills a short prompt and has no stream.
 	for range 2 {
 		st := &placedRequest{server: a.ID, prefillEnd: start.Add(-time.Second), expectedEnd: start.Add(time.Minute)}
-		l.lastNumber++
-		l.queue(a.ID).requests[l.lastNumber], l.requests[l.lastNumber] = st, st
+		ps.lastNumber++
+		ps.queue(a.ID).requests[ps.lastNumber], ps.requests[ps.lastNumber] = st, st
 	}
-	l.queue(b.ID).prefillUntil = start.Add(300 * time.Millisecond)
-	if p := placeAt(t, l, v, longPrompt(25_000), start); p.Server != b.ID {
+	ps.queue(b.ID).prefillUntil = start.Add(300 * time.Millisecond)
+	if p := placeAt(t, ps, v, longPrompt(25_000), start); p.Server != b.ID {
 		t.Errorf("placed at %s, where two streams run", p.Server)
 	}
 }
@@ -61,28 +61,28 @@
 // are counted as one block: each alone is within the acceptable gap, together they stall
 // the stream.
 func TestQueuedPrefillsStallStreams(t *testing.T) {
-	l, v := NewPromptScheduler(NewLoads()), fleet(2)
+	ps, v := NewPromptScheduler(NewLoads()), fleet(2)
 	lane := inLane(v, candidates(v, ChooseMsg{Service: "model", Now: start}), ChooseMsg{Lane: LaneLong, Parts: protocol.LaneShares{Tokens: 0.5}})
 	only := &v.Servers[lane[0].index]
 	st := &placedRequest{server: only.ID, prefillEnd: start.Add(-time.Second), expectedEnd: start.Add(time.Minute)}
-	l.queue(only.ID).requests[1], l.requests[1] = st, st
+	ps.queue(only.ID).requests[1], ps.requests[1] = st, st
 	m := longPrompt(10_000) // Takes 250 ms at the initial speed; the gap allows 400 ms.
-	free := l.cost(only, m, false, start)
-	l.queue(only.ID).prefillUntil = start.Add(300 * time.Millisecond)
-	if busy := l.cost(only, m, false, start); busy < free+1 {
+	free := ps.cost(only, m, false, start)
+	ps.queue(only.ID).prefillUntil = start.Add(300 * time.Millisecond)
+	if busy := ps.cost(only, m, false, start); busy < free+1 {
 		t.Errorf("cost %.2f behind another prompt, %.2f alone: the stalled stream is not counted", busy, free)
 	}
 }
 
 // TestPromptsFollowPrefixes checks that a prompt is placed where its prefix was prefilled.
 func TestPromptsFollowPrefixes(t *testing.T) {
-	l, v := NewPromptScheduler(NewLoads()), fleet(8)
+	ps, v := NewPromptScheduler(NewLoads()), fleet(8)
 	m := longPrompt(8000)
 	m.Prefix = 77
-	first := placeAt(t, l, v, m, start)
-	l.Done(DoneMsg{Number: first.Number, First: 200 * time.Millisecond, Took: time.Second})
+	first := placeAt(t, ps, v, m, start)
+	ps.Done(DoneMsg{Number: first.Number, First: 200 * time.Millisecond, Took: time.Second})
 	later := start.Add(5 * time.Second)
-	if again := placeAt(t, l, v, m, later); again.Server != first.Server {
+	if again := placeAt(t, ps, v, m, later); again.Server != first.Server {
 		t.Errorf("placed at %s, its prefix was prefilled at %s", again.Server, first.Server)
 	}
 }
@@ -115,10 +115,10 @@
 		}, false},
 	} {
 		loads := NewLoads()
-		l, v := NewPromptScheduler(loads), fleet(8)
+		ps, v := NewPromptScheduler(loads), fleet(8)
 		m := longPrompt(8000)
 		m.Prefix, m.Copies, m.Domain = 77, c.copies, "a"
-		first := placeAt(t, l, v, m, start)
+		first := placeAt(t, ps, v, m, start)
 		if first.Holder != "" {
 			t.Errorf("%s: the first prompt is copied from %s", name, first.Holder)
 		}
@@ -130,9 +130,9 @@
 			}
 			list = append(list, v.Servers[i].Instance)
 		}
-		v = NewView(c.change(l, list, at), v)
-		l.Prune(v)
-		again := placeAt(t, l, v, m, start.Add(5*time.Second))
+		v = NewView(c.change(ps, list, at), v)
+		ps.Prune(v)
+		again := placeAt(t, ps, v, m, start.Add(5*time.Second))
 		if again.Server == first.Server || (again.Holder == first.Server) != c.want || (again.Holder != "") != c.want {
 			t.Errorf("%s: placed at %s with holder %q, first at %s", name, again.Server, again.Holder, first.Server)
 		}
@@ -142,17 +142,17 @@
 // TestCopyCosts checks that a server that can copy the shared parts costs more than their
 // holder and less than a server that prefills them, and more the slower the copy.
 func TestCopyCosts(t *testing.T) {
-	l, v := NewPromptScheduler(NewLoads()), fleet(4)
+	ps, v := NewPromptScheduler(NewLoads()), fleet(4)
 	m := longPrompt(8000)
 	m.Prefix = 77
 	held := &v.Servers[0]
-	l.queue(held.ID).recordPrefix(m.Prefix, start)
-	costs := []float64{l.cost(held, m, false, start)}
+	ps.queue(held.ID).recordPrefix(m.Prefix, start)
+	costs := []float64{ps.cost(held, m, false, start)}
 	for _, rate := range []float64{100 * initialPrefillSpeed, 2 * initialPrefillSpeed} {
 		m.Copies = rate
-		costs = append(costs, l.cost(&v.Servers[1], m, true, start))
+		costs = append(costs, ps.cost(&v.Servers[1], m, true, start))
 	}
-	costs = append(costs, l.cost(&v.Servers[1], m, false, start))
+	costs = append(costs, ps.cost(&v.Servers[1], m, false, start))
 	if !slices.IsSorted(costs) || costs[1] >= costs[2] || costs[2] >= costs[3] {
 		t.Errorf("costs for held, copied fast, copied slowly, prefilled: %.3f", costs)
 	}
@@ -163,7 +163,7 @@
 // ended, or whose server is gone.
 func TestSchedulerRemovesEndedRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, v, now := NewPromptScheduler(NewLoads()), fleet(rapid.IntRange(1, 8).Draw(t, "servers")), start
+		ps, v, now := NewPromptScheduler(NewLoads()), fleet(rapid.IntRange(1, 8).Draw(t, "servers")), start
 		var open []Placed
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "pause")) * time.Millisecond)
@@ -172,7 +172,7 @@
 				m := longPrompt(rapid.IntRange(4000, 60_000).Draw(t, "tokens"))
 				m.Avoid = []string{"server-0"}
 				m.Prefix = rapid.Uint64Range(0, 4).Draw(t, "prefix")
-				p, ok := l.Place(v, m, now)
+				p, ok := ps.Place(v, m, now)
 				if ok != (len(v.Servers) > 1) || p.Server == "server-0" {
 					t.Fatalf("placed %v at %q of %d servers", ok, p.Server, len(v.Servers))
 				}
@@ -181,20 +181,20 @@
 				}
 			case 2:
 				if len(open) > 0 {
-					l.Done(DoneMsg{Number: open[0].Number, First: time.Duration(rapid.IntRange(0, 2000).Draw(t, "first")) * time.Millisecond, Took: 3 * time.Second})
+					ps.Done(DoneMsg{Number: open[0].Number, First: time.Duration(rapid.IntRange(0, 2000).Draw(t, "first")) * time.Millisecond, Took: 3 * time.Second})
 					open = open[1:]
 				}
 			}
-			if l.prefillSpeed <= 0 || len(l.requests) > len(open) {
-				t.Fatalf("speed %.1f, %d requests kept, %d open", l.prefillSpeed, len(l.requests), len(open))
+			if ps.prefillSpeed <= 0 || len(ps.requests) > len(open) {
+				t.Fatalf("speed %.1f, %d requests kept, %d open", ps.prefillSpeed, len(ps.requests), len(open))
 			}
 		}
-		l.removeOverdue(now.Add(time.Hour))
-		if len(l.requests) > 0 {
-			t.Fatalf("%d requests are kept after an hour", len(l.requests))
+		ps.removeOverdue(now.Add(time.Hour))
+		if len(ps.requests) > 0 {
+			t.Fatalf("%d requests are kept after an hour", len(ps.requests))
 		}
-		l.Prune(fleet(0))
-		if len(l.queues) > 0 {
+		ps.Prune(fleet(0))
+		if len(ps.queues) > 0 {
 			t.Fatal("servers that are not listed are kept")
 		}
 	})
--- a/coordination/place/loads_test.go
+++ b/coordination/place/loads_test.go
@@ -155,16 +155,16 @@
 // server while there is another.
 func TestPromptsAvoidDistrustedServers(t *testing.T) {
 	loads, v := NewLoads(), fleet(4)
-	l := NewPromptScheduler(loads)
-	first := placeAt(t, l, v, longPrompt(20_000), start)
+	ps := NewPromptScheduler(loads)
+	first := placeAt(t, ps, v, longPrompt(20_000), start)
 	for _, g := range []string{"g", "h"} {
 		loads.SetReport(g, GatewayReport{Domain: "domain-1", Distrusts: []string{first.Server}})
 	}
 	m := longPrompt(20_000)
 	m.Domain = "domain-1"
-	l.Done(DoneMsg{Number: first.Number})
+	ps.Done(DoneMsg{Number: first.Number})
 	for range 3 {
-		if again := placeAt(t, l, v, m, start.Add(time.Minute)); again.Server == first.Server {
+		if again := placeAt(t, ps, v, m, start.Add(time.Minute)); again.Server == first.Server {
 			t.Errorf("placed at %s, which is distrusted", again.Server)
 		}
 	}
--- a/coordination/place/near_test.go
+++ b/coordination/place/near_test.go
@@ -152,18 +152,18 @@
 // come back.
 func TestPromptsStayInRegion(t *testing.T) {
 	regions, loads := threeRegions(), NewLoads()
-	l, v := NewPromptScheduler(loads, WithTopology(regions)), spreadOver(regions, 3, sixDomains...)
+	ps, v := NewPromptScheduler(loads, WithTopology(regions)), spreadOver(regions, 3, sixDomains...)
 	m := longPrompt(8000)
 	m.Domain, m.Parts.Tokens, m.Shared = "b-1", 0.5, 0
 	region := func(now time.Time) string {
-		return regions.Region(v.Find(placeAt(t, l, v, m, now).Server).Domain)
+		return regions.Region(v.Find(placeAt(t, ps, v, m, now).Server).Domain)
 	}
 	if got := region(start); got != "b" {
 		t.Errorf("placed in %s although all servers are idle", got)
 	}
 	for i := range v.Servers {
 		if s := &v.Servers[i]; s.location.Region == "b" {
-			l.queue(s.ID).prefillUntil = start.Add(3 * time.Second)
+			ps.queue(s.ID).prefillUntil = start.Add(3 * time.Second)
 		}
 	}
 	if got := region(start); got == "b" {
@@ -195,20 +195,20 @@
 // region, even if a remote server prefilled them later.
 func TestHolderIsNear(t *testing.T) {
 	regions := threeRegions()
-	l, v := NewPromptScheduler(NewLoads(), WithTopology(regions)), spreadOver(regions, 1, sixDomains...)
+	ps, v := NewPromptScheduler(NewLoads(), WithTopology(regions)), spreadOver(regions, 1, sixDomains...)
 	m := longPrompt(8000)
 	m.Copies, m.Prefix, m.Domain = 100, 77, "b-1"
-	l.queue("a-1-0").recordPrefix(77, start.Add(2*time.Second))
-	if got := l.holder(v, m, start.Add(3*time.Second)); got != "a-1-0" {
+	ps.queue("a-1-0").recordPrefix(77, start.Add(2*time.Second))
+	if got := ps.holder(v, m, start.Add(3*time.Second)); got != "a-1-0" {
 		t.Errorf("copied from %q, want the only holder, in another region", got)
 	}
-	l.queue("b-2-0").recordPrefix(77, start)
-	l.queue("c-1-0").recordPrefix(77, start.Add(time.Second))
-	if got := l.holder(v, m, start.Add(3*time.Second)); got != "b-2-0" {
+	ps.queue("b-2-0").recordPrefix(77, start)
+	ps.queue("c-1-0").recordPrefix(77, start.Add(time.Second))
+	if got := ps.holder(v, m, start.Add(3*time.Second)); got != "b-2-0" {
 		t.Errorf("copied from %q, want the near holder", got)
 	}
-	l.queue("b-1-0").recordPrefix(77, start.Add(time.Second))
-	if got := l.holder(v, m, start.Add(3*time.Second)); got != "b-1-0" {
+	ps.queue("b-1-0").recordPrefix(77, start.Add(time.Second))
+	if got := ps.holder(v, m, start.Add(3*time.Second)); got != "b-1-0" {
 		t.Errorf("copied from %q, want the near holder with the latest prefill", got)
 	}
 }
--- a/coordination/place/placements_test.go
+++ b/coordination/place/placements_test.go
@@ -75,14 +75,14 @@
 		list = append(list, protocol.Instance{ID: id, Service: "s", Slots: 8})
 	}
 	v := NewView(list, nil)
-	l := NewPromptScheduler(NewLoads())
+	ps := NewPromptScheduler(NewLoads())
 	m := PromptMsg{Service: "s", Prompt: 4000, Shared: 3000, Prefix: 7, Parts: protocol.LaneShares{Tokens: 1}, Target: time.Second, Gap: time.Second}
-	first, ok := l.Place(v, m, now)
+	first, ok := ps.Place(v, m, now)
 	if !ok {
 		t.Fatal("no server")
 	}
-	fresh := l.TakeUnsent()
-	if len(fresh) != 1 || fresh[0].Server != first.Server || fresh[0].Prefix != 7 || fresh[0].Tokens != 4000 || len(l.TakeUnsent()) > 0 {
+	fresh := ps.TakeUnsent()
+	if len(fresh) != 1 || fresh[0].Server != first.Server || fresh[0].Prefix != 7 || fresh[0].Tokens != 4000 || len(ps.TakeUnsent()) > 0 {
 		t.Fatalf("unsent placements are %+v", fresh)
 	}
 	other := NewPromptScheduler(NewLoads())
--- a/coordination/place/readings.go
+++ b/coordination/place/readings.go
@@ -40,38 +40,38 @@
 
 // Add records that a server prefilled links, as forwarded by the instance with the given
 // incarnation.
-func (r *PrefillLog) Add(from uint64, server string, keys []uint32) {
+func (l *PrefillLog) Add(from uint64, server string, keys []uint32) {
 	for _, key := range keys {
 		row := prefillRow{key: linkKey(key), server: server, source: from}
-		r.rows = append(r.rows, row)
-		r.packed = r.pack(r.packed, row)
+		l.rows = append(l.rows, row)
+		l.packed = l.pack(l.packed, row)
 	}
-	if extra := len(r.rows) - maxPrefills; extra > 0 {
+	if extra := len(l.rows) - maxPrefills; extra > 0 {
 		// Half of the rows are dropped at once, so that the slices are rarely reallocated.
 		extra += maxPrefills / 2
-		r.first += uint64(extra)
-		r.rows = append([]prefillRow(nil), r.rows[extra:]...)
-		r.packed = append([]byte(nil), r.packed[extra*prefillBytes:]...)
+		l.first += uint64(extra)
+		l.rows = append([]prefillRow(nil), l.rows[extra:]...)
+		l.packed = append([]byte(nil), l.packed[extra*prefillBytes:]...)
 	}
 }
 
 // SetServers sets the server list in whose order rows are packed from now on.
-func (r *PrefillLog) SetServers(order []string) {
-	r.index = make(map[string]uint16, len(order))
+func (l *PrefillLog) SetServers(order []string) {
+	l.index = make(map[string]uint16, len(order))
 	for i, id := range order {
 		if i < unlisted {
-			r.index[id] = uint16(i)
+			l.index[id] = uint16(i)
 		}
 	}
-	r.packed = make([]byte, 0, len(r.rows)*prefillBytes)
-	for _, row := range r.rows {
-		r.packed = r.pack(r.packed, row)
+	l.packed = make([]byte, 0, len(l.rows)*prefillBytes)
+	for _, row := range l.rows {
+		l.packed = l.pack(l.packed, row)
 	}
 }
 
 // pack appends a row, packed with the current server list.
-func (r *PrefillLog) pack(to []byte, row prefillRow) []byte {
-	at, ok := r.index[row.server]
+func (l *PrefillLog) pack(to []byte, row prefillRow) []byte {
+	at, ok := l.index[row.server]
 	if !ok {
 		at = unlisted
 	}
@@ -81,25 +81,25 @@
 
 // Since returns the packed rows from a position on, and the position after them. The
 // returned slice is never modified.
-func (r *PrefillLog) Since(position uint64) (packed []byte, next uint64) {
-	next = r.first + uint64(len(r.rows))
+func (l *PrefillLog) Since(position uint64) (packed []byte, next uint64) {
+	next = l.first + uint64(len(l.rows))
 	if position > next {
 		position = next // The position belongs to another log.
 	}
-	from := max(position, r.first) - r.first
-	return r.packed[from*prefillBytes : len(r.packed) : len(r.packed)], next
+	from := max(position, l.first) - l.first
+	return l.packed[from*prefillBytes : len(l.packed) : len(l.packed)], next
 }
 
 // SinceExcept returns the packed rows from a position on that were not forwarded by the
 // instance with the given incarnation, and the position after them.
-func (r *PrefillLog) SinceExcept(position, except uint64) (packed []byte, next uint64) {
-	next = r.first + uint64(len(r.rows))
+func (l *PrefillLog) SinceExcept(position, except uint64) (packed []byte, next uint64) {
+	next = l.first + uint64(len(l.rows))
 	if position > next {
 		position = next // The position belongs to another log.
 	}
-	for _, row := range r.rows[max(position, r.first)-r.first:] {
+	for _, row := range l.rows[max(position, l.first)-l.first:] {
 		if row.source != except {
-			packed = r.pack(packed, row)
+			packed = l.pack(packed, row)
 		}
 	}
 	return packed, next
--- a/coordination/place/relayed.go
+++ b/coordination/place/relayed.go
@@ -202,12 +202,12 @@
 	}
 	l.leaderDistrusts = make(map[string]map[string]bool, len(distrusted))
 	for domain, bits := range distrusted {
-		skipped := map[string]bool{}
+		distrusts := map[string]bool{}
 		for i, id := range servers {
 			if bitSet(bits, i) {
-				skipped[id] = true
+				distrusts[id] = true
 			}
 		}
-		l.leaderDistrusts[domain] = skipped
+		l.leaderDistrusts[domain] = distrusts
 	}
 }
--- a/coordination/place/starts_test.go
+++ b/coordination/place/starts_test.go
@@ -18,8 +18,8 @@
 	return list
 }
 
-// TestNewestStarts checks which servers are kept over a sequence of lists.
-func TestNewestStarts(t *testing.T) {
+// TestNewestIncarnations checks which servers are kept over a sequence of lists.
+func TestNewestIncarnations(t *testing.T) {
 	var s Incarnations
 	now := time.Unix(1_800_000_000, 0)
 	for _, step := range []struct {
