--- a/coordination/backpressure/backpressure_test.go
+++ b/coordination/backpressure/backpressure_test.go
@@ -105,10 +105,10 @@
 }
 
 func (f *fleet) addGateway() {
-	m := &gateway{limits: NewLimits(WithRandom(f.rnd.Float64)), incarnation: f.rnd.Uint64(), next: f.now.Add(f.randomDelay()), marks: make([]protocol.SharedLimitsVersion, controlInstances)}
-	f.gateways = append(f.gateways, m)
-	for _, m := range f.gateways {
-		m.limits.SetGateways(len(f.gateways))
+	g := &gateway{limits: NewLimits(WithRandom(f.rnd.Float64)), incarnation: f.rnd.Uint64(), next: f.now.Add(f.randomDelay()), marks: make([]protocol.SharedLimitsVersion, controlInstances)}
+	f.gateways = append(f.gateways, g)
+	for _, g := range f.gateways {
+		g.limits.SetGateways(len(f.gateways))
 	}
 }
 
@@ -129,10 +129,10 @@
 				sent += f.request(f.gateways[f.rnd.IntN(len(f.gateways))])
 			}
 		}
-		for _, m := range f.gateways {
-			f.deliver(m)
-			if !f.now.Before(m.next) || m.limits.IsStale(f.leaderMark()) {
-				f.report(m)
+		for _, g := range f.gateways {
+			f.deliver(g)
+			if !f.now.Before(g.next) || g.limits.IsStale(f.leaderMark()) {
+				f.report(g)
 			}
 		}
 	}
@@ -147,64 +147,64 @@
 	return f.term, f.allocator.Change()
 }
 
-func (f *fleet) request(m *gateway) int {
-	decision, _ := m.limits.Acquire("s", f.now)
+func (f *fleet) request(g *gateway) int {
+	decision, _ := g.limits.Acquire("s", f.now)
 	if decision == NeedPermit {
-		f.report(m)
-		decision, _ = m.limits.Acquire("s", f.now)
+		f.report(g)
+		decision, _ = g.limits.Acquire("s", f.now)
 	}
 	if decision != Send {
 		return 0
 	}
-	m.limits.RecordSent("s", f.now)
-	f.server.arrivals = append(f.server.arrivals, arrival{f.now, m})
-	m.responses = append(m.responses, f.now.Add(100*time.Millisecond))
+	g.limits.RecordSent("s", f.now)
+	f.server.arrivals = append(f.server.arrivals, arrival{f.now, g})
+	g.responses = append(g.responses, f.now.Add(100*time.Millisecond))
 	return 1
 }
 
 // deliver passes the server responses that have arrived to a gateway.
-func (f *fleet) deliver(m *gateway) {
-	for len(m.responses) > 0 && !f.now.Before(m.responses[0]) {
-		m.responses = m.responses[1:]
-		if m.limitSeenAt.IsZero() && f.server.limit.Named {
-			m.limitSeenAt = f.now
+func (f *fleet) deliver(g *gateway) {
+	for len(g.responses) > 0 && !f.now.Before(g.responses[0]) {
+		g.responses = g.responses[1:]
+		if g.limitSeenAt.IsZero() && f.server.limit.Named {
+			g.limitSeenAt = f.now
 		}
-		if m.limits.UpdateLimit("s", f.server.limit, f.now) {
-			m.next = f.now
+		if g.limits.UpdateLimit("s", f.server.limit, f.now) {
+			g.next = f.now
 		}
 	}
 }
 
-func (f *fleet) report(m *gateway) {
-	m.next = f.now.Add(f.reportInterval())
-	msg, hasData := m.limits.Report(f.now)
+func (f *fleet) report(g *gateway) {
+	g.next = f.now.Add(f.reportInterval())
+	msg, hasData := g.limits.Report(f.now)
 	if f.allocator == nil {
-		f.exchange(m)
+		f.exchange(g)
 		return
 	}
-	if !hasData && !m.limits.IsStale(f.leaderMark()) || m.isolated || f.rnd.Float64() < f.lossRate {
+	if !hasData && !g.limits.IsStale(f.leaderMark()) || g.isolated || f.rnd.Float64() < f.lossRate {
 		return
 	}
-	msg.Gateway, msg.Life = strconv.FormatUint(m.incarnation, 16), m.incarnation
+	msg.Gateway, msg.Life = strconv.FormatUint(g.incarnation, 16), g.incarnation
 	reply := f.allocator.HandleReport(&msg, f.term, f.now)
 	if f.rnd.Float64() < f.lossRate {
 		return
 	}
-	m.limits.HandleReply(&msg, &reply, f.now, f.now)
+	g.limits.HandleReply(&msg, &reply, f.now, f.now)
 }
 
 // exchange has a gateway exchange limits with the next control instance.
-func (f *fleet) exchange(m *gateway) {
-	m.next = f.now.Add(f.reportInterval() / controlInstances)
-	m.nextControl = (m.nextControl + 1) % controlInstances
+func (f *fleet) exchange(g *gateway) {
+	g.next = f.now.Add(f.reportInterval() / controlInstances)
+	g.nextControl = (g.nextControl + 1) % controlInstances
 	f.controlQueries++
-	if m.isolated || f.rnd.Float64() < f.lossRate {
+	if g.isolated || f.rnd.Float64() < f.lossRate {
 		return
 	}
-	reply := f.caches[m.nextControl].Exchange(&protocol.SharedLimitsMsg{Held: m.marks[m.nextControl], Heard: m.limits.DirectLimits(f.now)}, f.now)
+	reply := f.caches[g.nextControl].Exchange(&protocol.SharedLimitsMsg{Held: g.marks[g.nextControl], Heard: g.limits.DirectLimits(f.now)}, f.now)
 	if f.rnd.Float64() >= f.lossRate {
-		m.limits.MergeForwarded(reply.Heard, f.now)
-		m.marks[m.nextControl] = reply.Holds
+		g.limits.MergeForwarded(reply.Heard, f.now)
+		g.marks[g.nextControl] = reply.Holds
 	}
 }
 
@@ -244,8 +244,8 @@
 			case "isolate":
 				f.gateways[f.rnd.IntN(len(f.gateways))].isolated = true
 			case "reconnect":
-				for _, m := range f.gateways {
-					m.isolated = false
+				for _, g := range f.gateways {
+					g.isolated = false
 				}
 			}
 			offered = limit * rapid.Float64Range(0.5, 8).Draw(t, "later")
@@ -332,12 +332,12 @@
 // TestGatewayAdoptsLaterLimit checks that a gateway that reports a limit to the leader adopts
 // a later one that another gateway reported.
 func TestGatewayAdoptsLaterLimit(t *testing.T) {
-	b, l := NewPermitAllocator(), NewLimits()
+	allocator, l := NewPermitAllocator(), NewLimits()
 	named := protocol.RateLimit{Named: true, PerSecond: 3}
-	b.HandleReport(&protocol.LimitsMsg{Gateway: "other", Heard: []protocol.ReportedLimit{{Server: "s", Limit: named}}}, 1, start)
+	allocator.HandleReport(&protocol.LimitsMsg{Gateway: "other", Heard: []protocol.ReportedLimit{{Server: "s", Limit: named}}}, 1, start)
 	exchange := func(now time.Time) {
 		m, _ := l.Report(now)
-		reply := b.HandleReport(&m, 1, now)
+		reply := allocator.HandleReport(&m, 1, now)
 		l.HandleReply(&m, &reply, now, now)
 	}
 	exchange(start)
@@ -351,14 +351,14 @@
 // TestPruneRemovesLimit checks that the limits of servers that are no longer listed are
 // removed.
 func TestPruneRemovesLimit(t *testing.T) {
-	b, l := NewPermitAllocator(), NewLimits()
+	allocator, l := NewPermitAllocator(), NewLimits()
 	l.UpdateLimit("s", protocol.RateLimit{Named: true, PerSecond: 1}, start)
 	m, _ := l.Report(start)
-	b.HandleReport(&m, 1, start)
+	allocator.HandleReport(&m, 1, start)
 	l.Prune(func(string) bool { return false })
-	b.Prune(func(string) bool { return false }, start)
-	if len(l.Limited()) > 0 || len(b.Limits()) > 0 {
-		t.Errorf("still limited: %v, %v", l.Limited(), b.Limits())
+	allocator.Prune(func(string) bool { return false }, start)
+	if len(l.Limited()) > 0 || len(allocator.Limits()) > 0 {
+		t.Errorf("still limited: %v, %v", l.Limited(), allocator.Limits())
 	}
 }
 
@@ -380,12 +380,12 @@
 
 // TestPermitExpires checks that an expired permit is not used, and that it is issued again.
 func TestPermitExpires(t *testing.T) {
-	b, l := NewPermitAllocator(), NewLimits()
+	allocator, l := NewPermitAllocator(), NewLimits()
 	l.UpdateLimit("s", protocol.RateLimit{Named: true, PerSecond: 1}, start)
 	now := start
 	exchange := func() {
 		m, _ := l.Report(now)
-		reply := b.HandleReport(&m, 1, now)
+		reply := allocator.HandleReport(&m, 1, now)
 		l.HandleReply(&m, &reply, now, now)
 	}
 	exchange()
@@ -416,21 +416,21 @@
 		}
 		return b.HandleReport(&m, 1, now).Grants[0].Count
 	}
-	b := NewPermitAllocator()
-	report(b, protocol.LimitsMsg{}, start)
+	allocator := NewPermitAllocator()
+	report(allocator, protocol.LimitsMsg{}, start)
 	now := start.Add(time.Second)
-	if n := report(b, protocol.LimitsMsg{}, now); n != 0 {
+	if n := report(allocator, protocol.LimitsMsg{}, now); n != 0 {
 		t.Errorf("%d permits to a gateway whose sent requests are unknown", n)
 	}
 	counted := []protocol.SentRequests{{Server: "s", Slots: []int{1}}}
-	if n := report(b, protocol.LimitsMsg{Sent: counted}, now); n != 1 {
+	if n := report(allocator, protocol.LimitsMsg{Sent: counted}, now); n != 1 {
 		t.Errorf("%d permits to a gateway whose sent requests are known; want 1", n)
 	}
-	report(b, protocol.LimitsMsg{Wants: []protocol.PermitRequest{{Server: "s", Alone: 4}}}, now)
-	if n := report(b, protocol.LimitsMsg{}, now.Add(time.Second)); n != 0 {
+	report(allocator, protocol.LimitsMsg{Wants: []protocol.PermitRequest{{Server: "s", Alone: 4}}}, now)
+	if n := report(allocator, protocol.LimitsMsg{}, now.Add(time.Second)); n != 0 {
 		t.Errorf("%d permits one second after 4 requests without a permit", n)
 	}
-	if n := report(b, protocol.LimitsMsg{}, now.Add(3*time.Second)); n != 1 {
+	if n := report(allocator, protocol.LimitsMsg{}, now.Add(3*time.Second)); n != 1 {
 		t.Errorf("%d permits after the deficit is made up; want 1", n)
 	}
 }
--- a/coordination/backpressure/passed_test.go
+++ b/coordination/backpressure/passed_test.go
@@ -12,10 +12,10 @@
 // TestReportedLimitsArePassedOn checks that a gateway reports to control instances also a
 // limit that a leader already had: the leader may have failed before other gateways got it.
 func TestReportedLimitsArePassedOn(t *testing.T) {
-	b, l := NewPermitAllocator(), NewLimits()
+	allocator, l := NewPermitAllocator(), NewLimits()
 	l.UpdateLimit("s", limitOfTwo, start)
 	m, _ := l.Report(start)
-	reply := b.HandleReport(&m, 1, start)
+	reply := allocator.HandleReport(&m, 1, start)
 	l.HandleReply(&m, &reply, start, start)
 	if reported := l.DirectLimits(start); len(reported) != 1 || reported[0].Limit != limitOfTwo {
 		t.Errorf("reports %+v", reported)
--- a/coordination/backpressure/rests.go
+++ b/coordination/backpressure/rests.go
@@ -16,18 +16,18 @@
 
 // Add records that a server wants no requests from this gateway for a time. A later,
 // shorter back-off does not end an earlier one.
-func (r *Backoffs) Add(server string, backoff time.Duration, now time.Time) {
-	if r.until == nil {
-		r.until = map[string]time.Time{}
+func (b *Backoffs) Add(server string, backoff time.Duration, now time.Time) {
+	if b.until == nil {
+		b.until = map[string]time.Time{}
 	}
-	if end := now.Add(min(backoff, maxBackoff)); end.After(r.until[server]) {
-		r.until[server] = end
+	if end := now.Add(min(backoff, maxBackoff)); end.After(b.until[server]) {
+		b.until[server] = end
 	}
 }
 
 // Remaining returns how long a server still wants no requests; 0 or less if it takes them.
-func (r *Backoffs) Remaining(server string, now time.Time) time.Duration {
-	end, ok := r.until[server]
+func (b *Backoffs) Remaining(server string, now time.Time) time.Duration {
+	end, ok := b.until[server]
 	if !ok {
 		return 0
 	}
@@ -35,8 +35,8 @@
 }
 
 // Each calls a func with each server that wants no requests now, and the time left.
-func (r *Backoffs) Each(now time.Time, call func(server string, left time.Duration)) {
-	for server, end := range r.until {
+func (b *Backoffs) Each(now time.Time, call func(server string, left time.Duration)) {
+	for server, end := range b.until {
 		if left := end.Sub(now); left > 0 {
 			call(server, left)
 		}
@@ -44,6 +44,6 @@
 }
 
 // Prune removes back-offs that have ended, and those of servers that are no longer listed.
-func (r *Backoffs) Prune(listed func(server string) bool, now time.Time) {
-	maps.DeleteFunc(r.until, func(server string, end time.Time) bool { return !now.Before(end) || !listed(server) })
+func (b *Backoffs) Prune(listed func(server string) bool, now time.Time) {
+	maps.DeleteFunc(b.until, func(server string, end time.Time) bool { return !now.Before(end) || !listed(server) })
 }
