--- a/coordination/backpressure/backpressure_test.go
+++ b/coordination/backpressure/backpressure_test.go
@@ -54,7 +54,7 @@
 		}
 		n := 0
 		for k := i; k >= 0 && a.at.Sub(s.arrivals[k].at) <= Window; k-- {
-			if by := s.arrivals[k].from; !by.toldAt.IsZero() && a.at.Sub(by.toldAt) >= gatewayGrace {
+			if by := s.arrivals[k].from; !by.limitSeenAt.IsZero() && a.at.Sub(by.limitSeenAt) >= gatewayGrace {
 				n++
 			}
 		}
@@ -71,10 +71,10 @@
 // gateway is one gateway of a simulation.
 type gateway struct {
 	limits      *Limits
-	life        uint64
+	incarnation uint64
 	next        time.Time // next is when it sends its next report.
 	isolated    bool      // isolated means that its messages reach no control instance.
-	toldAt      time.Time // toldAt is when it got the first response with a limit; zero before.
+	limitSeenAt time.Time // limitSeenAt is when it got the first response with a limit; zero before.
 	responses   []time.Time
 	nextControl int // nextControl is the index of the control instance that it asks next without a leader.
 	marks       []protocol.SharedLimitsVersion
@@ -105,10 +105,10 @@
 }
 
 func (f *fleet) addGateway() {
-	m := &gateway{limits: NewLimits(WithRandom(f.rnd.Float64)), life: f.rnd.Uint64(), next: f.now.Add(f.randomDelay()), marks: make([]protocol.SharedLimitsVersion, controlInstances)}
-	f.gateways = append(f.gateways, m)
-	for _, m := range f.gateways {
-		m.limits.SetGateways(len(f.gateways))
+	g := &gateway{limits: NewLimits(WithRandom(f.rnd.Float64)), incarnation: f.rnd.Uint64(), next: f.now.Add(f.randomDelay()), marks: make([]protocol.SharedLimitsVersion, controlInstances)}
+	f.gateways = append(f.gateways, g)
+	for _, g := range f.gateways {
+		g.limits.SetGateways(len(f.gateways))
 	}
 }
 
@@ -129,10 +129,10 @@
 				sent += f.request(f.gateways[f.rnd.IntN(len(f.gateways))])
 			}
 		}
-		for _, m := range f.gateways {
-			f.deliver(m)
-			if !f.now.Before(m.next) || m.limits.IsStale(f.leaderMark()) {
-				f.report(m)
+		for _, g := range f.gateways {
+			f.deliver(g)
+			if !f.now.Before(g.next) || g.limits.IsStale(f.leaderMark()) {
+				f.report(g)
 			}
 		}
 	}
@@ -147,64 +147,64 @@
 	return f.term, f.allocator.Change()
 }
 
-func (f *fleet) request(m *gateway) int {
-	decision, _ := m.limits.Acquire("s", f.now)
+func (f *fleet) request(g *gateway) int {
+	decision, _ := g.limits.Acquire("s", f.now)
 	if decision == NeedPermit {
-		f.report(m)
-		decision, _ = m.limits.Acquire("s", f.now)
+		f.report(g)
+		decision, _ = g.limits.Acquire("s", f.now)
 	}
 	if decision != Send {
 		return 0
 	}
-	m.limits.RecordSent("s", f.now)
-	f.server.arrivals = append(f.server.arrivals, arrival{f.now, m})
-	m.responses = append(m.responses, f.now.Add(100*time.Millisecond))
+	g.limits.RecordSent("s", f.now)
+	f.server.arrivals = append(f.server.arrivals, arrival{f.now, g})
+	g.responses = append(g.responses, f.now.Add(100*time.Millisecond))
 	return 1
 }
 
 // deliver passes the server responses that have arrived to a gateway.
-func (f *fleet) deliver(m *gateway) {
-	for len(m.responses) > 0 && !f.now.Before(m.responses[0]) {
-		m.responses = m.responses[1:]
-		if m.toldAt.IsZero() && f.server.limit.Named {
-			m.toldAt = f.now
+func (f *fleet) deliver(g *gateway) {
+	for len(g.responses) > 0 && !f.now.Before(g.responses[0]) {
+		g.responses = g.responses[1:]
+		if g.limitSeenAt.IsZero() && f.server.limit.Named {
+			g.limitSeenAt = f.now
 		}
-		if m.limits.UpdateLimit("s", f.server.limit, f.now) {
-			m.next = f.now
+		if g.limits.UpdateLimit("s", f.server.limit, f.now) {
+			g.next = f.now
 		}
 	}
 }
 
-func (f *fleet) report(m *gateway) {
-	m.next = f.now.Add(f.reportInterval())
-	msg, hasData := m.limits.Report(f.now)
+func (f *fleet) report(g *gateway) {
+	g.next = f.now.Add(f.reportInterval())
+	msg, hasData := g.limits.Report(f.now)
 	if f.allocator == nil {
-		f.exchange(m)
+		f.exchange(g)
 		return
 	}
-	if !hasData && !m.limits.IsStale(f.leaderMark()) || m.isolated || f.rnd.Float64() < f.lossRate {
+	if !hasData && !g.limits.IsStale(f.leaderMark()) || g.isolated || f.rnd.Float64() < f.lossRate {
 		return
 	}
-	msg.Gateway, msg.Life = strconv.FormatUint(m.life, 16), m.life
+	msg.Gateway, msg.Life = strconv.FormatUint(g.incarnation, 16), g.incarnation
 	reply := f.allocator.HandleReport(&msg, f.term, f.now)
 	if f.rnd.Float64() < f.lossRate {
 		return
 	}
-	m.limits.HandleReply(&msg, &reply, f.now, f.now)
+	g.limits.HandleReply(&msg, &reply, f.now, f.now)
 }
 
 // exchange has a gateway exchange limits with the next control instance.
-func (f *fleet) exchange(m *gateway) {
-	m.next = f.now.Add(f.reportInterval() / controlInstances)
-	m.nextControl = (m.nextControl + 1) % controlInstances
+func (f *fleet) exchange(g *gateway) {
+	g.next = f.now.Add(f.reportInterval() / controlInstances)
+	g.nextControl = (g.nextControl + 1) % controlInstances
 	f.controlQueries++
-	if m.isolated || f.rnd.Float64() < f.lossRate {
+	if g.isolated || f.rnd.Float64() < f.lossRate {
 		return
 	}
-	reply := f.caches[m.nextControl].Exchange(&protocol.SharedLimitsMsg{Held: m.marks[m.nextControl], Heard: m.limits.DirectLimits(f.now)}, f.now)
+	reply := f.caches[g.nextControl].Exchange(&protocol.SharedLimitsMsg{Held: g.marks[g.nextControl], Heard: g.limits.DirectLimits(f.now)}, f.now)
 	if f.rnd.Float64() >= f.lossRate {
-		m.limits.MergeForwarded(reply.Heard, f.now)
-		m.marks[m.nextControl] = reply.Holds
+		g.limits.MergeForwarded(reply.Heard, f.now)
+		g.marks[g.nextControl] = reply.Holds
 	}
 }
 
@@ -244,8 +244,8 @@
 			case "isolate":
 				f.gateways[f.rnd.IntN(len(f.gateways))].isolated = true
 			case "reconnect":
-				for _, m := range f.gateways {
-					m.isolated = false
+				for _, g := range f.gateways {
+					g.isolated = false
 				}
 			}
 			offered = limit * rapid.Float64Range(0.5, 8).Draw(t, "later")
@@ -257,9 +257,9 @@
 	})
 }
 
-// TestLimitOfHundreds has hundreds of gateways share limits of few requests: with a leader,
-// without one, and with a new one.
-func TestLimitOfHundreds(t *testing.T) {
+// TestLimitSharedByHundredsOfGateways has hundreds of gateways share limits of few requests:
+// with a leader, without one, and with a new one.
+func TestLimitSharedByHundredsOfGateways(t *testing.T) {
 	for _, gateways := range []int{100, 300} {
 		for _, limit := range []float64{0, 2.4, 30} {
 			f := newFleet(uint64(gateways), gateways)
@@ -329,15 +329,15 @@
 	}
 }
 
-// TestOlderLimitIsOverruled checks that a gateway that reports a limit to the leader adopts
-// a newer one that another gateway reported.
-func TestOlderLimitIsOverruled(t *testing.T) {
-	b, l := NewPermitAllocator(), NewLimits()
+// TestGatewayAdoptsLaterLimit checks that a gateway that reports a limit to the leader adopts
+// a later one that another gateway reported.
+func TestGatewayAdoptsLaterLimit(t *testing.T) {
+	allocator, l := NewPermitAllocator(), NewLimits()
 	named := protocol.RateLimit{Named: true, PerSecond: 3}
-	b.HandleReport(&protocol.LimitsMsg{Gateway: "other", Heard: []protocol.ReportedLimit{{Server: "s", Limit: named}}}, 1, start)
+	allocator.HandleReport(&protocol.LimitsMsg{Gateway: "other", Heard: []protocol.ReportedLimit{{Server: "s", Limit: named}}}, 1, start)
 	exchange := func(now time.Time) {
 		m, _ := l.Report(now)
-		reply := b.HandleReport(&m, 1, now)
+		reply := allocator.HandleReport(&m, 1, now)
 		l.HandleReply(&m, &reply, now, now)
 	}
 	exchange(start)
@@ -348,16 +348,17 @@
 	}
 }
 
-// TestNewServerHasNoLimit checks that the limit of a server that left is forgotten.
-func TestNewServerHasNoLimit(t *testing.T) {
-	b, l := NewPermitAllocator(), NewLimits()
+// TestPruneRemovesLimit checks that the limits of servers that are no longer listed are
+// removed.
+func TestPruneRemovesLimit(t *testing.T) {
+	allocator, l := NewPermitAllocator(), NewLimits()
 	l.UpdateLimit("s", protocol.RateLimit{Named: true, PerSecond: 1}, start)
 	m, _ := l.Report(start)
-	b.HandleReport(&m, 1, start)
+	allocator.HandleReport(&m, 1, start)
 	l.Prune(func(string) bool { return false })
-	b.Prune(func(string) bool { return false }, start)
-	if len(l.Limited()) > 0 || len(b.Limits()) > 0 {
-		t.Errorf("still limited: %v, %v", l.Limited(), b.Limits())
+	allocator.Prune(func(string) bool { return false }, start)
+	if len(l.Limited()) > 0 || len(allocator.Limits()) > 0 {
+		t.Errorf("still limited: %v, %v", l.Limited(), allocator.Limits())
 	}
 }
 
@@ -379,12 +380,12 @@
 
 // TestPermitExpires checks that an expired permit is not used, and that it is issued again.
 func TestPermitExpires(t *testing.T) {
-	b, l := NewPermitAllocator(), NewLimits()
+	allocator, l := NewPermitAllocator(), NewLimits()
 	l.UpdateLimit("s", protocol.RateLimit{Named: true, PerSecond: 1}, start)
 	now := start
 	exchange := func() {
 		m, _ := l.Report(now)
-		reply := b.HandleReport(&m, 1, now)
+		reply := allocator.HandleReport(&m, 1, now)
 		l.HandleReply(&m, &reply, now, now)
 	}
 	exchange()
@@ -415,28 +416,29 @@
 		}
 		return b.HandleReport(&m, 1, now).Grants[0].Count
 	}
-	b := NewPermitAllocator()
-	report(b, protocol.LimitsMsg{}, start)
+	allocator := NewPermitAllocator()
+	report(allocator, protocol.LimitsMsg{}, start)
 	now := start.Add(time.Second)
-	if n := report(b, protocol.LimitsMsg{}, now); n != 0 {
+	if n := report(allocator, protocol.LimitsMsg{}, now); n != 0 {
 		t.Errorf("%d permits to a gateway whose sent requests are unknown", n)
 	}
 	counted := []protocol.SentRequests{{Server: "s", Slots: []int{1}}}
-	if n := report(b, protocol.LimitsMsg{Sent: counted}, now); n != 1 {
+	if n := report(allocator, protocol.LimitsMsg{Sent: counted}, now); n != 1 {
 		t.Errorf("%d permits to a gateway whose sent requests are known; want 1", n)
 	}
-	report(b, protocol.LimitsMsg{Wants: []protocol.PermitRequest{{Server: "s", Alone: 4}}}, now)
-	if n := report(b, protocol.LimitsMsg{}, now.Add(time.Second)); n != 0 {
+	report(allocator, protocol.LimitsMsg{Wants: []protocol.PermitRequest{{Server: "s", Alone: 4}}}, now)
+	if n := report(allocator, protocol.LimitsMsg{}, now.Add(time.Second)); n != 0 {
 		t.Errorf("%d permits one second after 4 requests without a permit", n)
 	}
-	if n := report(b, protocol.LimitsMsg{}, now.Add(3*time.Second)); n != 1 {
+	if n := report(allocator, protocol.LimitsMsg{}, now.Add(3*time.Second)); n != 1 {
 		t.Errorf("%d permits after the deficit is made up; want 1", n)
 	}
 }
 
-// TestWaitEndsWithTheLeader checks that the time until the next permit, as the leader told
-// it, is ignored once no leader answers: the gateway then uses its leaderless share.
-func TestWaitEndsWithTheLeader(t *testing.T) {
+// TestPermitWaitIsIgnoredWithoutLeader checks that the time until the next permit, as the
+// leader told it, is ignored once no leader answers: the gateway then uses its leaderless
+// share.
+func TestPermitWaitIsIgnoredWithoutLeader(t *testing.T) {
 	l := NewLimits(WithRandom(func() float64 { return 1 }))
 	l.UpdateLimit("s", protocol.RateLimit{Named: true, PerSecond: 1}, start)
 	m, _ := l.Report(start)
@@ -503,10 +505,12 @@
 	}
 }
 
-// TestLimitUnheardWithoutLeader has the leader fail right as a server names its limit,
-// before most gateways, which rarely send, have got it. Each of them learns the limit only
-// from the response to a request that it sent without knowing it.
-func TestLimitUnheardWithoutLeader(t *testing.T) {
+// TestLimitIsForwardedWithoutLeader has the leader fail right as a server names its limit,
+// before most gateways, which rarely send, have got it. A gateway learns the limit from the
+// response to a request that it sent without knowing it, or from a control instance. With
+// fewer gateways than in TestLimitIsForwardedAtScale, each may send a larger part of the
+// limit.
+func TestLimitIsForwardedWithoutLeader(t *testing.T) {
 	const gateways, limit = 40, 1
 	f := newFleet(2, gateways)
 	f.run(Window, limit)
--- a/coordination/place/near_test.go
+++ b/coordination/place/near_test.go
@@ -152,18 +152,18 @@
 // come back.
 func TestPromptsStayInRegion(t *testing.T) {
 	regions, loads := threeRegions(), NewLoads()
-	l, v := NewPromptScheduler(loads, WithTopology(regions)), spreadOver(regions, 3, sixDomains...)
+	ps, v := NewPromptScheduler(loads, WithTopology(regions)), spreadOver(regions, 3, sixDomains...)
 	m := longPrompt(8000)
 	m.Domain, m.Parts.Tokens, m.Shared = "b-1", 0.5, 0
 	region := func(now time.Time) string {
-		return regions.Region(v.Find(placeAt(t, l, v, m, now).Server).Domain)
+		return regions.Region(v.Find(placeAt(t, ps, v, m, now).Server).Domain)
 	}
 	if got := region(start); got != "b" {
 		t.Errorf("placed in %s although all servers are idle", got)
 	}
 	for i := range v.Servers {
 		if s := &v.Servers[i]; s.location.Region == "b" {
-			l.queue(s.ID).prefillUntil = start.Add(3 * time.Second)
+			ps.queue(s.ID).prefillUntil = start.Add(3 * time.Second)
 		}
 	}
 	if got := region(start); got == "b" {
@@ -195,27 +195,29 @@
 // region, even if a remote server prefilled them later.
 func TestHolderIsNear(t *testing.T) {
 	regions := threeRegions()
-	l, v := NewPromptScheduler(NewLoads(), WithTopology(regions)), spreadOver(regions, 1, sixDomains...)
+	ps, v := NewPromptScheduler(NewLoads(), WithTopology(regions)), spreadOver(regions, 1, sixDomains...)
 	m := longPrompt(8000)
 	m.Copies, m.Prefix, m.Domain = 100, 77, "b-1"
-	l.queue("a-1-0").recordPrefix(77, start.Add(2*time.Second))
-	if got := l.holder(v, m, start.Add(3*time.Second)); got != "a-1-0" {
+	ps.queue("a-1-0").recordPrefix(77, start.Add(2*time.Second))
+	if got := ps.holder(v, m, start.Add(3*time.Second)); got != "a-1-0" {
 		t.Errorf("copied from %q, want the only holder, in another region", got)
 	}
-	l.queue("b-2-0").recordPrefix(77, start)
-	l.queue("c-1-0").recordPrefix(77, start.Add(time.Second))
-	if got := l.holder(v, m, start.Add(3*time.Second)); got != "b-2-0" {
+	ps.queue("b-2-0").recordPrefix(77, start)
+	ps.queue("c-1-0").recordPrefix(77, start.Add(time.Second))
+	if got := ps.holder(v, m, start.Add(3*time.Second)); got != "b-2-0" {
 		t.Errorf("copied from %q, want the near holder", got)
 	}
-	l.queue("b-1-0").recordPrefix(77, start.Add(time.Second))
-	if got := l.holder(v, m, start.Add(3*time.Second)); got != "b-1-0" {
+	ps.queue("b-1-0").recordPrefix(77, start.Add(time.Second))
+	if got := ps.holder(v, m, start.Add(3*time.Second)); got != "b-1-0" {
 		t.Errorf("copied from %q, want the near holder with the latest prefill", got)
 	}
 }
 
 // TestPreferRegionKeepsOneSide checks for any loads that the result is either the gateway's
 // region or all other candidates, is never empty, and never is a side on which every server
-// has a fill more than otherRegionPenalty above all of the other side.
+// has a fill more than otherRegionPenalty above all of the other side; and that the other
+// candidates are returned only if one of them has a fill lower than that of a server in the
+// region by at least otherRegionPenalty.
 func TestPreferRegionKeepsOneSide(t *testing.T) {
 	regions := threeRegions()
 	rapid.Check(t, func(t *rapid.T) {
@@ -379,9 +381,9 @@
 	}
 }
 
-// TestOneRegionHasOneLane checks that with a single region, servers in domains of unknown
-// region are in the same lanes as the others.
-func TestOneRegionHasOneLane(t *testing.T) {
+// TestUnknownRegionInSingleRegion checks that with a single region, servers in domains of
+// unknown region are split between the lanes together with the others.
+func TestUnknownRegionInSingleRegion(t *testing.T) {
 	m := ChooseMsg{Service: "model", Now: start, Lane: LaneLong, Parts: protocol.LaneShares{Tokens: 0.5}}
 	want := spreadOver(nil, 3, "a-1", "a-2", "d-1")
 	got := spreadOver(topology.New(map[string]string{"a-1": "a", "a-2": "a"}), 3, "a-1", "a-2", "d-1")
@@ -407,9 +409,9 @@
 	})
 }
 
-// TestRegionCutOffFromFullOnes checks that a request leaves a region whose servers are
-// suspect although all slots of the other regions are in use.
-func TestRegionCutOffFromFullOnes(t *testing.T) {
+// TestSuspectRegionBesideFullRegions checks that a request is sent to another region if all
+// servers of its own are suspect, although all slots of the others are in use.
+func TestSuspectRegionBesideFullRegions(t *testing.T) {
 	v := spreadOver(threeRegions(), 3, sixDomains...)
 	for i := range v.Servers {
 		s := &v.Servers[i]
@@ -417,7 +419,7 @@
 			s.Stats.RequestFailed(true, start)
 			continue
 		}
-		for range s.Width() {
+		for range s.SlotCount() {
 			s.Stats.RequestStarted()
 		}
 	}
@@ -438,7 +440,7 @@
 			v := spreadOver(threeRegions(), 4, sixDomains...)
 			for i := range v.Servers {
 				s := &v.Servers[i]
-				for range s.Width() {
+				for range s.SlotCount() {
 					if full && s.location.Region != "b" {
 						s.Stats.RequestStarted()
 					}
--- a/coordination/place/place.go
+++ b/coordination/place/place.go
@@ -140,10 +140,10 @@
 	Domain         string // Domain is the gateway's failure domain.
 	Rand           uint64 // Rand is fresh randomness.
 	Avoid          []string
-	Lane           Lane
-	Parts          protocol.LaneShares
-	Brief          bool // Brief says that little is lost if the server stops before the request ends.
-	MaxOutstanding int  // MaxOutstanding limits the requests of this gateway at one server; 0 means no limit.
+	Lane           Lane                // Lane selects the servers that are preferred.
+	Parts          protocol.LaneShares // Parts is how the servers are split between the lanes.
+	Brief          bool                // Brief says that little is lost if the server stops before the request ends.
+	MaxOutstanding int                 // MaxOutstanding limits the requests of this gateway at one server; 0 means no limit.
 	Now            time.Time
 }
 
@@ -191,7 +191,8 @@
 	}
 	rows = preferRegion(v, rows, m)
 	if m.Prefix != 0 {
-		width := float64(v.Servers[rows[0].index].Width())
+		// The servers of a service are taken to have the same number of slots.
+		width := float64(v.Servers[rows[0].index].SlotCount())
 		return highestRanked(rows, v.prefixLimit(rows, width)), true
 	}
 	return leastLoaded(v, rows, m), true
@@ -223,8 +224,8 @@
 		if m.MaxOutstanding > 0 && s.Stats.Outstanding() >= m.MaxOutstanding {
 			continue
 		}
-		load += pendingPrefillPenalty * pending * float64(s.Width())
-		r := candidate{index: i, fill: load/float64(s.Width()) + failurePenalty*failing}
+		load += pendingPrefillPenalty * pending * float64(s.SlotCount())
+		r := candidate{index: i, fill: load/float64(s.SlotCount()) + failurePenalty*failing}
 		if suspect {
 			r.fill += suspectPenalty
 		}
@@ -241,8 +242,8 @@
 	return rows
 }
 
-// Width returns the number of requests that the server runs at once.
-func (s *Server) Width() int {
+// SlotCount returns the number of requests that the server runs at once.
+func (s *Server) SlotCount() int {
 	if s.Slots > 0 {
 		return s.Slots
 	}
@@ -262,11 +263,11 @@
 }
 
 // prefixLimit returns the fill up to which a server takes prompts for their prefix. With
-// several regions, the limit leaves room for one more request.
+// several regions, it is at most the fill of a server with one free slot.
 func (v *View) prefixLimit(rows []candidate, width float64) float64 {
 	sum, n := 0.0, 0
 	for _, r := range rows {
-		if r.fill < suspectPenalty {
+		if r.fill < suspectPenalty { // Excludes suspect servers.
 			sum += r.fill
 			n++
 		}
--- a/coordination/place/readings.go
+++ b/coordination/place/readings.go
@@ -5,75 +5,73 @@
 	"time"
 )
 
-// Readings is the leader's log of which links were sent to which servers for prefill. It
+// PrefillLog is the leader's log of which links were sent to which servers for prefill. It
 // serves short prompts, which each gateway places by itself: each gateway gets the rows
 // that it has not seen, so that a server can copy the parts that another server prefilled
-// for another gateway. With 65 gateways, one gateway alone knew a holder for 0.55 of the
-// tokens of first parts that were prefilled again, and for 0.05 of those of second parts
-// (computed from the log of a calm day).
-type Readings struct {
+// for another gateway. Without the log, each of 65 gateways knew a holder for 0.55 of
+// the tokens of first parts that were prefilled again, and for 0.05 of those of second parts.
+type PrefillLog struct {
 	first  uint64 // first is the position of the first row kept.
-	rows   []readingRow
+	rows   []prefillRow
 	packed []byte // packed holds the rows encoded for gateways that have the current server list.
 	index  map[string]uint16
 }
 
-type readingRow struct {
+type prefillRow struct {
 	key    linkKey
 	server string
 	source uint64 // source is the incarnation of the instance that forwarded the row.
 }
 
 const (
-	// A packed row is a link key of keyBytes followed by the server's index in the list of
-	// indexBytes.
+	// A packed row is a 4-byte link key, followed by a 2-byte index into the server list.
 	keyBytes     = 4
 	indexBytes   = 2
-	readingBytes = keyBytes + indexBytes
-	// maxReadings is how many rows are kept for gateways that have not polled for a while:
+	prefillBytes = keyBytes + indexBytes
+	// maxPrefills is how many rows are kept for gateways that have not polled for a while:
 	// about ten seconds of 400 requests a second.
-	maxReadings = 4096
+	maxPrefills = 4096
 	// unlisted is the index of a server that is not in the list.
 	unlisted = 0xffff
 )
 
-// NewReadings returns an empty log.
-func NewReadings() *Readings { return &Readings{} }
+// NewPrefillLog returns an empty log.
+func NewPrefillLog() *PrefillLog { return &PrefillLog{} }
 
 // Add records that a server prefilled links, as forwarded by the instance with the given
 // incarnation.
-func (r *Readings) Add(from uint64, server string, keys []uint32) {
+func (l *PrefillLog) Add(from uint64, server string, keys []uint32) {
 	for _, key := range keys {
-		row := readingRow{key: linkKey(key), server: server, source: from}
-		r.rows = append(r.rows, row)
-		r.packed = r.pack(r.packed, row)
+		row := prefillRow{key: linkKey(key), server: server, source: from}
+		l.rows = append(l.rows, row)
+		l.packed = l.pack(l.packed, row)
 	}
-	if extra := len(r.rows) - maxReadings; extra > 0 {
-		// Half of the rows are dropped at once, so that copies are rare.
-		extra += maxReadings / 2
-		r.first += uint64(extra)
-		r.rows = append([]readingRow(nil), r.rows[extra:]...)
-		r.packed = append([]byte(nil), r.packed[extra*readingBytes:]...)
+	if extra := len(l.rows) - maxPrefills; extra > 0 {
+		// Half of the rows are dropped at once, so that the slices are rarely reallocated.
+		extra += maxPrefills / 2
+		l.first += uint64(extra)
+		l.rows = append([]prefillRow(nil), l.rows[extra:]...)
+		l.packed = append([]byte(nil), l.packed[extra*prefillBytes:]...)
 	}
 }
 
 // SetServers sets the server list in whose order rows are packed from now on.
-func (r *Readings) SetServers(order []string) {
-	r.index = make(map[string]uint16, len(order))
+func (l *PrefillLog) SetServers(order []string) {
+	l.index = make(map[string]uint16, len(order))
 	for i, id := range order {
 		if i < unlisted {
-			r.index[id] = uint16(i)
+			l.index[id] = uint16(i)
 		}
 	}
-	r.packed = make([]byte, 0, len(r.rows)*readingBytes)
-	for _, row := range r.rows {
-		r.packed = r.pack(r.packed, row)
+	l.packed = make([]byte, 0, len(l.rows)*prefillBytes)
+	for _, row := range l.rows {
+		l.packed = l.pack(l.packed, row)
 	}
 }
 
 // pack appends a row, packed with the current server list.
-func (r *Readings) pack(to []byte, row readingRow) []byte {
-	at, ok := r.index[row.server]
+func (l *PrefillLog) pack(to []byte, row prefillRow) []byte {
+	at, ok := l.index[row.server]
 	if !ok {
 		at = unlisted
 	}
@@ -83,41 +81,41 @@
 
 // Since returns the packed rows from a position on, and the position after them. The
 // returned slice is never modified.
-func (r *Readings) Since(position uint64) (packed []byte, next uint64) {
-	next = r.first + uint64(len(r.rows))
+func (l *PrefillLog) Since(position uint64) (packed []byte, next uint64) {
+	next = l.first + uint64(len(l.rows))
 	if position > next {
 		position = next // The position belongs to another log.
 	}
-	from := max(position, r.first) - r.first
-	return r.packed[from*readingBytes : len(r.packed) : len(r.packed)], next
+	from := max(position, l.first) - l.first
+	return l.packed[from*prefillBytes : len(l.packed) : len(l.packed)], next
 }
 
 // SinceExcept returns the packed rows from a position on that were not forwarded by the
 // instance with the given incarnation, and the position after them.
-func (r *Readings) SinceExcept(position, except uint64) (packed []byte, next uint64) {
-	next = r.first + uint64(len(r.rows))
+func (l *PrefillLog) SinceExcept(position, except uint64) (packed []byte, next uint64) {
+	next = l.first + uint64(len(l.rows))
 	if position > next {
 		position = next // The position belongs to another log.
 	}
-	for _, row := range r.rows[max(position, r.first)-r.first:] {
+	for _, row := range l.rows[max(position, l.first)-l.first:] {
 		if row.source != except {
-			packed = r.pack(packed, row)
+			packed = l.pack(packed, row)
 		}
 	}
 	return packed, next
 }
 
-// EachReading calls row with the server and the link key of each packed row. The order must
+// EachPrefill calls row with the server and the link key of each packed row. The order must
 // be the server list with which the rows were packed; rows of servers that are not in it
 // are skipped.
-func EachReading(packed []byte, order []string, row func(server string, key uint32)) {
+func EachPrefill(packed []byte, order []string, row func(server string, key uint32)) {
 	eachPacked(packed, len(order), func(i int, key uint32) { row(order[i], key) })
 }
 
 // eachPacked calls row with the server index and the link key of each packed row whose
 // index is below servers.
 func eachPacked(packed []byte, servers int, row func(i int, key uint32)) {
-	for ; len(packed) >= readingBytes; packed = packed[readingBytes:] {
+	for ; len(packed) >= prefillBytes; packed = packed[prefillBytes:] {
 		key := binary.LittleEndian.Uint32(packed)
 		if i := int(binary.LittleEndian.Uint16(packed[keyBytes:])); i < servers {
 			row(i, key)
--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -170,7 +170,7 @@
 	x.g.meters.attempts.Inc(1)
 	t.server.Stats.RequestStarted()
 	t.server.Stats.PrefillStarted(x.relativeSize)
-	x.slotTaken(t.server.Width())
+	x.slotTaken(t.server.SlotCount())
 	t.addBodyInFlight()
 	stop := context.AfterFunc(x.ctx, t.conn.Close)
 	defer func() {
@@ -220,7 +220,7 @@
 	t.untrack()
 	t.markPrefillDone()
 	t.server.Stats.RequestEnded()
-	t.x.slotReleased(time.Since(t.sentAt), t.server.Width())
+	t.x.slotReleased(time.Since(t.sentAt), t.server.SlotCount())
 	t.removeBodyInFlight()
 }
 
