--- a/cmd/weldctl/admin.go
+++ b/cmd/weldctl/admin.go
@@ -146,7 +146,7 @@
 		}
 		behind := behindOf(view, number)
 		if len(behind) == 0 {
-			fmt.Fprintf(e.out, "in force on %d instances after %v\n", len(view.Places), time.Since(began).Round(time.Millisecond))
+			fmt.Fprintf(e.out, "in force on %d instances after %v\n", len(view.Instances), time.Since(began).Round(time.Millisecond))
 			return exitOK
 		}
 		if time.Since(began) > limit {
@@ -158,7 +158,7 @@
 
 func behindOf(view *transport.ConfigView, number uint64) []string {
 	var behind []string
-	for _, p := range view.Places {
+	for _, p := range view.Instances {
 		if p.State == protocol.MemberAlive && p.Number < number {
 			behind = append(behind, fmt.Sprintf("%s (%d)", p.Name, p.Number))
 		}
@@ -212,16 +212,16 @@
 	if a.json {
 		return printJSON(e, view)
 	}
-	fmt.Fprintf(e.out, "configuration %d, digest %s, in force on %d of %d instances\n", view.Revision.Number, view.Revision.Digest.Short(), inForce(view.Places), len(view.Places))
+	fmt.Fprintf(e.out, "configuration %d, digest %s, in force on %d of %d instances\n", view.Revision.Number, view.Revision.Digest.Short(), inForce(view.Instances), len(view.Instances))
 	if view.Leader != "" {
 		fmt.Fprintf(e.out, "leader: %s, when %s last asked\n", view.Leader, a.address)
 	}
 	printConfig(e, view.Revision.Config)
-	printPlaces(e, view.Places)
+	printPlaces(e, view.Instances)
 	return exitOK
 }
 
-func inForce(places []transport.ConfigPlace) int {
+func inForce(places []transport.InstanceConfig) int {
 	n := 0
 	for _, p := range places {
 		if p.InForce {
@@ -259,7 +259,7 @@
 	_ = w.Flush() // Writes to the terminal.
 }
 
-func printPlaces(e env, places []transport.ConfigPlace) {
+func printPlaces(e env, places []transport.InstanceConfig) {
 	w := tabwriter.NewWriter(e.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "INSTANCE\tDOMAIN\tSTATE\tREADY\tNUMBER\tDIGEST\tNEWEST\tFOR")
 	for _, p := range places {
--- a/cmd/weldstreamd/control.go
+++ b/cmd/weldstreamd/control.go
@@ -56,7 +56,7 @@
 	operator := c.operator(platform.NewOperator(client, orders, r.log), control.NewOperator(orders, c.progress, r.log))
 	duties := control.NewDuties(c.limits(), r.settings.Name, c.group, c.calls, c.uplink, r.log)
 	boot := transport.NewBootstrap(c.group, c.tables, c.links, r.log, c.name(), r.settings.Seeds,
-		transport.WithFound(r.settings.Found), transport.WithOthers())
+		transport.WithFounding(r.settings.Found), transport.WithAllMembers())
 	for _, part := range []func(context.Context) error{
 		func(ctx context.Context) error { return c.links.Serve(ctx, c.peer) },
 		c.membership.Run,
--- a/e2e/cluster_test.go
+++ b/e2e/cluster_test.go
@@ -308,7 +308,7 @@
 		}
 		eventually(c.t, d.name+" sees all members", func() bool {
 			seen := 0
-			for _, p := range d.view().Places {
+			for _, p := range d.view().Instances {
 				if p.State == protocol.MemberAlive {
 					seen++
 				}
--- a/transport/admin.go
+++ b/transport/admin.go
@@ -49,13 +49,13 @@
 
 // ConfigView is the answer to GET /v1/config.
 type ConfigView struct {
-	Revision protocol.Revision `json:"revision"`
-	Leader   string            `json:"leader,omitempty"` // Leader is who led when this instance last asked.
-	Places   []ConfigPlace     `json:"places"`
+	Revision  protocol.Revision `json:"revision"`
+	Leader    string            `json:"leader,omitempty"` // Leader is who led when this instance last asked.
+	Instances []InstanceConfig  `json:"places"`
 }
 
 // ConfigPlace tells what one instance has in force.
-type ConfigPlace struct {
+type InstanceConfig struct {
 	Name    string               `json:"name"`
 	Domain  string               `json:"domain"`
 	State   protocol.MemberState `json:"state"`
@@ -162,7 +162,7 @@
 }
 
 func (a *Admin) get(ctx *fasthttp.RequestCtx) {
-	view := ConfigView{Leader: a.store.Leader(), Places: a.places()}
+	view := ConfigView{Leader: a.store.Leader(), Instances: a.places()}
 	if ix := a.tables.Index(); ix != nil {
 		view.Revision = ix.Revision
 	}
@@ -170,14 +170,14 @@
 }
 
 // places lists what each instance has in force, as far as its record came here.
-func (a *Admin) places() []ConfigPlace {
+func (a *Admin) places() []InstanceConfig {
 	newest, _ := a.tables.Revision()
-	places := []ConfigPlace{}
+	places := []InstanceConfig{}
 	for _, m := range a.tables.Members.Rows() {
 		if m.State == protocol.MemberLeft {
 			continue
 		}
-		places = append(places, ConfigPlace{
+		places = append(places, InstanceConfig{
 			Name:    m.Name,
 			Domain:  m.Domain,
 			State:   m.State,
--- a/transport/bootstrap.go
+++ b/transport/bootstrap.go
@@ -29,11 +29,11 @@
 type BootstrapOption func(*Bootstrap)
 
 // WithFound says whether the founders may found a group. Without it they may.
-func WithFound(found bool) BootstrapOption { return func(b *Bootstrap) { b.found = found } }
+func WithFounding(found bool) BootstrapOption { return func(b *Bootstrap) { b.found = found } }
 
 // WithOthers has every known member asked for the group, as the founders may be
 // gone for good.
-func WithOthers() BootstrapOption { return func(b *Bootstrap) { b.others = true } }
+func WithAllMembers() BootstrapOption { return func(b *Bootstrap) { b.others = true } }
 
 const bootstrapEvery = 200 * time.Millisecond
 
--- a/transport/replica.go
+++ b/transport/replica.go
@@ -226,7 +226,7 @@
 // The failures of calls to a group.
 const (
 	GroupOK        GroupFailure = iota
-	GroupElsewhere              // GroupElsewhere means that nothing was done here.
+	GroupNotLeader              // GroupElsewhere means that nothing was done here.
 	GroupUnknown                // GroupUnknown means that it may be done or not.
 	GroupFull                   // GroupFull means that the leader's disk has no room.
 )
@@ -238,7 +238,7 @@
 	case eris.Is(err, group.ErrFull):
 		return GroupFull
 	case eris.Is(err, replicate.ErrNotLeader), eris.Is(err, group.ErrNoGroup), eris.Is(err, group.ErrDisk), eris.Is(err, replicate.ErrBusy):
-		return GroupElsewhere
+		return GroupNotLeader
 	}
 	return GroupUnknown
 }
