--- a/transport/admin.go
+++ b/transport/admin.go
@@ -25,12 +25,13 @@
 
 // ConfigStore accepts configurations for the whole cluster.
 type ConfigStore interface {
-	// Apply has a canonical configuration accepted under a number. A resend of
-	// the accepted one succeeds.
+	// Apply commits a canonical configuration under a number. Applying the
+	// accepted configuration again succeeds.
 	Apply(ctx context.Context, number uint64, canonical []byte) (protocol.Revision, *protocol.Refusal)
-	// Leader returns who led the group when it was last asked; empty if unknown.
+	// Leader returns the leader of the group as of the last call; empty if
+	// unknown.
 	Leader() string
-	// Remove takes a replica that is gone for good out of the group.
+	// Remove removes a replica that is permanently lost from the group.
 	Remove(ctx context.Context, name string) error
 }
 
@@ -40,7 +41,8 @@
 	Files  []state.ConfigFile `json:"files"`
 }
 
-// ApplyReply answers an apply, or tells every fault of its files.
+// ApplyReply is the answer to an apply: the accepted revision, or all faults of
+// the files.
 type ApplyReply struct {
 	Number uint64   `json:"number"`
 	Digest string   `json:"digest,omitempty"`
@@ -50,11 +52,11 @@
 // ConfigView is the answer to GET /v1/config.
 type ConfigView struct {
 	Revision  protocol.Revision `json:"revision"`
-	Leader    string            `json:"leader,omitempty"` // Leader is who led when this instance last asked.
+	Leader    string            `json:"leader,omitempty"` // Leader is the leader as of this instance's last call.
 	Instances []InstanceConfig  `json:"places"`
 }
 
-// ConfigPlace tells what one instance has in force.
+// InstanceConfig describes the configuration in force on one instance.
 type InstanceConfig struct {
 	Name    string               `json:"name"`
 	Domain  string               `json:"domain"`
@@ -62,18 +64,18 @@
 	Ready   bool                 `json:"ready"`
 	Number  uint64               `json:"number"`
 	Digest  string               `json:"digest"`
-	InForce bool                 `json:"in_force"` // InForce says that this is the newest.
-	ForMS   int64                `json:"for_ms"`   // ForMS is how long the record has been as it is.
+	InForce bool                 `json:"in_force"` // InForce reports whether this is the newest revision.
+	ForMS   int64                `json:"for_ms"`   // ForMS is the time since the member record last changed.
 }
 
 const (
-	// adminBody bounds an operator's request: the files, in JSON.
-	adminBody = state.MaxConfigBytes*2 + 1<<20
-	// applyTimeout bounds the wait for a quorum.
+	// maxAdminBody limits an operator's request: configuration files in JSON.
+	maxAdminBody = state.MaxConfigBytes*2 + 1<<20
+	// applyTimeout limits the wait for a quorum.
 	applyTimeout = 10 * time.Second
 )
 
-// Admin is the edge towards operators of one instance.
+// Admin is the HTTP server for operators of one instance.
 type Admin struct {
 	tables    *state.Tables
 	store     ConfigStore
@@ -84,7 +86,7 @@
 	server    *fasthttp.Server
 }
 
-// NewAdmin returns an admin edge that is not serving yet. The func dump
+// NewAdmin returns an admin server that is not serving yet. The function dump
 // returns the process's state.
 func NewAdmin(s *settings.Settings, t *state.Tables, store ConfigStore, r metrics.Registry, log zerolog.Logger, dump func() any) *Admin {
 	a := &Admin{tables: t, store: store, registry: r, log: log, dump: dump}
@@ -96,16 +98,16 @@
 	a.server = &fasthttp.Server{
 		Handler:               a.handle,
 		Name:                  "weldstream",
-		MaxRequestBodySize:    adminBody,
+		MaxRequestBodySize:    maxAdminBody,
 		ReadTimeout:           readTimeout,
 		IdleTimeout:           idleTimeout,
 		NoDefaultServerHeader: true,
-		Logger:                quietLogger{},
+		Logger:                discardLogger{},
 	}
 	return a
 }
 
-// Serve accepts operators until Shutdown.
+// Serve accepts connections from operators until Shutdown.
 func (a *Admin) Serve(ln net.Listener) error { return a.server.Serve(ln) }
 
 // Shutdown closes the listener and the connections.
@@ -113,7 +115,7 @@
 
 func (a *Admin) handle(ctx *fasthttp.RequestCtx) {
 	if !a.allowed(ctx) {
-		writeRefusal(ctx, "", protocol.NewRefusal(http.StatusUnauthorized, protocol.CodeUnauthorized, "an operator's token is needed"))
+		writeRefusal(ctx, "", protocol.NewRefusal(http.StatusUnauthorized, protocol.CodeUnauthorized, "an operator token is required"))
 		return
 	}
 	if name, ok := strings.CutPrefix(string(ctx.Path()), "/v1/replicas/"); ok && ctx.IsDelete() {
@@ -135,8 +137,8 @@
 	}
 }
 
-// allowed compares the token's digest with those of the operators, in a time
-// that does not depend on which one matches.
+// allowed compares the token's digest with those of the operators in constant
+// time.
 func (a *Admin) allowed(ctx *fasthttp.RequestCtx) bool {
 	token, ok := strings.CutPrefix(string(ctx.Request.Header.Peek("Authorization")), "Bearer ")
 	if !ok {
@@ -162,15 +164,16 @@
 }
 
 func (a *Admin) get(ctx *fasthttp.RequestCtx) {
-	view := ConfigView{Leader: a.store.Leader(), Instances: a.places()}
+	view := ConfigView{Leader: a.store.Leader(), Instances: a.instanceConfigs()}
 	if ix := a.tables.Index(); ix != nil {
 		view.Revision = ix.Revision
 	}
 	writeJSON(ctx, http.StatusOK, view)
 }
 
-// places lists what each instance has in force, as far as its record came here.
-func (a *Admin) places() []InstanceConfig {
+// instanceConfigs lists the configuration in force on each instance, as known from
+// the member records received here.
+func (a *Admin) instanceConfigs() []InstanceConfig {
 	newest, _ := a.tables.Revision()
 	places := []InstanceConfig{}
 	for _, m := range a.tables.Members.Rows() {
@@ -194,7 +197,7 @@
 func (a *Admin) apply(ctx *fasthttp.RequestCtx) {
 	var req ApplyRequest
 	if err := json.Unmarshal(ctx.PostBody(), &req); err != nil {
-		writeRefusal(ctx, "", badRequest("the body is not an apply: %v", err))
+		writeRefusal(ctx, "", badRequest("the body is not an apply request: %v", err))
 		return
 	}
 	if req.Number == 0 || len(req.Files) == 0 {
@@ -226,14 +229,14 @@
 	return texts
 }
 
-// errNotRead is returned by stores that have no revision yet.
-var errNotRead = errors.New("no configuration is in force yet")
+// errNoConfig is returned while no revision is installed.
+var errNoConfig = errors.New("no configuration is in force yet")
 
 // ConfigReady returns a check that a configuration is in force.
 func ConfigReady(t *state.Tables) func() error {
 	return func() error {
 		if t.Index() == nil {
-			return errNotRead
+			return errNoConfig
 		}
 		return nil
 	}
--- a/transport/answer.go
+++ b/transport/answer.go
@@ -14,15 +14,15 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// serve runs the request until its answer begins, so that a refusal still has
-// a status of its own, and then hands the rest to the stream writer.
+// serve runs the request until the first chunk is available, so that a refusal can
+// still set the HTTP status, and then hands over to the stream writer.
 func (g *Gateway) serve(ctx *fasthttp.RequestCtx, x *exchange) {
-	stop := watchHangUp(ctx.Conn(), x.callerGone)
+	stop := watchDisconnect(ctx.Conn(), x.callerGone)
 	end := x.watch()
 	release := func() {
 		stop()
 		end()
-		x.leavePool()
+		x.releaseSlot()
 		g.removeExchange(x)
 	}
 	if !x.request.Repeatable && !x.claim(ctx) {
@@ -30,15 +30,15 @@
 		return
 	}
 	done := func() {
-		x.settle()
+		x.settleClaim()
 		release()
 		x.report()
 	}
 	if x.awaitSlot() {
-		x.resumeIfAsked()
+		x.resumeIfRequested()
 		x.apply(attempt.StartMsg{})
 	}
-	for !x.over && (!x.request.Stream || !x.emitted) {
+	for !x.ended && (!x.request.Stream || !x.emitted) {
 		x.step()
 	}
 	if x.refusal != nil && (!x.request.Stream || !x.emitted) {
@@ -54,11 +54,11 @@
 	}
 	done()
 	ctx.Response.Header.Set(protocol.HeaderVerdict, protocol.Ran.String())
-	x.writeWhole(ctx)
+	x.writeResponse(ctx)
 }
 
-// serveStream writes the answer as events. The verdict header says that the
-// request may have run, which is the truth while it does.
+// serveStream writes the answer as server-sent events. The headers go out before
+// the outcome is known, so the verdict header says that the request may have run.
 func (x *exchange) serveStream(ctx *fasthttp.RequestCtx, done func()) {
 	ctx.SetContentType("text/event-stream")
 	ctx.Response.Header.Set("Cache-Control", "no-store")
@@ -67,34 +67,35 @@
 		defer done()
 		for {
 			if !x.flushReady(w) {
-				x.finishAlone()
+				x.finishWithoutCaller()
 				return
 			}
-			if x.over {
+			if x.ended {
 				break
 			}
 			x.step()
 		}
-		x.settle()
+		x.settleClaim()
 		x.writeEnd(w)
 	})
 }
 
-// replayStream writes a kept answer as one event.
+// replayStream writes a stored answer as one event.
 func (x *exchange) replayStream(ctx *fasthttp.RequestCtx, a *protocol.Answer) {
 	ctx.SetContentType("text/event-stream")
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
 		from := x.request.Resume
-		chunk := attempt.ChunkMsg{Offset: from, Tokens: a.Tokens - from, Text: cutText(a.Text, a.Ends, from), Finish: a.Finish}
+		chunk := attempt.ChunkMsg{Offset: from, Tokens: a.Tokens - from, Text: textAfter(a.Text, a.Ends, from), Finish: a.Finish}
 		if x.writeEvent(w, attempt.EmitCmd{Chunk: chunk, Offset: a.Tokens}) == nil {
 			x.writeEnd(w)
 		}
 	})
 }
 
-// resumeIfAsked continues a handed-over request whose caller names its last
-// event. Without a record the answer is generated again up to that event.
-func (x *exchange) resumeIfAsked() {
+// resumeIfRequested continues a handed-over request whose caller sent its last
+// event ID. Without a hand-over record the answer is generated again up to that
+// event.
+func (x *exchange) resumeIfRequested() {
 	if !x.request.Repeatable || !x.request.Resuming {
 		return
 	}
@@ -103,28 +104,29 @@
 	}
 }
 
-// callerGone ends a request whose caller hung up. One that must run at most
-// once runs on: its answer is kept, and the caller's resend finds it.
+// callerGone cancels a request whose caller disconnected. A request that must run
+// at most once continues: its answer is stored for the caller's resend.
 func (x *exchange) callerGone() {
 	if x.request.Repeatable {
 		x.post(attempt.CallerGoneMsg{})
 	}
 }
 
-// finishAlone carries a request on after its caller could not be written to.
-func (x *exchange) finishAlone() {
+// finishWithoutCaller continues a claimed request after a write to its caller
+// failed; any other request is canceled.
+func (x *exchange) finishWithoutCaller() {
 	if !x.claimed {
 		x.apply(attempt.CallerGoneMsg{})
 		return
 	}
-	for !x.over {
+	for !x.ended {
 		x.step()
 		x.ready = x.ready[:0]
 	}
 }
 
-// flushReady writes the chunks that are due and flushes unless more messages
-// wait already. It reports false when the caller is gone.
+// flushReady writes the pending chunks and flushes unless more messages are
+// queued. It returns false if the caller has disconnected.
 func (x *exchange) flushReady(w *bufio.Writer) bool {
 	for _, cmd := range x.ready {
 		if x.writeEvent(w, cmd) != nil {
@@ -138,7 +140,7 @@
 	return !x.idle() || w.Flush() == nil
 }
 
-// streamChunk is one event to the caller, in the OpenAI format.
+// streamChunk is one event sent to the caller, in the OpenAI format.
 type streamChunk struct {
 	ID      string                 `json:"id"`
 	Object  string                 `json:"object"`
@@ -165,8 +167,8 @@
 	return c
 }
 
-// writeEvent writes one chunk. Its id is the token offset after it, which a
-// caller sends back as Last-Event-ID to resume.
+// writeEvent writes one chunk. The event ID is the token offset after the chunk; a
+// caller sends it back as Last-Event-ID to resume.
 func (x *exchange) writeEvent(w *bufio.Writer, cmd attempt.EmitCmd) error {
 	object := "chat.completion.chunk"
 	if x.request.Kind == protocol.KindCompletion {
@@ -197,7 +199,7 @@
 
 func writeData(w *bufio.Writer, id string, data []byte) error {
 	if id != "" {
-		_, _ = w.WriteString("id: " + id + "\n") // A bufio.Writer keeps its error for the next call.
+		_, _ = w.WriteString("id: " + id + "\n") // bufio.Writer returns the first error from every later call.
 	}
 	_, _ = w.WriteString("data: ")
 	_, _ = w.Write(data)
@@ -205,7 +207,8 @@
 	return err
 }
 
-// writeEnd ends the stream: whole with [DONE], else with the refusal.
+// writeEnd ends the stream with [DONE] after a complete answer, else with the
+// refusal.
 func (x *exchange) writeEnd(w *bufio.Writer) {
 	if x.refusal == nil {
 		_ = writeData(w, "", []byte("[DONE]"))
@@ -217,24 +220,24 @@
 	}
 }
 
-// wholeChoice is the choice of an answer that is not streamed.
-type wholeChoice struct {
+// completeChoice is the choice of a non-streamed response.
+type completeChoice struct {
 	Index        int             `json:"index"`
 	Text         *string         `json:"text,omitempty"`
 	Message      *protocol.Delta `json:"message,omitempty"`
 	FinishReason string          `json:"finish_reason"`
 }
 
-type wholeAnswer struct {
-	ID      string          `json:"id"`
-	Object  string          `json:"object"`
-	Created int64           `json:"created"`
-	Model   string          `json:"model"`
-	Choices []wholeChoice   `json:"choices"`
-	Usage   *protocol.Usage `json:"usage"`
+type completeResponse struct {
+	ID      string           `json:"id"`
+	Object  string           `json:"object"`
+	Created int64            `json:"created"`
+	Model   string           `json:"model"`
+	Choices []completeChoice `json:"choices"`
+	Usage   *protocol.Usage  `json:"usage"`
 }
 
-func (x *exchange) writeWhole(ctx *fasthttp.RequestCtx) {
+func (x *exchange) writeResponse(ctx *fasthttp.RequestCtx) {
 	if x.request.Kind == protocol.KindService {
 		x.mu.Lock()
 		defer x.mu.Unlock()
@@ -244,8 +247,8 @@
 		return
 	}
 	text := x.text.String()
-	choice := wholeChoice{FinishReason: x.finish}
-	a := wholeAnswer{ID: x.row.Request, Created: x.started.Unix(), Model: x.request.Route, Usage: x.usage()}
+	choice := completeChoice{FinishReason: x.finish}
+	a := completeResponse{ID: x.row.Request, Created: x.started.Unix(), Model: x.request.Route, Usage: x.usage()}
 	if x.request.Kind == protocol.KindChat {
 		a.Object = "chat.completion"
 		choice.Message = &protocol.Delta{Role: "assistant", Content: text}
@@ -253,12 +256,12 @@
 		a.Object = "text_completion"
 		choice.Text = &text
 	}
-	a.Choices = []wholeChoice{choice}
+	a.Choices = []completeChoice{choice}
 	x.g.metrics.tokens.Inc(int64(x.state.Received))
 	writeJSON(ctx, http.StatusOK, a)
 }
 
-// report logs how the request ended.
+// report logs the outcome of the request.
 func (x *exchange) report() {
 	x.g.metrics.total.UpdateSince(x.started)
 	e := x.log.Info().Int("attempts", x.state.AttemptsSent).Int("tokens", x.state.Received).Str("server", x.row.Server).Dur("took", clock.Since(x.started))
@@ -272,7 +275,7 @@
 	e.Stringer("verdict", x.refusal.Verdict).Str("code", string(x.refusal.Code)).Str("cause", x.refusal.Message).Msg("request refused")
 }
 
-// refuse answers with a refusal at once.
+// refuse responds with a refusal.
 func (g *Gateway) refuse(ctx *fasthttp.RequestCtx, id string, r *protocol.Refusal) {
 	g.metrics.refused(r.Code)
 	if id == "" {
@@ -308,7 +311,7 @@
 	ctx.SetBody(append(data, '\n'))
 }
 
-// modelRow is one row of GET /v1/models.
+// modelRow is one entry of GET /v1/models.
 type modelRow struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
--- a/transport/bootstrap.go
+++ b/transport/bootstrap.go
@@ -12,63 +12,64 @@
 	"github.com/weldstream/weldstream/state"
 )
 
-// Bootstrap brings a replica into its group: it founds one with the other
-// founders, if all are there and none has one, or joins the one that there is.
+// Bootstrap makes a replica part of its group: it creates one with the other
+// founders, if all are reachable and none has one, or joins the existing one.
 type Bootstrap struct {
-	group    *group.Group
-	tables   *state.Tables
-	links    *Links
-	log      zerolog.Logger
-	self     string
-	founders []string
-	found    bool // found says that a group may be founded.
-	others   bool // others says that any known member may be in the group.
+	group         *group.Group
+	tables        *state.Tables
+	links         *Links
+	log           zerolog.Logger
+	self          string
+	founders      []string
+	mayFound      bool // mayFound allows creating a group.
+	askAllMembers bool // askAllMembers extends the search for the group to every known member.
 }
 
-// BootstrapOption changes a new bootstrap.
+// BootstrapOption configures a Bootstrap.
 type BootstrapOption func(*Bootstrap)
 
-// WithFound says whether the founders may found a group. Without it they may.
-func WithFounding(found bool) BootstrapOption { return func(b *Bootstrap) { b.found = found } }
+// WithFounding sets whether the founders may create a group; by default they may.
+func WithFounding(found bool) BootstrapOption { return func(b *Bootstrap) { b.mayFound = found } }
 
-// WithOthers has every known member asked for the group, as the founders may be
-// gone for good.
-func WithAllMembers() BootstrapOption { return func(b *Bootstrap) { b.others = true } }
+// WithAllMembers asks every known member for its group, since the founders may be
+// permanently lost.
+func WithAllMembers() BootstrapOption { return func(b *Bootstrap) { b.askAllMembers = true } }
 
-const bootstrapEvery = 200 * time.Millisecond
+const bootstrapInterval = 200 * time.Millisecond
 
-// NewBootstrap returns a bootstrap among the founders, by name.
+// NewBootstrap returns a bootstrap with the given names of the founders.
 func NewBootstrap(g *group.Group, t *state.Tables, l *Links, log zerolog.Logger, self string, founders []string, opts ...BootstrapOption) *Bootstrap {
-	b := &Bootstrap{group: g, tables: t, links: l, log: log, self: self, founders: founders, found: true}
+	b := &Bootstrap{group: g, tables: t, links: l, log: log, self: self, founders: founders, mayFound: true}
 	for _, opt := range opts {
 		opt(b)
 	}
 	return b
 }
 
-// Run works until ctx ends.
+// Run bootstraps until ctx ends.
 func (b *Bootstrap) Run(ctx context.Context) error {
-	return every(ctx, bootstrapEvery, func() { b.step(ctx) })
+	return runEvery(ctx, bootstrapInterval, func() { b.step(ctx) })
 }
 
 func (b *Bootstrap) step(ctx context.Context) {
 	s := b.group.Status()
 	switch {
 	case s.Group == 0:
-		b.enter(ctx)
+		b.foundOrJoin(ctx)
 	case !s.Members.IsVoter(b.group.ID()):
 		b.join()
 	}
 }
 
-// enter founds a group or finds one. The founder with the least name founds,
-// so that two do not.
-func (b *Bootstrap) enter(ctx context.Context) {
-	if b.enterOthers(ctx) || !b.found {
+// foundOrJoin creates a group or joins an existing one. Only the founder with the
+// lexicographically smallest name creates it, so that there is never more than
+// one.
+func (b *Bootstrap) foundOrJoin(ctx context.Context) {
+	if b.joinAnyGroup(ctx) || !b.mayFound {
 		return
 	}
 	if !slices.Contains(b.founders, b.self) {
-		return // Those who found a group are told by their names.
+		return // Only the named founders create a group.
 	}
 	members := protocol.ReplicaMembers{}
 	least := true
@@ -76,12 +77,12 @@
 		info := ReplicaInfo{ID: b.group.ID()}
 		if name != b.self {
 			if !b.call(name, "Group.Info", true, &info) {
-				return // All founders must be there.
+				return // All founders must be reachable.
 			}
 			least = least && b.self < name
 		}
 		if info.Group != 0 {
-			b.note(b.group.JoinAsLearner(ctx, info.Group))
+			b.logJoinError(b.group.JoinAsLearner(ctx, info.Group))
 			return
 		}
 		members.Voters = append(members.Voters, info.ID)
@@ -91,15 +92,15 @@
 	}
 }
 
-// enterOthers enters the group of any known member that has one.
-func (b *Bootstrap) enterOthers(ctx context.Context) bool {
-	if !b.others {
+// joinAnyGroup joins the group of the first known member that has one.
+func (b *Bootstrap) joinAnyGroup(ctx context.Context) bool {
+	if !b.askAllMembers {
 		return false
 	}
-	for _, name := range b.names(protocol.ReplicaMembers{}) {
+	for _, name := range b.candidateNames(protocol.ReplicaMembers{}) {
 		info := ReplicaInfo{}
 		if name != b.self && b.call(name, "Group.Info", true, &info) && info.Group != 0 {
-			b.note(b.group.JoinAsLearner(ctx, info.Group))
+			b.logJoinError(b.group.JoinAsLearner(ctx, info.Group))
 			return true
 		}
 	}
@@ -107,17 +108,17 @@
 }
 
 func (b *Bootstrap) foundGroup(ctx context.Context, members protocol.ReplicaMembers) {
-	args := FoundArgs{Group: randomGroup(), Founders: members}
+	args := FoundArgs{Group: newGroupID(), Founders: members}
 	if err := b.group.Bootstrap(ctx, args.Group, members); err != nil {
-		b.note(err)
+		b.logJoinError(err)
 		return
 	}
-	b.spread(args)
+	b.notifyFounders(args)
 }
 
-// spread tells the other founders. One that is not reached now is told when it
-// asks: see Found of its own step.
-func (b *Bootstrap) spread(args FoundArgs) {
+// notifyFounders sends the new group to the other founders. A founder that is
+// unreachable now learns of the group when it calls Group.Info in its own step.
+func (b *Bootstrap) notifyFounders(args FoundArgs) {
 	for _, name := range b.founders {
 		var done bool
 		if name != b.self && !b.call(name, "Group.Found", args, &done) {
@@ -126,11 +127,11 @@
 	}
 }
 
-// join asks all known replicas, one of which leads.
+// join asks all known replicas to add this one; only the leader can.
 func (b *Bootstrap) join() {
 	s := b.group.Status()
 	info := ReplicaInfo{ID: b.group.ID(), Group: s.Group}
-	for _, name := range b.names(s.Members) {
+	for _, name := range b.candidateNames(s.Members) {
 		var done bool
 		if name != b.self {
 			b.call(name, "Group.Join", info, &done)
@@ -138,8 +139,9 @@
 	}
 }
 
-// names are the founders and the members known by now.
-func (b *Bootstrap) names(m protocol.ReplicaMembers) []string {
+// candidateNames returns the founders, the voters of m and, with askAllMembers,
+// every known member.
+func (b *Bootstrap) candidateNames(m protocol.ReplicaMembers) []string {
 	seen := map[string]bool{}
 	var names []string
 	for _, name := range b.founders {
@@ -154,7 +156,7 @@
 			names = append(names, id.Name)
 		}
 	}
-	if !b.others {
+	if !b.askAllMembers {
 		return names
 	}
 	for _, row := range b.tables.Members.Rows() {
@@ -178,7 +180,7 @@
 	return err == nil
 }
 
-func (b *Bootstrap) note(err error) {
+func (b *Bootstrap) logJoinError(err error) {
 	if err != nil {
 		b.log.Warn().Err(err).Msg("group not entered")
 	}
--- a/transport/budget.go
+++ b/transport/budget.go
@@ -7,20 +7,20 @@
 	"github.com/weldstream/weldstream/coordination/retry"
 )
 
-// budgetBox shares the retry budget between exchanges.
-type budgetBox struct {
+// sharedBudget guards the retry budget that all exchanges share.
+type sharedBudget struct {
 	mu     sync.Mutex
 	budget retry.Budget
 }
 
-func (b *budgetBox) success(now time.Time) {
+func (b *sharedBudget) recordSuccess(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget = b.budget.Success(now)
 }
 
-// spend takes one resend out of the budget and reports whether there was one.
-func (b *budgetBox) spend(now time.Time) bool {
+// spend takes one retry from the budget and reports whether one was left.
+func (b *sharedBudget) spend(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var ok bool
@@ -28,20 +28,20 @@
 	return ok
 }
 
-// hedgeBox shares each plain service's hedge delay between exchanges, and the
-// budget of hedges. Its lock is the budget's.
-type hedgeBox struct {
-	budgetBox
+// sharedHedging guards the hedge delay of each plain service and the hedge budget,
+// which all exchanges share. The embedded budget's mutex guards both.
+type sharedHedging struct {
+	sharedBudget
 	delays map[string]retry.HedgeDelay
 }
 
-func (b *hedgeBox) wait(service string) time.Duration {
+func (b *sharedHedging) delay(service string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.delays[service].Wait()
 }
 
-func (b *hedgeBox) observe(service string, took time.Duration, now time.Time) {
+func (b *sharedHedging) observe(service string, took time.Duration, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget = b.budget.Success(now)
--- a/transport/claim.go
+++ b/transport/claim.go
@@ -15,17 +15,17 @@
 	"github.com/weldstream/weldstream/settings"
 )
 
-// Claimer is the claims group, as a gateway needs it.
+// Claimer is the gateway's interface to the claims group.
 type Claimer interface {
-	// Claim asks to run a request. An error means that the claim may be
-	// granted or not.
+	// Claim requests the right to run a request. On an error the claim may or may
+	// not have been granted.
 	Claim(ctx context.Context, m protocol.ClaimMsg) (protocol.ClaimReply, error)
-	// Finish records an outcome; not-run releases the claim.
+	// Finish records an outcome; the verdict "not run" releases the claim.
 	Finish(ctx context.Context, m protocol.FinishClaimMsg) error
 }
 
-// NoClaims is the [Claimer] of an instance without a replication group. It
-// grants nothing.
+// NoClaims is the [Claimer] of an instance without a replication group. It grants
+// nothing.
 type NoClaims struct{}
 
 // Claim implements [Claimer].
@@ -42,29 +42,29 @@
 }
 
 const (
-	claimWait    = 2 * time.Second        // for the group's answer to a claim
-	joinPoll     = 25 * time.Millisecond  // between two looks at a claim that runs
-	joinPollMost = 500 * time.Millisecond // the longest such wait
-	recordWait   = time.Second            // for an outcome to be recorded before the answer goes out
-	recordLimit  = 5 * time.Minute        // for the tries to record it beside that
-	recordRetry  = 500 * time.Millisecond
-	// maxKeptAnswer bounds an answer that is kept for resends: it goes through
-	// the log of every replica.
+	claimTimeout        = 2 * time.Second        // for one call to the claims group
+	joinPoll            = 25 * time.Millisecond  // before the first repeat of a claim that another run holds
+	maxJoinPoll         = 500 * time.Millisecond // the longest interval
+	recordTimeout       = time.Second            // how long an answer is held back for its outcome to be recorded
+	recordRetryLimit    = 5 * time.Minute        // how long recording is retried in the background
+	recordRetryInterval = 500 * time.Millisecond
+	// maxKeptAnswer limits the size of an answer stored for resends, since it is
+	// replicated through the log of every replica.
 	maxKeptAnswer = 256 << 10
 )
 
-// claimOf returns the message that asks for an exchange's request.
-func (x *exchange) claimOf() protocol.ClaimMsg {
+// claimMsg returns the claim for the exchange's request.
+func (x *exchange) claimMsg() protocol.ClaimMsg {
 	return protocol.ClaimMsg{
 		Key:      x.request.Key,
 		Body:     x.request.BodyDigest,
 		Owner:    x.owner,
 		IssuedAt: protocol.Millis(x.request.IssuedAt),
-		Limits:   limitsOf(x.g.settings.Claims),
+		Limits:   claimLimits(x.g.settings.Claims),
 	}
 }
 
-func limitsOf(c settings.Claims) protocol.ClaimLimits {
+func claimLimits(c settings.Claims) protocol.ClaimLimits {
 	return protocol.ClaimLimits{
 		WindowMS:    c.Window.Milliseconds(),
 		SkewMS:      c.Skew.Milliseconds(),
@@ -73,9 +73,9 @@
 	}
 }
 
-// newOwner returns a fresh owner: a claim that was released is never granted
-// to the same owner again.
-func (x *exchange) newOwner() {
+// renewOwner assigns a new owner ID: a released claim is never granted to the same
+// owner again.
+func (x *exchange) renewOwner() {
 	x.owner = protocol.Owner{
 		Instance:    x.g.self.Name,
 		Incarnation: x.g.self.Incarnation,
@@ -83,19 +83,20 @@
 	}
 }
 
-// claim asks for the right to run a request that must run at most once. It
-// returns true when this exchange has it; else the answer is written.
+// claim requests the right to run a request that must run at most once. It returns
+// true if this exchange holds the claim; otherwise the response is already
+// written.
 func (x *exchange) claim(ctx *fasthttp.RequestCtx) bool {
-	x.newOwner()
+	x.renewOwner()
 	wait := joinPoll
 	for {
-		step := x.askClaim()
+		step := x.requestClaim()
 		switch step.Action {
 		case admit.Run:
 			x.claimed = true
 			return true
 		case admit.ClaimAgain:
-			x.newOwner()
+			x.renewOwner()
 		case admit.Replay:
 			x.replay(ctx, step.Answer)
 			return false
@@ -103,32 +104,33 @@
 			x.g.refuse(ctx, x.row.Request, step.Refusal)
 			return false
 		case admit.Wait:
-			if r := x.waitJoined(wait); r != nil {
+			if r := x.waitForOwner(wait); r != nil {
 				x.g.refuse(ctx, x.row.Request, r)
 				return false
 			}
-			wait = min(2*wait, joinPollMost)
+			wait = min(2*wait, maxJoinPoll)
 		}
 	}
 }
 
-func (x *exchange) askClaim() admit.Step {
-	limit := min(claimWait, clock.Until(x.request.Deadline))
+func (x *exchange) requestClaim() admit.Step {
+	limit := min(claimTimeout, clock.Until(x.request.Deadline))
 	wait, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	began := time.Now()
-	reply, err := x.g.claims.Claim(wait, x.claimOf())
+	reply, err := x.g.claims.Claim(wait, x.claimMsg())
 	x.g.metrics.claims.UpdateSince(began)
 	if err != nil {
-		x.g.record(x.finishOf(protocol.NotRun, nil)) // It may be granted all the same.
+		x.g.recordOutcome(x.finishClaimMsg(protocol.NotRun, nil)) // The claim may have been granted despite the error.
 		return admit.Step{Action: admit.Refuse, Refusal: admit.NoQuorum(err)}
 	}
 	return admit.Next(reply, x.g.ownerAlive)
 }
 
-// waitJoined waits before the next look at a claim that another run holds. It
-// returns a refusal when the caller has gone or the deadline passed.
-func (x *exchange) waitJoined(d time.Duration) *protocol.Refusal {
+// waitForOwner waits before the claim held by another run is checked again. It
+// returns a refusal if the caller disconnects, the deadline passes or the instance
+// hands its requests over.
+func (x *exchange) waitForOwner(d time.Duration) *protocol.Refusal {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	for {
@@ -138,23 +140,23 @@
 		case m := <-x.urgent:
 			switch m.(type) {
 			case attempt.CallerGoneMsg, attempt.DeadlineMsg:
-				return joinRefusal(protocol.StatusGatewayTimeout, protocol.CodeDeadline)
+				return runningElsewhere(protocol.StatusGatewayTimeout, protocol.CodeDeadline)
 			case attempt.HandOverMsg:
-				return joinRefusal(protocol.StatusServiceUnavailable, protocol.CodeLeaving).WithRetryAfter(time.Second)
+				return runningElsewhere(protocol.StatusServiceUnavailable, protocol.CodeLeaving).WithRetryAfter(time.Second)
 			}
 		}
 	}
 }
 
-// joinRefusal ends the wait for a run elsewhere.
-func joinRefusal(status int, code protocol.Code) *protocol.Refusal {
-	r := protocol.NewRefusal(status, code, "the request still runs elsewhere")
+// runningElsewhere is the refusal that ends the wait for another run.
+func runningElsewhere(status int, code protocol.Code) *protocol.Refusal {
+	r := protocol.NewRefusal(status, code, "the request is still running elsewhere")
 	r.SendNotRun = true
 	return r.WithVerdict(protocol.MayHaveRun)
 }
 
-// ownerAlive reports whether an owner may still be at work: this process knows
-// its own requests, and of others whether they are still the same process.
+// ownerAlive reports whether an owner may still be running. For this instance and
+// for others alike, the incarnation must be that of the current process.
 func (g *Gateway) ownerAlive(o protocol.Owner) bool {
 	if o.Instance == g.self.Name {
 		return o.Incarnation == g.self.Incarnation
@@ -163,7 +165,7 @@
 	return ok && row.Incarnation == o.Incarnation && row.State < protocol.MemberDead
 }
 
-// replay returns an answer that an earlier send received or missed.
+// replay writes the stored answer of an earlier send.
 func (x *exchange) replay(ctx *fasthttp.RequestCtx, a *protocol.Answer) {
 	if x.request.Stream && x.request.Resume > a.Tokens {
 		x.g.refuse(ctx, x.row.Request, attempt.NoSuchEvent(x.request.Resume, a.Tokens).WithVerdict(protocol.Ran))
@@ -179,10 +181,10 @@
 		x.replayStream(ctx, a)
 		return
 	}
-	x.writeWhole(ctx)
+	x.writeResponse(ctx)
 }
 
-// outcome is what the exchange came to, for its claim.
+// outcome returns the verdict and the answer to record for the claim.
 func (x *exchange) outcome() (protocol.Verdict, *protocol.Answer) {
 	if x.refusal != nil {
 		return x.refusal.Verdict, nil
@@ -204,28 +206,28 @@
 	return protocol.Ran, answer
 }
 
-func (x *exchange) finishOf(v protocol.Verdict, a *protocol.Answer) protocol.FinishClaimMsg {
+func (x *exchange) finishClaimMsg(v protocol.Verdict, a *protocol.Answer) protocol.FinishClaimMsg {
 	return protocol.FinishClaimMsg{
 		Key:      x.request.Key,
 		Owner:    x.owner,
 		Verdict:  v,
 		IssuedAt: protocol.Millis(x.request.IssuedAt),
 		Answer:   a,
-		Limits:   limitsOf(x.g.settings.Claims),
+		Limits:   claimLimits(x.g.settings.Claims),
 	}
 }
 
-// settle records the outcome of a claimed request before the answer's end goes
-// out, so that a caller that misses it finds it by its key. If that takes too
-// long the answer goes out all the same.
-func (x *exchange) settle() {
+// settleClaim records the outcome of a claimed request before the end of the
+// answer is written, so that a caller that misses the end finds the answer by its
+// key. After recordTimeout the answer is sent anyway.
+func (x *exchange) settleClaim() {
 	if !x.claimed {
 		return
 	}
 	x.claimed = false
 	verdict, answer := x.outcome()
-	done := x.g.record(x.finishOf(verdict, answer))
-	timer := time.NewTimer(recordWait)
+	done := x.g.recordOutcome(x.finishClaimMsg(verdict, answer))
+	timer := time.NewTimer(recordTimeout)
 	defer timer.Stop()
 	select {
 	case <-done:
@@ -233,14 +235,15 @@
 	}
 }
 
-// record records an outcome, trying again for a while.
-func (g *Gateway) record(m protocol.FinishClaimMsg) (done <-chan struct{}) {
+// recordOutcome records an outcome in the background and retries for up to
+// recordRetryLimit.
+func (g *Gateway) recordOutcome(m protocol.FinishClaimMsg) (done <-chan struct{}) {
 	recorded := make(chan struct{})
 	g.recording.Add(1)
 	go func() {
 		defer g.recording.Done()
 		defer close(recorded)
-		limit, cancel := context.WithTimeout(context.Background(), recordLimit)
+		limit, cancel := context.WithTimeout(context.Background(), recordRetryLimit)
 		defer cancel()
 		for {
 			if g.claims.Finish(limit, m) == nil {
@@ -250,7 +253,7 @@
 			case <-limit.Done():
 				g.log.Error().Str("key", m.Key.String()).Stringer("verdict", m.Verdict).Msg("an outcome could not be recorded")
 				return
-			case <-time.After(recordRetry):
+			case <-time.After(recordRetryInterval):
 			}
 		}
 	}()
--- a/transport/codec_test.go
+++ b/transport/codec_test.go
@@ -18,25 +18,26 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// echoService returns what it is asked with.
+// echoService returns its argument.
 type echoService struct{}
 
-// Sync implements a method for net/rpc.
+// Sync is a net/rpc method.
 func (echoService) Sync(m protocol.SyncMsg, reply *protocol.SyncMsg) error {
 	*reply = m
 	return nil
 }
 
-// Step implements a method for net/rpc.
+// Step is a net/rpc method.
 func (echoService) Step(m StepArgs, reply *StepArgs) error {
 	*reply = m
 	return nil
 }
 
-// Fail implements a method for net/rpc.
-func (echoService) Fail(bool, *bool) error { return errors.New("as asked") }
+// Fail is a net/rpc method.
+func (echoService) Fail(bool, *bool) error { return errors.New("requested error") }
 
-// serveEcho returns the address of an instance that has an echoService, with a key.
+// serveEcho returns the address of an instance that serves an echoService and
+// authenticates with a key.
 func serveEcho(t testing.TB, key string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -61,7 +62,7 @@
 
 const echoKey = "a key of the cluster"
 
-// gatewayReport is a report such as a gateway sends.
+// gatewayReport returns a typical report of a gateway.
 func gatewayReport() protocol.SyncMsg {
 	m := protocol.SyncMsg{
 		Gateway: "gateway-17", Life: 1 << 63, Number: 12, Servers: 3, Lister: 2, Domain: "a",
@@ -77,9 +78,9 @@
 	return m
 }
 
-// TestMessagesArriveWhole checks that what an instance tells another arrives as it
-// was sent: times to the nanosecond, bytes, entries of the log, what is empty.
-func TestMessagesArriveWhole(t *testing.T) {
+// TestMessagesRoundTrip checks that messages between instances arrive unchanged:
+// times to the nanosecond, bytes, log entries, empty fields.
+func TestMessagesRoundTrip(t *testing.T) {
 	address := serveEcho(t, echoKey)
 	l := NewLinks("entry-1", []byte(echoKey), time.Second, zerolog.Nop())
 	t.Cleanup(l.closeAll)
@@ -95,7 +96,7 @@
 	id := protocol.ReplicaID{Name: "10.0.0.1:1", Incarnation: 1<<64 - 1}
 	m := StepArgs{Group: 7, Messages: []replicate.Message{{
 		Kind: replicate.Append, From: id, To: id, Term: 3,
-		Entries: []replicate.Entry{{Index: 1, Term: 3, Kind: replicate.EntryMembers, Data: bytes.Repeat([]byte{0, 255}, keptFrame)}},
+		Entries: []replicate.Entry{{Index: 1, Term: 3, Kind: replicate.EntryMembers, Data: bytes.Repeat([]byte{0, 255}, maxReusedBuffer)}},
 	}}}
 	var got StepArgs
 	if err := l.Call(address, "Echo.Step", m, &got, 10*time.Second); err != nil {
@@ -106,9 +107,9 @@
 	}
 }
 
-// TestErrorsOfMethods checks that a method's own error and that of a method which
-// does not exist arrive as such, and leave the connection usable.
-func TestErrorsOfMethods(t *testing.T) {
+// TestMethodErrors checks that the error of a method and that of an unknown method
+// reach the caller and leave the connection usable.
+func TestMethodErrors(t *testing.T) {
 	address := serveEcho(t, echoKey)
 	l := NewLinks("entry-1", []byte(echoKey), time.Second, zerolog.Nop())
 	t.Cleanup(l.closeAll)
@@ -122,29 +123,29 @@
 	first := l.clients[address]
 	var got protocol.SyncMsg
 	if err := l.Call(address, "Echo.Sync", gatewayReport(), &got, 10*time.Second); err != nil || l.clients[address] != first {
-		t.Errorf("after errors of methods: %v", err)
+		t.Errorf("call after method errors: %v", err)
 	}
 }
 
-// TestUnreadableFrames checks that bytes which are no frame, and frames that are
-// too long, end in an error and not in a large buffer.
+// TestUnreadableFrames checks that invalid and oversized frames end in an error
+// and not in a large buffer.
 func TestUnreadableFrames(t *testing.T) {
 	length := func(n uint32) []byte { return binary.BigEndian.AppendUint32(nil, n) }
 	for name, c := range map[string]struct {
 		sent []byte
 		want error
 	}{
-		"too long":    {length(helloBytes + 1), ErrFrame},
-		"not CBOR":    {append(length(2), 0xff, 0xff), ErrFrame},
-		"another":     {append(length(1), 0x01), ErrFrame}, // A number where an object is due.
-		"no body":     {length(0), ErrFrame},
-		"no greeting": {[]byte("GET / HTTP/1.1\r\n\r\n"), ErrFrame},
-		"cut short":   {append(length(9), 0x01), io.ErrUnexpectedEOF},
+		"too long":   {length(maxHelloBytes + 1), ErrFrame},
+		"not CBOR":   {append(length(2), 0xff, 0xff), ErrFrame},
+		"wrong type": {append(length(1), 0x01), ErrFrame}, // A number instead of a map.
+		"no body":    {length(0), ErrFrame},
+		"no hello":   {[]byte("GET / HTTP/1.1\r\n\r\n"), ErrFrame},
+		"cut short":  {append(length(9), 0x01), io.ErrUnexpectedEOF},
 	} {
 		t.Run(name, func(t *testing.T) {
 			near, far := net.Pipe()
 			go func() {
-				_, _ = near.Write(c.sent) // The other side may have hung up.
+				_, _ = near.Write(c.sent) // The peer may have closed the connection.
 				_ = near.Close()
 			}()
 			defer func() { _ = far.Close() }()
@@ -155,8 +156,8 @@
 	}
 }
 
-// BenchmarkFirstCalls opens a connection with one question, as each gateway does
-// when a leader is there: what that costs both ends together.
+// BenchmarkFirstCalls opens a connection and makes one call, as each gateway does
+// after a leader is elected. It measures the cost of both ends together.
 func BenchmarkFirstCalls(b *testing.B) {
 	address := serveEcho(b, echoKey)
 	m := gatewayReport()
--- a/transport/conn_unix.go
+++ b/transport/conn_unix.go
@@ -10,15 +10,14 @@
 	"time"
 )
 
-// isReset reports whether the other side closed the connection under a write
-// or a read.
+// isReset reports whether the peer closed the connection during a write or a read.
 func isReset(err error) bool {
 	return errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// callerConn is an accepted connection. Each write has its own deadline, so
-// that a caller that takes no byte for the stall time is cut off, however long
-// its answer may be. And a hang-up can be noticed while nothing is written.
+// callerConn is an accepted connection. Each write has its own deadline, so that a
+// caller that accepts no data for the stall time is disconnected, however long its
+// answer is. It also allows a disconnect to be detected while nothing is written.
 type callerConn struct {
 	net.Conn
 	stall time.Duration
@@ -32,11 +31,11 @@
 	return c.Conn.Write(p)
 }
 
-// SetWriteDeadline implements net.Conn. The server's one deadline for a whole
-// answer is not wanted; see Write.
+// SetWriteDeadline implements net.Conn. It ignores the server's single deadline
+// for the whole response; see Write.
 func (c *callerConn) SetWriteDeadline(time.Time) error { return nil }
 
-// callerListener hands out callerConns.
+// callerListener wraps accepted connections in callerConn.
 type callerListener struct {
 	net.Listener
 	stall time.Duration
@@ -51,12 +50,12 @@
 	return &callerConn{Conn: conn, stall: l.stall}, nil
 }
 
-// watchHangUp calls gone once if the caller closes its side before stop is
-// called. The HTTP server reads nothing while a handler runs, so a hang-up
-// shows only to a peek at the socket. Bytes that arrive (a pipelined request)
-// end the watch and stay where they are. Stop waits for the watch to end,
-// since the server needs the read side back.
-func watchHangUp(conn net.Conn, gone func()) (stop func()) {
+// watchDisconnect calls gone once if the caller closes its side before stop is
+// called. The HTTP server does not read while a handler runs, so only a peek at
+// the socket detects a disconnect. Bytes that arrive (a pipelined request) end the
+// watch and stay in the socket buffer. Stop waits for the watch to end, since the
+// server needs the read side back.
+func watchDisconnect(conn net.Conn, gone func()) (stop func()) {
 	c, ok := conn.(*callerConn)
 	if !ok {
 		return func() {}
@@ -69,29 +68,29 @@
 	if err != nil {
 		return func() {}
 	}
-	if c.SetReadDeadline(time.Time{}) != nil { // The server's deadline was for reading the request.
+	if c.SetReadDeadline(time.Time{}) != nil { // The server's deadline applied to reading the request.
 		return func() {}
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		if peekEnd(raw) {
+		if waitForClose(raw) {
 			gone()
 		}
 	}()
 	var once sync.Once
 	return func() {
 		once.Do(func() {
-			_ = c.SetReadDeadline(time.Unix(1, 0)) // Wakes the peek.
+			_ = c.SetReadDeadline(time.Unix(1, 0)) // Unblocks waitForClose.
 			<-done
 			_ = c.SetReadDeadline(time.Time{})
 		})
 	}
 }
 
-// peekEnd waits until the socket is readable and reports whether that is
-// because the other side closed it.
-func peekEnd(raw syscall.RawConn) bool {
+// waitForClose waits until the socket is readable and reports whether the peer
+// closed it.
+func waitForClose(raw syscall.RawConn) bool {
 	ended := false
 	buf := make([]byte, 1)
 	err := raw.Read(func(fd uintptr) bool {
--- a/transport/distance.go
+++ b/transport/distance.go
@@ -10,23 +10,24 @@
 	"github.com/weldstream/weldstream/coordination/topology"
 )
 
-// distances count the bytes between this instance and others by their distance, since
-// bytes between regions are dearer than others. The other side's failure domain comes
-// with the greeting of a connection; the bytes up to then are not counted.
-type distances struct {
+// distanceMeters counts the bytes between this instance and others by their
+// distance, since traffic between regions is more expensive. The peer's failure
+// domain is known only after the handshake; bytes before that are not counted.
+type distanceMeters struct {
 	topology *topology.Topology
 	domain   string
 	meters   [topology.OtherRegion + 1]byteMeter
 }
 
-// MeterDistances shows the bytes to and from other instances by their distance, where
-// failure domains lie in several regions. It is called before any link is opened.
+// MeterDistances registers metrics of the bytes to and from other instances by
+// distance, if the failure domains span several regions. It must be called before
+// any connection is opened.
 func (l *Links) MeterDistances(t *topology.Topology, domain string, r metrics.Registry) {
 	l.domain = domain
 	if !t.MultiRegion() {
 		return
 	}
-	l.distances = &distances{topology: t, domain: domain}
+	l.distances = &distanceMeters{topology: t, domain: domain}
 	for d := range l.distances.meters {
 		meter := &l.distances.meters[d]
 		label := `{distance="` + strings.ReplaceAll(topology.Distance(d).String(), " ", "_") + `"}`
@@ -35,8 +36,9 @@
 	}
 }
 
-// classify has a connection counted by the distance of the other side's domain.
-func (d *distances) classify(conn net.Conn, domain string) {
+// classify assigns a connection to the meter for the distance of the peer's
+// domain.
+func (d *distanceMeters) classify(conn net.Conn, domain string) {
 	if d == nil || domain == "" {
 		return
 	}
@@ -47,11 +49,11 @@
 	}
 }
 
-// distanceMeter is the meter of a connection whose other side's distance is known.
-type distanceMeter struct{ atomic.Pointer[byteMeter] }
+// connMeter is the meter of a connection; nil until the peer's distance is known.
+type connMeter struct{ atomic.Pointer[byteMeter] }
 
-// count notes bytes that were sent and received.
-func (m *distanceMeter) count(sent, received int) {
+// count adds bytes sent and received.
+func (m *connMeter) count(sent, received int) {
 	if meter := m.Load(); meter != nil {
 		meter.sent.Add(int64(sent))
 		meter.received.Add(int64(received))
--- a/transport/distance_test.go
+++ b/transport/distance_test.go
@@ -12,17 +12,17 @@
 	"github.com/weldstream/weldstream/coordination/topology"
 )
 
-// Echoing answers with what it was asked.
+// Echoing returns its argument.
 type Echoing struct{}
 
-// Say answers a call.
+// Say is a net/rpc method.
 func (Echoing) Say(text string, reply *string) error {
 	*reply = text
 	return nil
 }
 
-// TestBytesByDistance checks that both ends of a link count its bytes under the distance
-// of the other, and under no other one.
+// TestBytesByDistance checks that both ends of a connection count its bytes under
+// the distance to the peer, and under no other.
 func TestBytesByDistance(t *testing.T) {
 	regions := topology.New(map[string]string{"a1": "a", "a2": "a", "b1": "b"})
 	for _, c := range []struct {
@@ -43,7 +43,7 @@
 			t.Fatal(err)
 		}
 		go func() { _ = server.Serve(t.Context(), ln) }()
-		for range 2 { // The first may come in with the greeting.
+		for range 2 { // The first call may be read together with the handshake.
 			var reply string
 			if err := client.Call(ln.Addr().String(), "Echoing.Say", "some text", &reply, 10*time.Second); err != nil || reply != "some text" {
 				t.Fatalf("%q, %v", reply, err)
@@ -58,7 +58,7 @@
 			}
 			for d := range l.distances.meters {
 				if m := &l.distances.meters[d]; m != want && m.sent.Load()+m.received.Load() > 0 {
-					t.Errorf("%s: bytes count as %v", c.domain, topology.Distance(d))
+					t.Errorf("%s: bytes are counted under the distance %v", c.domain, topology.Distance(d))
 				}
 			}
 		}
--- a/transport/engine.go
+++ b/transport/engine.go
@@ -18,42 +18,43 @@
 	"github.com/weldstream/weldstream/state"
 )
 
-// finishExported is how an engine ends the stream of an exported request.
+// finishExported is the finish reason by which an engine ends the stream of an
+// exported request.
 const finishExported = "exported"
 
-// errEndedEarly follows every stream. It matters only while the answer is not
-// whole: after the last chunk the request has ended and ignores it.
-var errEndedEarly = eris.New("the stream ended before the answer was whole")
+// errEndedEarly is reported at the end of every stream. It matters only while the
+// answer is incomplete: after the last chunk the request has ended and ignores it.
+var errEndedEarly = eris.New("the stream ended before the answer was complete")
 
-// Header names of the engines' protocol.
+// Headers sent to engines.
 const (
 	headerEngineRequest = "X-Request-Id"
 	headerAttempt       = "Weldstream-Attempt"
 )
 
-// call is one attempt at one server: what to send, and where its messages go.
+// call is one attempt at one server.
 type call struct {
-	request *protocol.Request
-	id      string // id is this process's name of the request.
-	cmd     attempt.DispatchCmd
-	server  *state.Server
-	moveAt  string // moveAt is the address to import the KV cache from.
-	moveID  string // moveID is the name of the request there.
-	text    string // text is the answer up to cmd.Resume.
-	send    func(attempt.Msg) bool
-	opened  func(*wire) bool       // opened hands over the connection for cancellation.
-	release func() bool            // release takes it back when it was read to its end.
-	leaving func(protocol.Leaving) // leaving is told when the server says that it leaves.
-	rests   *restBox               // rests records until when the engine asked for rest.
-	broke   func(*call, error)     // broke is told when the server's connection ended under the request.
-	sent    time.Time              // sent is when the attempt was made.
+	request       *protocol.Request
+	id            string // id is the request's ID in this process.
+	cmd           attempt.DispatchCmd
+	server        *state.Server
+	importAddress string // importAddress is the address of the server to import the KV cache from.
+	importID      string // importID is the request's ID on that server.
+	text          string // text is the answer up to the offset cmd.Resume.
+	send          func(attempt.Msg) bool
+	opened        func(*serverConn) bool // opened registers the connection for cancellation.
+	release       func() bool            // release unregisters it after the response was read to its end.
+	leaving       func(protocol.Leaving) // leaving is called when the server reports that it is leaving.
+	backoffs      *sharedBackoffs        // backoffs records the server's Retry-After.
+	connBroken    func(*call, error)     // connBroken is called when the server's connection ends during the request.
+	sent          time.Time              // sent is the time of the attempt.
 }
 
-// engineRequestID names an attempt to an engine.
+// engineRequestID returns the ID of an attempt on an engine.
 func engineRequestID(id string, attempt int) string { return id + "-" + strconv.Itoa(attempt) }
 
-// engineBody rewrites the caller's body for the engine: its own model name, a
-// stream with usage on each event, priority, and where to go on from.
+// engineBody rewrites the caller's body for the engine: the engine's model name,
+// streaming with usage on each event, the priority, and the offset to resume from.
 func (c *call) engineBody() ([]byte, error) {
 	fields := map[string]json.RawMessage{}
 	if err := json.Unmarshal(c.request.Body, &fields); err != nil {
@@ -79,21 +80,21 @@
 	if c.cmd.Resume > 0 || c.cmd.MoveFrom != "" {
 		set("resume", protocol.Resume{Offset: c.cmd.Resume, Text: c.text})
 	}
-	if c.moveAt != "" {
-		set("kv_move", protocol.KVMove{From: c.moveAt, Request: engineRequestID(c.moveID, c.cmd.MoveAttempt)})
+	if c.importAddress != "" {
+		set("kv_move", protocol.KVMove{From: c.importAddress, Request: engineRequestID(c.importID, c.cmd.MoveAttempt)})
 	}
 	return json.Marshal(fields)
 }
 
-// seedOf fixes the sampling of a request, so that another attempt generates
-// the same answer.
+// seedOf derives the sampling seed from the request's key, so that another attempt
+// generates the same answer.
 func seedOf(r *protocol.Request) int32 {
 	d := protocol.DigestOf([]byte(r.Key.String()))
 	return int32(d[0])<<16 | int32(d[1])<<8 | int32(d[2])
 }
 
-// runEngine carries one attempt at an engine to its end and reports it by
-// messages. It returns when the attempt is over or was canceled.
+// runEngine runs one attempt on an engine and reports its progress as messages. It
+// returns when the attempt has ended or was canceled.
 func (g *Gateway) runEngine(c *call) {
 	body, err := c.engineBody()
 	if err != nil {
@@ -110,7 +111,7 @@
 	req.Header.Set(headerAttempt, strconv.Itoa(c.cmd.Attempt))
 	req.Header.Set(protocol.HeaderKey, c.request.Key.ID)
 	req.SetBodyRaw(body)
-	w, ok := g.exchangeHead(c, req, resp)
+	w, ok := g.sendAndReadHeader(c, req, resp)
 	if !ok {
 		return
 	}
@@ -133,11 +134,11 @@
 	return "/v1/chat/completions"
 }
 
-// exchangeHead sends the request and reads the answer's head. A connection
-// that turns out stale is replaced once, if the request may be repeated.
-func (g *Gateway) exchangeHead(c *call, req *fasthttp.Request, resp *fasthttp.Response) (*wire, bool) {
+// sendAndReadHeader sends the request and reads the response header. A stale
+// connection is replaced once, if the request is repeatable.
+func (g *Gateway) sendAndReadHeader(c *call, req *fasthttp.Request, resp *fasthttp.Response) (*serverConn, bool) {
 	for fresh := !c.request.Repeatable; ; fresh = true {
-		w, err := g.wires.get(c.server.Address, fresh)
+		w, err := g.pool.get(c.server.Address, fresh)
 		if err != nil {
 			c.fail(protocol.NotRun, err, false)
 			return nil, false
@@ -157,7 +158,7 @@
 		if w.wrote == 0 {
 			verdict = protocol.NotRun
 		} else {
-			c.broke(c, err)
+			c.connBroken(c, err)
 		}
 		c.fail(verdict, err, false)
 		return nil, false
@@ -168,9 +169,9 @@
 	c.send(attempt.FailedMsg{Attempt: c.cmd.Attempt, Verdict: v, Reason: err.Error(), Final: final})
 }
 
-// refused reports an answer that is no stream. Only the server's own word that
-// the request was not run makes the verdict not-run; a 4xx is final, since
-// another server would say the same.
+// refused reports a response other than a stream. The verdict is not-run if the
+// server says so, does not have the model, or rejects the request itself: 4xx
+// other than 404 and 429 are final, since every server would answer the same.
 func (c *call) refused(status int, resp *fasthttp.Response) {
 	m := attempt.FailedMsg{Attempt: c.cmd.Attempt, Verdict: protocol.MayHaveRun}
 	if string(resp.Header.Peek(protocol.HeaderVerdict)) == protocol.NotRun.String() {
@@ -179,11 +180,11 @@
 	if string(resp.Header.Peek(protocol.HeaderLeaving)) == "true" {
 		c.leaving(protocol.Leaving{Server: c.server.ID, Origin: "refusal"})
 	}
-	c.rests.heard(c.server.ID, resp)
+	c.backoffs.record(c.server.ID, resp)
 	if status == http.StatusNotFound {
-		m.Verdict = protocol.NotRun // It does not have the model, perhaps since a moment ago.
+		m.Verdict = protocol.NotRun // The server does not have the model; it may have just unloaded it.
 	}
-	body, _ := readBody(resp) // A body that cannot be read leaves only the status.
+	body, _ := readBody(resp) // If the body cannot be read, the reason has only the status.
 	m.Reason = "the backend server answered " + strconv.Itoa(status) + ": " + string(bytes.TrimSpace(body))
 	if status >= 400 && status < 500 && status != http.StatusTooManyRequests && status != http.StatusNotFound {
 		m.Final, m.Status, m.Code, m.Verdict = true, status, protocol.CodeBadRequest, protocol.NotRun
@@ -191,24 +192,24 @@
 	c.send(m)
 }
 
-// readEvents turns the engine's events into messages. It returns whether the
-// stream was read to its end, so that the connection can be used again.
-func (g *Gateway) readEvents(c *call, w *wire, resp *fasthttp.Response) bool {
+// readEvents turns the engine's events into messages. It reports whether the
+// stream was read to its end, so that the connection can be reused.
+func (g *Gateway) readEvents(c *call, w *serverConn, resp *fasthttp.Response) bool {
 	body := resp.BodyStream()
 	if body == nil {
 		c.fail(protocol.MayHaveRun, eris.New("the engine answered without a stream"), false)
 		return false
 	}
 	events := bufio.NewReaderSize(body, 4<<10)
-	// The engine answers before it begins; until the first event the request may
-	// wait in its queue.
+	// The engine sends the header before it generates; until the first event the
+	// request may wait in its queue.
 	wait := g.settings.Timeouts.FirstByte
 	var p fastjson.Parser
 	for {
-		_ = w.conn.SetDeadline(time.Now().Add(wait)) // A closed connection shows at the read.
+		_ = w.conn.SetDeadline(time.Now().Add(wait)) // The read reports a closed connection.
 		line, err := events.ReadSlice('\n')
 		if err != nil {
-			c.broke(c, err)
+			c.connBroken(c, err)
 			c.fail(protocol.MayHaveRun, eris.Wrap(err, "read stream"), false)
 			return false
 		}
@@ -228,9 +229,9 @@
 	}
 }
 
-// reuse returns a connection that was read to its end to the pool.
-func (g *Gateway) reuse(c *call, w *wire, resp *fasthttp.Response) {
+// reuse returns a connection to the pool after its response was read to the end.
+func (g *Gateway) reuse(c *call, w *serverConn, resp *fasthttp.Response) {
 	if c.release() {
-		g.wires.finish(c.server.Address, w, resp)
+		g.pool.finish(c.server.Address, w, resp)
 	}
 }
--- a/transport/event.go
+++ b/transport/event.go
@@ -8,10 +8,11 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// errNoUsage is returned for an event whose place in the answer is not known.
-var errNoUsage = eris.New("an event lacks its usage")
+// errNoUsage is returned for an event without usage, whose offset in the answer is
+// therefore unknown.
+var errNoUsage = eris.New("engine event has no usage")
 
-// event sends one event on and reports whether to read more.
+// event forwards one event and reports whether to read more.
 func (c *call) event(p *fastjson.Parser, data []byte) bool {
 	m, err := parseEvent(p, data)
 	if err != nil {
@@ -28,10 +29,9 @@
 	return c.send(m)
 }
 
-// parseEvent reads an engine's [protocol.Chunk]. It is the one place that is
-// passed for each token, so it reads by a parser that is used again, and only
-// the fields that count: decoding by reflection was 45 % of a relay's time; see
-// docs/design/0010-relay.md.
+// parseEvent parses an engine's [protocol.Chunk]. It runs once per token, so it
+// reuses its parser and reads only the required fields: decoding by reflection
+// took 45 % of a relay's time; see docs/design/0010-relay.md.
 func parseEvent(p *fastjson.Parser, data []byte) (attempt.ChunkMsg, error) {
 	v, err := p.ParseBytes(data)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return m, nil
 }
 
-// eventText is the text of a completion, or what a chat's event adds.
+// eventText returns the text of a completion, or the text that a chat event adds.
 func eventText(choice *fastjson.Value) string {
 	if choice.Exists("text") {
 		return string(choice.GetStringBytes("text"))
--- a/transport/event_test.go
+++ b/transport/event_test.go
@@ -12,8 +12,8 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// naiveEvent reads an event by decoding all of it.
-func naiveEvent(data []byte) (m attempt.ChunkMsg, ok bool) {
+// decodeEvent parses an event by decoding all of it.
+func decodeEvent(data []byte) (m attempt.ChunkMsg, ok bool) {
 	var c protocol.Chunk
 	if json.Unmarshal(data, &c) != nil || c.Usage == nil {
 		return m, false
@@ -61,9 +61,9 @@
 	return c
 }
 
-// TestEventReadsAsDecoded compares the quick way to read an event with decoding
-// it, for whole events and for such as were cut off.
-func TestEventReadsAsDecoded(t *testing.T) {
+// TestParseEventMatchesDecoding compares the fast event parser with full decoding,
+// for complete and truncated events.
+func TestParseEventMatchesDecoding(t *testing.T) {
 	var p fastjson.Parser
 	rapid.Check(t, func(t *rapid.T) {
 		data, err := json.Marshal(drawChunk(t))
@@ -73,10 +73,10 @@
 		if rapid.IntRange(0, 4).Draw(t, "cut") == 0 {
 			data = data[:rapid.IntRange(0, len(data)-1).Draw(t, "at")]
 		}
-		want, ok := naiveEvent(data)
+		want, ok := decodeEvent(data)
 		got, err := parseEvent(&p, data)
 		if ok != (err == nil) || got != want {
-			t.Fatalf("%s\nread %+v, %v; decoded %+v, %v", data, got, err, want, ok)
+			t.Fatalf("%s\nparsed %+v, %v; decoded %+v, %v", data, got, err, want, ok)
 		}
 	})
 }
--- a/transport/exchange.go
+++ b/transport/exchange.go
@@ -17,20 +17,21 @@
 )
 
 const (
-	// messageQueue bounds the chunks that wait for a slow caller; beyond it the
-	// backend server's connection is not read.
-	messageQueue = 32
-	// urgentQueue is longer than the urgent messages that a request can get before
-	// they are read.
-	urgentQueue = 16
-	// exportTimeout bounds the question whether a server ended a request.
+	// messageQueueSize limits the chunks buffered for a slow caller; when it is
+	// full, the backend server's connection is not read.
+	messageQueueSize = 32
+	// urgentQueueSize exceeds the number of urgent messages that a request can
+	// receive before they are read.
+	urgentQueueSize = 16
+	// exportTimeout limits the call that exports a request from a server.
 	exportTimeout = 2 * time.Second
-	// moveRetry is between two looks for a server to move a request to.
-	moveRetry = 250 * time.Millisecond
+	// moveRetryInterval is the delay before another search for a server to move a
+	// request to.
+	moveRetryInterval = 250 * time.Millisecond
 )
 
-// exchange carries one request: it feeds messages to attempt.Update and
-// carries out its commands. One goroutine at a time runs it.
+// exchange handles one request: it passes messages to attempt.Update and executes
+// the returned commands. Only one goroutine at a time runs it.
 type exchange struct {
 	g       *Gateway
 	request *protocol.Request
@@ -38,32 +39,32 @@
 	log     zerolog.Logger
 	started time.Time
 
-	state     attempt.State
-	msgs      chan attempt.Msg
-	urgent    chan attempt.Msg // urgent overtakes the chunks: hang-up, leaving, deadline.
-	done      chan struct{}
-	finished  sync.Once
-	owner     protocol.Owner // owner is this run's name in its claim.
-	leavePool func()         // leavePool gives the slot of the pool back.
-	claimed   bool           // claimed says that an outcome is owed to the claim.
-	server    atomic.Pointer[state.Server]
-
-	sentAt time.Time // sentAt is when the current attempt was sent.
-
-	mu    sync.Mutex // mu guards wires and answers.
-	wires map[int]*wire
-
-	movedAt int                   // movedAt is the attempt that moveID belongs to.
-	moveID  string                // moveID is the request's name at the server to import from; empty means its own.
-	ends    []uint32              // ends are the lengths of text after each token.
-	text    strings.Builder       // text is the answer so far.
-	ready   []attempt.EmitCmd     // ready are chunks not yet written to the caller.
-	answers map[int]serviceAnswer // answers are a plain service's, by attempt.
-	answer  serviceAnswer
-	finish  string
-	refusal *protocol.Refusal
-	over    bool
-	emitted bool
+	state       attempt.State
+	msgs        chan attempt.Msg
+	urgent      chan attempt.Msg // urgent messages precede chunks: disconnect, leaving, deadline.
+	done        chan struct{}
+	finished    sync.Once
+	owner       protocol.Owner // owner identifies this run in its claim.
+	releaseSlot func()         // releaseSlot returns the slot to the pool.
+	claimed     bool           // claimed is set while the claim's outcome is still to be recorded.
+	server      atomic.Pointer[state.Server]
+
+	sentAt time.Time // sentAt is the time of the current attempt.
+
+	mu    sync.Mutex // mu guards conns and answers.
+	conns map[int]*serverConn
+
+	importAttempt int                   // importAttempt is the attempt that importID belongs to.
+	importID      string                // importID is the request's ID on the server to import from; empty if it is the same.
+	ends          []uint32              // ends holds the length of text after each token.
+	text          strings.Builder       // text is the answer so far.
+	ready         []attempt.EmitCmd     // ready holds chunks not yet written to the caller.
+	answers       map[int]serviceAnswer // answers holds a plain service's answers by attempt.
+	answer        serviceAnswer
+	finish        string
+	refusal       *protocol.Refusal
+	ended         bool
+	emitted       bool
 }
 
 func (g *Gateway) newExchange(r *protocol.Request, id string) *exchange {
@@ -75,17 +76,17 @@
 		log:     g.log.With().Str("request", id).Str("key", r.Key.String()).Logger(),
 		started: now,
 		state:   attempt.New(r.Repeatable, g.settings.Limits.Attempts, r.Resume, 0),
-		msgs:    make(chan attempt.Msg, messageQueue),
-		urgent:  make(chan attempt.Msg, urgentQueue),
+		msgs:    make(chan attempt.Msg, messageQueueSize),
+		urgent:  make(chan attempt.Msg, urgentQueueSize),
 		done:    make(chan struct{}),
-		wires:   map[int]*wire{},
+		conns:   map[int]*serverConn{},
 		answers: map[int]serviceAnswer{},
 
-		leavePool: func() {},
+		releaseSlot: func() {},
 	}
 }
 
-// post sends an urgent message without waiting; see urgentQueue.
+// post queues an urgent message without blocking; see urgentQueueSize.
 func (x *exchange) post(m attempt.Msg) {
 	select {
 	case x.urgent <- m:
@@ -94,7 +95,7 @@
 	}
 }
 
-// deliver sends a message in its order, or gives up when the request is over.
+// deliver queues a message in order. It returns false if the request has ended.
 func (x *exchange) deliver(m attempt.Msg) bool {
 	select {
 	case x.msgs <- m:
@@ -104,8 +105,8 @@
 	}
 }
 
-// watch starts the deadline. The returned func releases what the exchange
-// holds.
+// watch starts the deadline timer. The returned function stops it and closes the
+// exchange's connections.
 func (x *exchange) watch() (end func()) {
 	timer := time.AfterFunc(clock.Until(x.request.Deadline), func() { x.post(attempt.DeadlineMsg{}) })
 	return func() {
@@ -131,7 +132,7 @@
 	}
 }
 
-// idle reports whether no message waits, so that a flush is due.
+// idle reports whether no message is queued, so that the output should be flushed.
 func (x *exchange) idle() bool { return len(x.msgs) == 0 && len(x.urgent) == 0 }
 
 func (x *exchange) apply(m attempt.Msg) {
@@ -147,11 +148,11 @@
 	case attempt.DispatchCmd:
 		x.dispatch(cmd)
 	case attempt.EmitCmd:
-		x.keep(cmd.Chunk)
+		x.appendChunk(cmd.Chunk)
 		x.ready = append(x.ready, cmd)
 		x.emitted = true
 	case attempt.KeepCmd:
-		x.keep(cmd.Chunk)
+		x.appendChunk(cmd.Chunk)
 	case attempt.CancelCmd:
 		x.cancel(cmd.Attempt)
 	case attempt.ExportCmd:
@@ -163,26 +164,27 @@
 	case attempt.FinishCmd:
 		x.end(cmd)
 	case attempt.RefuseCmd:
-		x.refusal, x.over = cmd.Refusal, true
+		x.refusal, x.ended = cmd.Refusal, true
 	}
 }
 
-// keep adds a chunk to the answer so far. The end of each token is kept too; a
-// chunk of several tokens can only be cut at its end.
-func (x *exchange) keep(c attempt.ChunkMsg) {
+// appendChunk adds a chunk to the answer. It also records where each token ends; a
+// chunk of several tokens can only be split at its end.
+func (x *exchange) appendChunk(c attempt.ChunkMsg) {
 	x.text.WriteString(c.Text)
 	for range c.Tokens {
 		x.ends = append(x.ends, uint32(x.text.Len()))
 	}
 }
 
-// dispatch chooses a server and starts the attempt's goroutine.
+// dispatch selects a server and starts the attempt in a goroutine.
 func (x *exchange) dispatch(cmd attempt.DispatchCmd) {
-	if cmd.Hedge && !x.g.hedges.spend(clock.Now()) {
-		x.apply(attempt.FailedMsg{Attempt: cmd.Attempt, Verdict: protocol.NotRun, Reason: "too many hedges"})
+	if cmd.Hedge && !x.g.hedging.spend(clock.Now()) {
+		x.apply(attempt.FailedMsg{Attempt: cmd.Attempt, Verdict: protocol.NotRun, Reason: "the hedge budget is used up"})
 		return
 	}
-	// Each attempt passes here: the first one, retries, hedges, runs that are moved or handed over.
+	// Every attempt passes this check: the first one, retries, hedges, moves and
+	// hand-overs.
 	if p := x.g.quarantine.check(x.request); p.Held {
 		x.apply(heldMsg(cmd.Attempt, p))
 		return
@@ -194,23 +196,23 @@
 		return
 	}
 	x.apply(attempt.SentMsg{Attempt: cmd.Attempt, Server: server.ID, Domain: server.Domain})
-	x.follow(server, cmd)
+	x.trackAttempt(server, cmd)
 	x.log.Debug().Int("attempt", cmd.Attempt).Str("server", server.ID).Int("resume", cmd.Resume).Str("move_from", cmd.MoveFrom).Msg("attempt sent")
 	c := &call{
-		request: x.request,
-		id:      x.row.Request,
-		cmd:     cmd,
-		server:  server,
-		moveAt:  x.addressOf(cmd.MoveFrom),
-		moveID:  x.moveIDOf(cmd),
-		text:    x.text.String(),
-		send:    x.deliver,
-		opened:  func(w *wire) bool { return x.hold(cmd.Attempt, w) },
-		leaving: x.g.leaving,
-		rests:   x.g.rests,
-		broke:   x.broke,
-		sent:    time.Now(),
-		release: func() bool { return x.release(cmd.Attempt) },
+		request:       x.request,
+		id:            x.row.Request,
+		cmd:           cmd,
+		server:        server,
+		importAddress: x.addressOf(cmd.MoveFrom),
+		importID:      x.importIDOf(cmd),
+		text:          x.text.String(),
+		send:          x.deliver,
+		opened:        func(w *serverConn) bool { return x.trackConn(cmd.Attempt, w) },
+		leaving:       x.g.leaving,
+		backoffs:      x.g.backoffs,
+		connBroken:    x.connBroken,
+		sent:          time.Now(),
+		release:       func() bool { return x.releaseConn(cmd.Attempt) },
 	}
 	server.Counters.Outstanding.Add(1)
 	server.Counters.Sent.Add(1)
@@ -224,17 +226,17 @@
 	}
 }
 
-// broke notes that the server's connection ended under the request. A server that leaves
-// ends requests for that reason.
-func (x *exchange) broke(c *call, err error) {
+// connBroken reports to the quarantine that the server's connection ended during
+// the request. A leaving server ends requests because it is leaving, so it is not
+// reported.
+func (x *exchange) connBroken(c *call, err error) {
 	if !x.g.isLeaving(c.server.ID) {
-		x.g.quarantine.broke(x.request, c.server, c.sent, err)
+		x.g.quarantine.connBroken(x.request, c.server, c.sent, err)
 	}
 }
 
-// follow notes where the request runs, and has a late answer asked for a
-// second time.
-func (x *exchange) follow(server *state.Server, cmd attempt.DispatchCmd) {
+// trackAttempt records the server of the current attempt and schedules a hedge.
+func (x *exchange) trackAttempt(server *state.Server, cmd attempt.DispatchCmd) {
 	if cmd.Hedge {
 		x.g.metrics.hedges.Inc(1)
 		return
@@ -244,28 +246,28 @@
 	x.g.tables.Streams.Update(x.row)
 	x.sentAt = clock.Now()
 	if x.request.Hedge {
-		time.AfterFunc(x.g.hedges.wait(x.request.Route), func() { x.deliver(attempt.HedgeMsg{}) })
+		time.AfterFunc(x.g.hedging.delay(x.request.Route), func() { x.deliver(attempt.HedgeMsg{}) })
 	}
 }
 
-// end notes the whole answer.
+// end records a complete answer.
 func (x *exchange) end(cmd attempt.FinishCmd) {
-	x.finish, x.over = cmd.Finish, true
-	x.g.quarantine.endedWell(x.request)
-	x.g.budget.success(clock.Now())
+	x.finish, x.ended = cmd.Finish, true
+	x.g.quarantine.recordSuccess(x.request)
+	x.g.budget.recordSuccess(clock.Now())
 	if x.request.Hedge {
-		x.g.hedges.observe(x.request.Route, clock.Since(x.sentAt), clock.Now())
+		x.g.hedging.observe(x.request.Route, clock.Since(x.sentAt), clock.Now())
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.answer = x.answers[cmd.Attempt]
 }
 
-// moveIDOf returns the name under which the server to import from knows the
-// request: another one only if it was handed over.
-func (x *exchange) moveIDOf(cmd attempt.DispatchCmd) string {
-	if x.moveID != "" && cmd.MoveAttempt == x.movedAt {
-		return x.moveID
+// importIDOf returns the request's ID on the server to import from. It differs
+// from this process's ID only if the request was handed over.
+func (x *exchange) importIDOf(cmd attempt.DispatchCmd) string {
+	if x.importID != "" && cmd.MoveAttempt == x.importAttempt {
+		return x.importID
 	}
 	return x.row.Request
 }
@@ -292,9 +294,9 @@
 	return ""
 }
 
-// hold remembers an attempt's connection, so that it can be dropped. It
-// reports false when the request is over already.
-func (x *exchange) hold(attempt int, w *wire) bool {
+// trackConn registers an attempt's connection for cancellation. If the request has
+// already ended, it closes the connection and returns false.
+func (x *exchange) trackConn(attempt int, w *serverConn) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	select {
@@ -303,36 +305,36 @@
 		return false
 	default:
 	}
-	x.wires[attempt] = w
+	x.conns[attempt] = w
 	return true
 }
 
-// release gives up an attempt's connection that was read to its end. It
-// reports false when the connection was dropped in the meantime.
-func (x *exchange) release(attempt int) bool {
+// releaseConn unregisters an attempt's connection after its response was read to
+// the end. It returns false if the connection was closed in the meantime.
+func (x *exchange) releaseConn(attempt int) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.wires[attempt] == nil {
+	if x.conns[attempt] == nil {
 		return false
 	}
-	delete(x.wires, attempt)
+	delete(x.conns, attempt)
 	return true
 }
 
-// cancel drops an attempt's connection, by which the server learns of it.
+// cancel closes an attempt's connection, which tells the server to stop.
 func (x *exchange) cancel(attempt int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if w := x.wires[attempt]; w != nil {
+	if w := x.conns[attempt]; w != nil {
 		_ = w.conn.Close()
-		delete(x.wires, attempt)
+		delete(x.conns, attempt)
 	}
 }
 
 func (x *exchange) cancelAll() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for _, w := range x.wires {
+	for _, w := range x.conns {
 		_ = w.conn.Close()
 	}
 }
@@ -345,23 +347,24 @@
 		return
 	}
 	if x.state.HandingOver {
-		x.askExport(address, cmd)
+		x.requestExport(address, cmd)
 		return
 	}
 	elsewhere := attempt.DispatchCmd{AvoidServers: append([]string{cmd.Server}, x.state.FailedServers...)}
 	if _, _, err := x.g.choose(x.request, elsewhere); err != nil {
-		// Nowhere to go yet: the old server goes on, and is asked again later.
+		// No other server is available: the request stays on the old one and the
+		// move is tried again later.
 		x.post(attempt.ExportedMsg{Attempt: cmd.Attempt})
-		time.AfterFunc(moveRetry, func() { x.post(attempt.LeavingMsg{Server: cmd.Server}) })
+		time.AfterFunc(moveRetryInterval, func() { x.post(attempt.LeavingMsg{Server: cmd.Server}) })
 		return
 	}
-	x.askExport(address, cmd)
+	x.requestExport(address, cmd)
 }
 
-func (x *exchange) askExport(address string, cmd attempt.ExportCmd) {
+func (x *exchange) requestExport(address string, cmd attempt.ExportCmd) {
 	path := "/v1/requests/" + engineRequestID(x.row.Request, cmd.Attempt) + "/export"
 	go func() {
-		status, _, err := x.g.wires.call(address, "POST", path, nil, exportTimeout)
+		status, _, err := x.g.pool.call(address, "POST", path, nil, exportTimeout)
 		ended := err == nil && status == 200
 		if ended {
 			x.g.metrics.moves.Inc(1)
@@ -370,8 +373,8 @@
 	}()
 }
 
-// retry asks the budget. An answer that has begun goes on without asking: it
-// adds no request that the system had not taken on.
+// retry spends from the retry budget. An answer that has begun is retried without
+// spending, since it adds no request that the system had not already accepted.
 func (x *exchange) retry(cmd attempt.RetryCmd) {
 	x.g.metrics.failures.Inc(1)
 	if s := x.server.Load(); s != nil {
@@ -380,7 +383,7 @@
 	x.log.Info().Int("attempt", cmd.Attempt).Stringer("verdict", cmd.Cause.Verdict).Str("cause", cmd.Cause.Reason).Int("held", x.state.Received).Msg("attempt failed")
 	if x.state.Received == 0 && !x.g.budget.spend(clock.Now()) {
 		r := protocol.NewRefusal(503, protocol.CodeOverloaded, "too many retries: %s", cmd.Cause.Reason)
-		x.apply(attempt.RetryMsg{Refused: r.WithVerdict(cmd.Cause.Verdict).WithRetryAfter(retryOverload)})
+		x.apply(attempt.RetryMsg{Refused: r.WithVerdict(cmd.Cause.Verdict).WithRetryAfter(retryAfterOverload)})
 		return
 	}
 	x.g.metrics.retries.Inc(1)
@@ -389,20 +392,20 @@
 }
 
 const (
-	backoffBase    = 10 * time.Millisecond
-	backoffMost    = time.Second
-	retryNoBackend = 2 * time.Second
-	retryOverload  = time.Second
+	backoffBase         = 10 * time.Millisecond
+	maxBackoff          = time.Second
+	retryAfterNoBackend = 2 * time.Second
+	retryAfterOverload  = time.Second
 )
 
-// backoff returns a delay with full jitter before the attempt after n.
+// backoff returns the delay after attempt n, with full jitter.
 func backoff(n int) time.Duration {
-	most := min(backoffBase<<min(n, 10), backoffMost)
-	return rand.N(most)
+	ceiling := min(backoffBase<<min(n, 10), maxBackoff)
+	return rand.N(ceiling)
 }
 
-// choose copies the counts and asks the chooser. With an error, wait is when there may be a
-// server.
+// choose selects a server by the current outstanding requests. On an error, wait
+// is the time after which a server may be available.
 func (g *Gateway) choose(r *protocol.Request, cmd attempt.DispatchCmd) (s *state.Server, wait time.Duration, err error) {
 	began := clock.Now()
 	defer func() { g.metrics.decision.UpdateSince(began) }()
@@ -422,15 +425,15 @@
 	counts := g.counts.Get().(*[]int32)
 	defer g.counts.Put(counts)
 	*counts = view.Outstanding(*counts)
-	i, err := g.chooser.Choose(view, *counts, g.rests.avoid(m))
+	i, err := g.chooser.Choose(view, *counts, g.backoffs.avoid(m))
 	if err == nil {
 		return &view.Servers[i], 0, nil
 	}
-	g.rests.forget(view)
-	if wait, rests := g.rests.free(view, m); rests {
+	g.backoffs.prune(view)
+	if wait, backingOff := g.backoffs.shortestWait(view, m); backingOff {
 		return nil, wait, err
 	}
-	return nil, retryNoBackend, err
+	return nil, retryAfterNoBackend, err
 }
 
 func (g *Gateway) isLeaving(server string) bool {
--- a/transport/fleet.go
+++ b/transport/fleet.go
@@ -20,40 +20,40 @@
 )
 
 const (
-	fleetEvery   = time.Second
-	pricesEvery  = 10 * time.Second
-	fleetTimeout = 5 * time.Second
+	fleetInterval = time.Second
+	priceInterval = 10 * time.Second
+	fleetTimeout  = 5 * time.Second
 )
 
-// Fleet carries out the leader's purchases. It works only while this instance
-// leads; a planner lives as long as one leadership, since what it knows of its
-// orders is worth nothing after another leader gave some.
+// Fleet executes the leader's purchases of instances. It is active only while this
+// instance leads. A planner lives for one term, since its knowledge of its own
+// orders is stale after another leader has given some.
 type Fleet struct {
 	settings  *settings.Settings
 	commander *Commander
 	tables    *state.Tables
 	limits    *Limits
 	leaving   func(protocol.Leaving)
-	wires     *wires
+	pool      *connPool
 	log       zerolog.Logger
 
-	planner *fleet.Planner
-	term    uint64
-	policy  protocol.Fleet // policy is what the planner was made with.
-	prices  []protocol.Price
-	priced  time.Time
-	refused map[protocol.Price]bool // refused are offers that refused in this round.
+	planner      *fleet.Planner
+	term         uint64
+	policy       protocol.Fleet // policy is the policy of the current planner.
+	prices       []protocol.Price
+	pricesReadAt time.Time
+	refused      map[protocol.Price]bool // refused holds the offers that were refused in this round.
 }
 
-// NewFleet returns a fleet that is not running. It asks the commander whether
-// this instance leads, and gives its orders through it; the func leaving
-// spreads that a server gets no new work.
+// NewFleet returns a fleet that is not running. It sends its orders through the
+// commander, which also knows whether this instance leads. The function leaving
+// announces that a server gets no new work.
 func NewFleet(s *settings.Settings, c *Commander, t *state.Tables, l *Limits, leaving func(protocol.Leaving), log zerolog.Logger) *Fleet {
-	return &Fleet{settings: s, commander: c, tables: t, limits: l, leaving: leaving, wires: newWires(s.Timeouts.Dial), log: log}
+	return &Fleet{settings: s, commander: c, tables: t, limits: l, leaving: leaving, pool: newConnPool(s.Timeouts.Dial), log: log}
 }
 
-// Run plans and buys until ctx ends.
-func (f *Fleet) Run(ctx context.Context) error { return every(ctx, fleetEvery, f.round) }
+// Run plans and buys instances until ctx ends.
+func (f *Fleet) Run(ctx context.Context) error { return runEvery(ctx, fleetInterval, f.round) }
 
 func (f *Fleet) round() {
 	term, ok := f.commander.leads.Leads()
@@ -62,7 +62,7 @@
 		f.planner = nil
 		return
 	}
-	f.renew(term, *ix.Config.Fleet)
+	f.updatePlanner(term, *ix.Config.Fleet)
 	if err := f.readPrices(); err != nil {
 		f.log.Warn().Err(err).Msg("prices could not be read")
 		return
@@ -74,12 +74,12 @@
 	}
 	f.refused = map[protocol.Price]bool{}
 	for _, cmd := range f.planner.Update(v) {
-		f.carryOut(cmd)
+		f.execute(cmd)
 	}
 }
 
-// renew makes a planner for a new leadership or a new policy.
-func (f *Fleet) renew(term uint64, policy protocol.Fleet) {
+// updatePlanner creates a planner for a new term or a changed policy.
+func (f *Fleet) updatePlanner(term uint64, policy protocol.Fleet) {
 	same := policy.OnDemand == f.policy.OnDemand && policy.HeadroomPercent == f.policy.HeadroomPercent && policy.MaxInstances == f.policy.MaxInstances
 	if f.planner != nil && f.term == term && same {
 		return
@@ -92,10 +92,10 @@
 }
 
 func (f *Fleet) readPrices() error {
-	if clock.Since(f.priced) < pricesEvery {
+	if clock.Since(f.pricesReadAt) < priceInterval {
 		return nil
 	}
-	status, body, err := f.wires.call(f.settings.Platform.Address, http.MethodGet, "/v1/prices", nil, fleetTimeout)
+	status, body, err := f.pool.call(f.settings.Platform.Address, http.MethodGet, "/v1/prices", nil, fleetTimeout)
 	if err != nil {
 		return err
 	}
@@ -106,11 +106,11 @@
 	if err := json.Unmarshal(body, &prices); err != nil {
 		return eris.Wrap(err, "parse prices")
 	}
-	f.prices, f.priced = prices, clock.Now()
+	f.prices, f.pricesReadAt = prices, clock.Now()
 	return nil
 }
 
-// view is what the leader sees now.
+// view returns the leader's current view of offers, demand and instances.
 func (f *Fleet) view(ix *state.Index) (fleet.ViewMsg, error) {
 	v := fleet.ViewMsg{Now: clock.Now()}
 	for _, p := range f.prices {
@@ -120,11 +120,12 @@
 		v.Classes = append(v.Classes, fleet.Class{Name: c.Name, Slots: c.Slots, Models: c.Models})
 	}
 	for _, m := range ix.Config.Models {
-		wanted, err := f.limits.Wanted(m.Name)
+		wanted, err := f.limits.TotalDemand(m.Name)
 		if err != nil {
 			return v, err
 		}
-		// A declared model is kept somewhere: what nobody can serve nobody asks for.
+		// Every declared model keeps at least one slot: a model that no server
+		// offers would get no requests, and so no demand.
 		v.Needs = append(v.Needs, fleet.Need{Model: m.Name, Slots: wanted, Floor: max(1, m.MinSlots)})
 	}
 	servers := f.tables.Backends.View().Servers
@@ -155,7 +156,7 @@
 	return in
 }
 
-func (f *Fleet) carryOut(cmd fleet.Cmd) {
+func (f *Fleet) execute(cmd fleet.Cmd) {
 	if term, ok := f.commander.leads.Leads(); !ok || term != f.term {
 		return
 	}
@@ -169,15 +170,15 @@
 		f.log.Info().Str("server", cmd.ID).Msg("giving up an instance")
 		f.leaving(protocol.Leaving{Server: cmd.ID, Origin: "given up"})
 	case fleet.GiveBackCmd:
-		err = f.giveBack(cmd.ID)
+		err = f.terminate(cmd.ID)
 	}
 	if err != nil {
 		f.log.Warn().Err(err).Type("order", cmd).Msg("the fleet's order failed")
 	}
 }
 
-// start buys an instance. An offer that refused in this round is not asked for
-// again: the orders were planned together.
+// start buys an instance. An offer refused earlier in this round is not tried
+// again, since all orders of a round were planned together.
 func (f *Fleet) start(cmd fleet.StartCmd) {
 	offer := protocol.Price{Domain: cmd.Domain, Class: cmd.Class, Market: string(cmd.Market)}
 	refused := fleet.RefusedMsg{Order: cmd.Order, Now: clock.Now()}
@@ -192,9 +193,9 @@
 		Market: string(cmd.Market),
 	})
 	if err != nil {
-		return // A StartOrder holds only strings.
+		return // Cannot happen: a StartOrder has only string fields.
 	}
-	status, answer, err := f.wires.call(f.settings.Platform.Address, http.MethodPost, "/v1/instances", body, fleetTimeout)
+	status, answer, err := f.pool.call(f.settings.Platform.Address, http.MethodPost, "/v1/instances", body, fleetTimeout)
 	var in protocol.Instance
 	log := f.log.Info().Str("domain", cmd.Domain).Str("class", cmd.Class).Str("market", string(cmd.Market)).Str("model", cmd.Model)
 	switch {
@@ -212,7 +213,7 @@
 	}
 }
 
-// load has an engine load a model, as a fenced order.
+// load orders an engine to load a model, as a fenced order.
 func (f *Fleet) load(cmd fleet.LoadCmd) error {
 	s := f.tables.Backends.View().Find(cmd.ID)
 	if s == nil || slices.Contains(s.Report.Models, cmd.Model) {
@@ -222,11 +223,11 @@
 	if cmd.Replace {
 		kind = protocol.OrderRole
 	}
-	return f.commander.command(f.term, order.Order{Server: s.ID, Address: s.Address, Kind: kind, Name: cmd.Model})
+	return f.commander.sendIfSettled(f.term, order.Order{Server: s.ID, Address: s.Address, Kind: kind, Name: cmd.Model})
 }
 
-func (f *Fleet) giveBack(id string) error {
-	status, _, err := f.wires.call(f.settings.Platform.Address, http.MethodDelete, "/v1/instances/"+id, nil, fleetTimeout)
+func (f *Fleet) terminate(id string) error {
+	status, _, err := f.pool.call(f.settings.Platform.Address, http.MethodDelete, "/v1/instances/"+id, nil, fleetTimeout)
 	if err != nil {
 		return err
 	}
--- a/transport/gateway.go
+++ b/transport/gateway.go
@@ -25,19 +25,19 @@
 	"github.com/weldstream/weldstream/state"
 )
 
-// Gateway is the edge towards callers of one instance.
+// Gateway is the HTTP server for the callers of one instance.
 type Gateway struct {
 	settings *settings.Settings
 	tables   *state.Tables
 	chooser  route.Chooser
 	log      zerolog.Logger
 	metrics  *gatewayMetrics
-	wires    *wires
+	pool     *connPool
 	counts   sync.Pool
-	budget   *budgetBox
-	hedges   *hedgeBox
+	budget   *sharedBudget
+	hedging  *sharedHedging
 	ready    func() error
-	leaving  func(protocol.Leaving) // leaving is told of servers that refuse since they leave.
+	leaving  func(protocol.Leaving) // leaving is called for servers that refuse requests because they are leaving.
 	server   *fasthttp.Server
 	claims   Claimer
 	limits   *Limits
@@ -46,54 +46,54 @@
 	self     protocol.Member
 
 	quarantine *Quarantine
-	rests      *restBox // rests are the servers that asked for rest.
+	backoffs   *sharedBackoffs // backoffs holds the servers that sent Retry-After.
 
-	recording sync.WaitGroup // recording counts outcomes that are being recorded.
+	recording sync.WaitGroup // recording counts the outcomes being recorded.
 
-	stopping  atomic.Bool // stopping is set by a planned stop: unready, still serving.
-	closed    atomic.Bool // closed refuses new requests.
-	mu        sync.Mutex  // mu guards exchanges; it is taken after all table locks.
+	stopping  atomic.Bool // stopping is set by a planned stop: not ready, but still serving.
+	closed    atomic.Bool // closed makes the gateway refuse new requests.
+	mu        sync.Mutex  // mu guards exchanges; it is acquired after all table locks.
 	exchanges map[string]*exchange
-	handOvers *handOvers
+	handOvers *handOverStore
 }
 
-// GatewayOption changes a new gateway.
+// GatewayOption configures a Gateway.
 type GatewayOption func(*Gateway)
 
-// WithQuarantine sets what keeps requests under which servers end from servers; without it
+// WithQuarantine sets the quarantine for requests that crash servers; without it
 // each instance decides for itself.
 func WithQuarantine(q *Quarantine) GatewayOption { return func(g *Gateway) { g.quarantine = q } }
 
 // WithLogger sets the logger; without it nothing is logged.
 func WithLogger(l zerolog.Logger) GatewayOption { return func(g *Gateway) { g.log = l } }
 
-// WithRegistry sets the registry of the gateway's meters.
+// WithRegistry sets the registry of the gateway's metrics.
 func WithRegistry(r metrics.Registry) GatewayOption {
 	return func(g *Gateway) { g.metrics = newGatewayMetrics(r) }
 }
 
-// WithReady sets what must hold before the instance reports ready.
+// WithReady sets the check that must pass before the instance reports ready.
 func WithReady(ready func() error) GatewayOption { return func(g *Gateway) { g.ready = ready } }
 
-// WithLeaving sets what is told of a backend server that refuses work since it
-// leaves.
+// WithLeaving sets the function that is called when a backend server refuses work
+// because it is leaving.
 func WithLeaving(f func(protocol.Leaving)) GatewayOption { return func(g *Gateway) { g.leaving = f } }
 
-// WithClaims sets the claims group; without it no request that must run at
-// most once is let in.
+// WithClaims sets the claims group; without it requests that must run at most once
+// are refused.
 func WithClaims(c Claimer) GatewayOption { return func(g *Gateway) { g.claims = c } }
 
-// WithLinks sets the links to other instances, for hand-overs, and what gives
-// claims to another owner.
+// WithLinks sets the links to other instances, for hand-overs, and the Transferrer
+// that changes the owner of claims.
 func WithLinks(l *Links, t Transferrer) GatewayOption {
 	return func(g *Gateway) { g.links, g.transfer = l, t }
 }
 
-// WithLimits sets the limits over all instances; without them an instance
-// limits as if it were alone.
+// WithLimits sets the limits shared by all instances; without them an instance
+// applies limits as if it were alone.
 func WithLimits(l *Limits) GatewayOption { return func(g *Gateway) { g.limits = l } }
 
-// WithSelf sets the instance's own member record, the name in its claims.
+// WithSelf sets the instance's own member record, which identifies it in claims.
 func WithSelf(m protocol.Member) GatewayOption { return func(g *Gateway) { g.self = m } }
 
 // NewGateway returns a gateway that is not serving yet.
@@ -103,10 +103,10 @@
 		tables:    t,
 		chooser:   route.NewAffinity(),
 		log:       zerolog.Nop(),
-		wires:     newWires(s.Timeouts.Dial),
+		pool:      newConnPool(s.Timeouts.Dial),
 		counts:    sync.Pool{New: func() any { return new([]int32) }},
-		budget:    &budgetBox{budget: retry.New(clock.Now())},
-		hedges:    &hedgeBox{budgetBox: budgetBox{budget: retry.NewHedges(clock.Now())}, delays: map[string]retry.HedgeDelay{}},
+		budget:    &sharedBudget{budget: retry.New(clock.Now())},
+		hedging:   &sharedHedging{sharedBudget: sharedBudget{budget: retry.NewHedges(clock.Now())}, delays: map[string]retry.HedgeDelay{}},
 		ready:     func() error { return nil },
 		leaving:   func(l protocol.Leaving) { t.Backends.MarkLeaving(l) },
 		exchanges: map[string]*exchange{},
@@ -124,7 +124,7 @@
 	if g.quarantine == nil {
 		g.quarantine = NewQuarantine(s.Name, NewLocalQuarantine(g.isLeaving), s.Timeouts.Dial, g.log)
 	}
-	g.rests = &restBox{log: g.log}
+	g.backoffs = &sharedBackoffs{log: g.log}
 	if g.metrics == nil {
 		g.metrics = newGatewayMetrics(metrics.NewRegistry())
 	}
@@ -147,37 +147,37 @@
 		IdleTimeout:           idleTimeout,
 		NoDefaultServerHeader: true,
 		CloseOnShutdown:       true,
-		Logger:                quietLogger{},
+		Logger:                discardLogger{},
 	}
 }
 
-// quietLogger drops the HTTP library's own lines: each refusal is logged by
-// the gateway.
-type quietLogger struct{}
+// discardLogger drops the HTTP library's log lines: the gateway logs each refusal
+// itself.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (quietLogger) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// Serve accepts callers until Shutdown.
+// Serve accepts connections from callers until Shutdown.
 func (g *Gateway) Serve(ln net.Listener) error {
 	return g.server.Serve(&callerListener{Listener: ln, stall: g.settings.Timeouts.WriteStall})
 }
 
-// Close refuses new requests; those in progress go on.
+// Close makes the gateway refuse new requests; those in progress continue.
 func (g *Gateway) Close() { g.closed.Store(true) }
 
 // Stopping reports whether a planned stop has begun.
 func (g *Gateway) Stopping() bool { return g.stopping.Load() }
 
-// Shutdown closes the listener and waits for the connections in use.
+// Shutdown closes the listener and waits for active connections.
 func (g *Gateway) Shutdown(ctx context.Context) error {
 	g.Close()
-	g.awaitRecords(ctx)
+	g.waitForOutcomes(ctx)
 	return g.server.ShutdownWithContext(ctx)
 }
 
-// awaitRecords waits until the outcomes of claimed requests are recorded.
-func (g *Gateway) awaitRecords(ctx context.Context) {
+// waitForOutcomes waits until the outcomes of claimed requests are recorded.
+func (g *Gateway) waitForOutcomes(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		g.recording.Wait()
@@ -189,11 +189,11 @@
 	}
 }
 
-// Unready makes the instance report that the balancer should send nothing
-// more. Requests that come all the same are still served.
+// Unready makes the readiness check fail, so that the load balancer sends no more
+// requests. Requests that still arrive are served.
 func (g *Gateway) Unready() { g.stopping.Store(true) }
 
-// FollowLeaving tells running requests when their server begins to leave. It
+// FollowLeaving notifies running requests when their server begins to leave. It
 // returns when ctx ends.
 func (g *Gateway) FollowLeaving(ctx context.Context) error {
 	for {
@@ -209,7 +209,7 @@
 
 func (g *Gateway) notifyLeaving(server string) {
 	if s := g.tables.Backends.View().Find(server); s != nil {
-		g.wires.forget(s.Address)
+		g.pool.closeIdle(s.Address)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -240,7 +240,8 @@
 	}
 }
 
-// handleError answers what the HTTP library could not read as a request.
+// handleError responds to input that the HTTP library could not parse as a
+// request.
 func (g *Gateway) handleError(ctx *fasthttp.RequestCtx, err error) {
 	var small *fasthttp.ErrSmallBuffer
 	var netErr net.Error
@@ -252,7 +253,7 @@
 	case errors.As(err, &netErr) && netErr.Timeout():
 		g.refuse(ctx, "", protocol.NewRefusal(http.StatusRequestTimeout, protocol.CodeBadRequest, "the request did not arrive within %v", readTimeout))
 	default:
-		// The library's error quotes the request, and with it the caller's key.
+		// The library's error quotes the request, including the caller's key.
 		g.refuse(ctx, "", badRequest("the request cannot be read as HTTP/1.1"))
 	}
 	ctx.SetConnectionClose()
@@ -267,7 +268,7 @@
 	ctx.SetBodyString("ready\n")
 }
 
-// Ready returns nil when the balancer may send requests, else the reason.
+// Ready returns nil if the load balancer may send requests, else the reason.
 func (g *Gateway) Ready() error {
 	if g.stopping.Load() || g.closed.Load() {
 		return errStopping
@@ -277,7 +278,7 @@
 
 var errStopping = errors.New("the instance is stopping")
 
-// admitCaller checks that the instance can serve and who calls.
+// admitCaller checks that the instance can serve and authenticates the caller.
 func (g *Gateway) admitCaller(ctx *fasthttp.RequestCtx) (*parser, *protocol.Refusal) {
 	if g.closed.Load() {
 		ctx.SetConnectionClose()
@@ -289,19 +290,19 @@
 	}
 	key, ok := strings.CutPrefix(string(ctx.Request.Header.Peek("Authorization")), "Bearer ")
 	if !ok {
-		return nil, protocol.NewRefusal(http.StatusUnauthorized, protocol.CodeUnauthorized, "an Authorization header with a workspace key is needed")
+		return nil, protocol.NewRefusal(http.StatusUnauthorized, protocol.CodeUnauthorized, "an Authorization header with a workspace key is required")
 	}
 	w := index.Authenticate(key)
 	if w == nil {
-		return nil, protocol.NewRefusal(http.StatusUnauthorized, protocol.CodeUnauthorized, "the workspace key is not known")
+		return nil, protocol.NewRefusal(http.StatusUnauthorized, protocol.CodeUnauthorized, "the workspace key is unknown")
 	}
 	return &parser{
-		ctx:       ctx,
-		index:     index,
-		workspace: w,
-		now:       clock.Now(),
-		longest:   g.settings.Timeouts.MaxDeadline,
-		usual:     g.settings.Timeouts.Request,
+		ctx:             ctx,
+		index:           index,
+		workspace:       w,
+		now:             clock.Now(),
+		maxDeadline:     g.settings.Timeouts.MaxDeadline,
+		defaultDeadline: g.settings.Timeouts.Request,
 	}, nil
 }
 
@@ -328,26 +329,26 @@
 		refusal = methodRefusal("POST")
 	}
 	if refusal != nil {
-		g.turnAway(ctx, "", refusal)
+		g.refuseUnclaimed(ctx, "", refusal)
 		return
 	}
 	r, refusal := p.parseModel(kind)
-	g.enter(ctx, r, refusal)
+	g.start(ctx, r, refusal)
 }
 
 func (g *Gateway) handleService(ctx *fasthttp.RequestCtx, path string) {
 	p, refusal := g.admitCaller(ctx)
 	if refusal != nil {
-		g.turnAway(ctx, "", refusal)
+		g.refuseUnclaimed(ctx, "", refusal)
 		return
 	}
 	name, rest, _ := strings.Cut(strings.TrimPrefix(path, "/services/"), "/")
 	r, refusal := p.parseService(name, "/"+rest)
-	g.enter(ctx, r, refusal)
+	g.start(ctx, r, refusal)
 }
 
-// enter takes a checked request in, or refuses it.
-func (g *Gateway) enter(ctx *fasthttp.RequestCtx, r *protocol.Request, refusal *protocol.Refusal) {
+// start begins an exchange for a parsed request, or sends its refusal.
+func (g *Gateway) start(ctx *fasthttp.RequestCtx, r *protocol.Request, refusal *protocol.Refusal) {
 	g.metrics.requests.Inc(1)
 	id := strings.ToLower(rand.Text()[:16])
 	if refusal == nil && !r.Repeatable {
@@ -357,21 +358,21 @@
 		r.Key.ID = id
 	}
 	if refusal != nil {
-		g.turnAway(ctx, id, refusal)
+		g.refuseUnclaimed(ctx, id, refusal)
 		return
 	}
 	x := g.newExchange(r, id)
 	if !g.tables.Streams.Begin(x.row, g.settings.Limits.Streams) {
 		full := protocol.NewRefusal(http.StatusTooManyRequests, protocol.CodeOverloaded, "this instance has %d requests in progress", g.settings.Limits.Streams)
-		g.turnAway(ctx, id, full.WithRetryAfter(retryOverload))
+		g.refuseUnclaimed(ctx, id, full.WithRetryAfter(retryAfterOverload))
 		return
 	}
 	g.addExchange(x)
 	g.serve(ctx, x)
 }
 
-// turnAway refuses a request before the claims were asked.
-func (g *Gateway) turnAway(ctx *fasthttp.RequestCtx, id string, r *protocol.Refusal) {
+// refuseUnclaimed refuses a request for which no claim has been requested.
+func (g *Gateway) refuseUnclaimed(ctx *fasthttp.RequestCtx, id string, r *protocol.Refusal) {
 	keyGiven := len(ctx.Request.Header.Peek(protocol.HeaderKey)) > 0
 	g.refuse(ctx, id, admit.Unclaimed(r, keyGiven))
 }
--- a/transport/gateway_test.go
+++ b/transport/gateway_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestUnreadableRequestIsNotQuoted sends requests that cannot be read and hold a
-// key. No refusal may show a byte of them: refusals end up in callers' logs.
+// TestUnreadableRequestIsNotQuoted sends malformed requests that contain a key. No
+// refusal may quote any of it, since refusals end up in callers' logs.
 func TestUnreadableRequestIsNotQuoted(t *testing.T) {
 	address := relayGateway(t, "127.0.0.1:1", "key")
 	for name, request := range map[string]string{
--- a/transport/groupclient.go
+++ b/transport/groupclient.go
@@ -16,14 +16,14 @@
 	"github.com/weldstream/weldstream/state"
 )
 
-// ErrNoQuorum is returned when no leader could be reached in time. A command
-// may be committed all the same; every command can be sent again.
-var ErrNoQuorum = eris.New("no quorum of replicas can be reached")
+// ErrNoQuorum is returned when no leader could be reached in time. The command may
+// still have been committed; every command can be sent again.
+var ErrNoQuorum = eris.New("no quorum of replicas is reachable")
 
 const (
-	proposeTimeout  = 2 * time.Second        // for one call to one replica
-	leaderRetry     = 20 * time.Millisecond  // between the first two rounds of the replicas
-	leaderRetryMost = 200 * time.Millisecond // the longest such wait
+	proposeTimeout = 2 * time.Second        // for one call to one replica
+	leaderRetry    = 20 * time.Millisecond  // between the first two rounds of calls to all replicas
+	maxLeaderRetry = 200 * time.Millisecond // the longest interval
 )
 
 // GroupClient calls the leader of a replication group from any instance.
@@ -32,16 +32,16 @@
 	links    *Links
 	replicas func() []string
 	mu       sync.Mutex
-	leader   string // leader is who led last.
+	leader   string // leader is the last known leader.
 }
 
-// NewGroupClient returns a client that first knows the replicas by name.
+// NewGroupClient returns a client that calls the replicas with the given names.
 func NewGroupClient(t *state.Tables, l *Links, replicas []string) *GroupClient {
 	return &GroupClient{tables: t, links: l, replicas: func() []string { return replicas }}
 }
 
-// NewMembersClient returns a client that tries all known members: it is for a
-// cluster in which each of them keeps a replica.
+// NewMembersClient returns a client that calls all known members, for a cluster in
+// which each of them has a replica.
 func NewMembersClient(t *state.Tables, l *Links) *GroupClient {
 	return &GroupClient{tables: t, links: l, replicas: func() []string {
 		var names []string
@@ -54,19 +54,20 @@
 	}}
 }
 
-// call tries the replicas until one carries the call out. All calls are such
-// that a second one after an unknown outcome does no harm.
+// call tries the replicas until one executes the call. Every call is idempotent,
+// so repeating one after an unknown outcome is safe.
 func (c *GroupClient) call(ctx context.Context, method string, args any) (GroupReply, error) {
-	for wait := leaderRetry; ; wait = min(2*wait, leaderRetryMost) {
-		for _, name := range c.order() {
+	for wait := leaderRetry; ; wait = min(2*wait, maxLeaderRetry) {
+		for _, name := range c.leaderFirst() {
 			if ctx.Err() != nil {
 				return GroupReply{}, ErrNoQuorum
 			}
-			if reply, ok := c.try(ctx, name, method, args); ok {
+			if reply, ok := c.callReplica(ctx, name, method, args); ok {
 				return reply, nil
 			}
 		}
-		// With jitter, since all that wait for an election begin together.
+		// Add jitter, since all clients that wait for an election start waiting
+		// together.
 		timer := time.NewTimer(wait/2 + mrand.N(wait/2))
 		select {
 		case <-timer.C:
@@ -77,18 +78,18 @@
 	}
 }
 
-// order has the last known leader in front.
-func (c *GroupClient) order() []string {
+// leaderFirst returns the replicas, beginning with the last known leader.
+func (c *GroupClient) leaderFirst() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.leader == "" {
 		return c.replicas()
 	}
-	rest := slices.DeleteFunc(slices.Clone(c.replicas()), func(n string) bool { return n == c.leader })
-	return append([]string{c.leader}, rest...)
+	others := slices.DeleteFunc(slices.Clone(c.replicas()), func(n string) bool { return n == c.leader })
+	return append([]string{c.leader}, others...)
 }
 
-func (c *GroupClient) try(ctx context.Context, name, method string, args any) (GroupReply, bool) {
+func (c *GroupClient) callReplica(ctx context.Context, name, method string, args any) (GroupReply, bool) {
 	row, ok := c.tables.Members.Get(name)
 	if !ok {
 		return GroupReply{}, false
@@ -99,28 +100,28 @@
 	}
 	var reply GroupReply
 	if err := c.links.Call(row.Address, method, args, &reply, timeout); err != nil {
-		c.led("", name)
+		c.updateLeader("", name)
 		return GroupReply{}, false
 	}
-	if reply.Failed == GroupFull {
+	if reply.Failed == GroupDiskFull {
 		return reply, true
 	}
 	if reply.Failed != GroupOK {
-		c.led(reply.Leader, name)
+		c.updateLeader(reply.Leader, name)
 		return GroupReply{}, false
 	}
-	c.led(name, "")
+	c.updateLeader(name, "")
 	return reply, true
 }
 
-// led notes who leads, or that a replica does not.
-func (c *GroupClient) led(name, not string) {
+// updateLeader records the leader, or that the replica notLeader does not lead.
+func (c *GroupClient) updateLeader(name, notLeader string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case name != "" && name != not:
+	case name != "" && name != notLeader:
 		c.leader = name
-	case c.leader == not:
+	case c.leader == notLeader:
 		c.leader = ""
 	}
 }
@@ -129,31 +130,31 @@
 func (c *GroupClient) Apply(ctx context.Context, number uint64, canonical []byte) (protocol.Revision, *protocol.Refusal) {
 	reply, err := c.call(ctx, "Group.Propose", protocol.Command{Apply: &protocol.ApplyConfigMsg{Number: number, Config: canonical}})
 	if err != nil {
-		r := protocol.NewRefusal(http.StatusServiceUnavailable, protocol.CodeNoQuorum, "%v: the configuration may be accepted or not; send the same again", err)
+		r := protocol.NewRefusal(http.StatusServiceUnavailable, protocol.CodeNoQuorum, "%v: the configuration may or may not have been accepted; send it again", err)
 		return protocol.Revision{}, r.WithVerdict(protocol.MayHaveRun).WithRetryAfter(time.Second)
 	}
-	if reply.Failed == GroupFull {
+	if reply.Failed == GroupDiskFull {
 		return protocol.Revision{}, protocol.NewRefusal(http.StatusInsufficientStorage, protocol.CodeDiskFull, "the leader's disk is full")
 	}
-	got := reply.Result.Apply
-	if got == nil {
-		return protocol.Revision{}, protocol.NewRefusal(http.StatusInternalServerError, protocol.CodeConflict, "the group gave no answer")
+	result := reply.Result.Apply
+	if result == nil {
+		return protocol.Revision{}, protocol.NewRefusal(http.StatusInternalServerError, protocol.CodeConflict, "the group returned no result")
 	}
-	if got.Accepted {
-		return protocol.Revision{Number: number, Digest: got.Digest}, nil
+	if result.Accepted {
+		return protocol.Revision{Number: number, Digest: result.Digest}, nil
 	}
-	if number > got.Number+1 {
-		return protocol.Revision{}, protocol.NewRefusal(http.StatusConflict, protocol.CodeStale, "number %d does not follow %d, which is in force; the next is %d", number, got.Number, got.Number+1)
+	if number > result.Number+1 {
+		return protocol.Revision{}, protocol.NewRefusal(http.StatusConflict, protocol.CodeStale, "number %d does not follow %d, which is in force; the next is %d", number, result.Number, result.Number+1)
 	}
-	return protocol.Revision{}, protocol.NewRefusal(http.StatusConflict, protocol.CodeConflict, "number %d is taken: %d with digest %s is in force", number, got.Number, got.Digest.Short())
+	return protocol.Revision{}, protocol.NewRefusal(http.StatusConflict, protocol.CodeConflict, "number %d is taken: %d with digest %s is in force", number, result.Number, result.Digest.Short())
 }
 
-// Claim asks to run a request that must run at most once.
+// Claim requests the right to run a request that must run at most once.
 func (c *GroupClient) Claim(ctx context.Context, m protocol.ClaimMsg) (protocol.ClaimReply, error) {
 	return c.claim(ctx, protocol.Command{Claim: &m})
 }
 
-// Finish records what became of a claimed request.
+// Finish records the outcome of a claimed request.
 func (c *GroupClient) Finish(ctx context.Context, m protocol.FinishClaimMsg) error {
 	_, err := c.claim(ctx, protocol.Command{Finish: &m})
 	return err
@@ -171,7 +172,7 @@
 		return protocol.ClaimReply{}, err
 	}
 	if reply.Result.Claim == nil {
-		return protocol.ClaimReply{}, eris.New("the group gave no answer")
+		return protocol.ClaimReply{}, eris.New("the group returned no result")
 	}
 	return *reply.Result.Claim, nil
 }
@@ -183,48 +184,48 @@
 	return reply.Number, reply.Config, err
 }
 
-// Put has an opaque document accepted, and returns the number that holds.
+// Put proposes an opaque document and returns the number of the accepted one.
 func (c *GroupClient) Put(ctx context.Context, number uint64, data []byte) (uint64, error) {
 	reply, err := c.call(ctx, "Group.Propose", protocol.Command{Put: &protocol.PutDocumentMsg{Number: number, Data: data}})
 	switch {
 	case err != nil:
 		return 0, err
-	case reply.Failed == GroupFull, reply.Result.Put == nil:
-		return 0, errNoRoom
+	case reply.Failed == GroupDiskFull, reply.Result.Put == nil:
+		return 0, errDiskFull
 	}
 	return reply.Result.Put.Number, nil
 }
 
-// Document returns the opaque document that holds, confirmed by a quorum; number
-// 0 means that there is none.
+// Document returns the accepted opaque document, confirmed by a quorum; number 0
+// means that there is none.
 func (c *GroupClient) Document(ctx context.Context) (number uint64, data []byte, err error) {
 	reply, err := c.call(ctx, "Group.Document", true)
 	return reply.Number, reply.Config, err
 }
 
-// errNoRoom is returned where the leader's disk takes nothing more.
-var errNoRoom = eris.New("the leader's disk is full")
+// errDiskFull is returned when the leader's disk is full.
+var errDiskFull = eris.New("the leader's disk is full")
 
-// BeginRollout orders a roll-out, and tells whether the order holds.
+// BeginRollout orders a roll-out and reports whether the order was accepted.
 func (c *GroupClient) BeginRollout(ctx context.Context, m protocol.BeginRolloutMsg) (protocol.BeginRolloutReply, error) {
 	reply, err := c.call(ctx, "Group.Propose", protocol.Command{BeginRollout: &m})
 	switch {
 	case err != nil:
 		return protocol.BeginRolloutReply{}, err
-	case reply.Failed == GroupFull, reply.Result.BeginRollout == nil:
-		return protocol.BeginRolloutReply{}, errNoRoom
+	case reply.Failed == GroupDiskFull, reply.Result.BeginRollout == nil:
+		return protocol.BeginRolloutReply{}, errDiskFull
 	}
 	return *reply.Result.BeginRollout, nil
 }
 
-// StageRollout takes a roll-out further, and returns how it then stands.
+// StageRollout advances a roll-out and returns its new state.
 func (c *GroupClient) StageRollout(ctx context.Context, m protocol.StageRolloutMsg) (protocol.Rollout, error) {
 	reply, err := c.call(ctx, "Group.Propose", protocol.Command{StageRollout: &m})
 	switch {
 	case err != nil:
 		return protocol.Rollout{}, err
-	case reply.Failed == GroupFull, reply.Result.StageRollout == nil:
-		return protocol.Rollout{}, errNoRoom
+	case reply.Failed == GroupDiskFull, reply.Result.StageRollout == nil:
+		return protocol.Rollout{}, errDiskFull
 	}
 	return reply.Result.StageRollout.Rollout, nil
 }
@@ -248,25 +249,25 @@
 	return err
 }
 
-// randomGroup draws the identity of a new group.
-func randomGroup() uint64 {
+// newGroupID returns a random ID for a new group.
+func newGroupID() uint64 {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
-		panic(err) // crypto/rand does not fail on the systems that we run on.
+		panic(err) // crypto/rand does not fail on the supported systems.
 	}
 	return max(1, binary.BigEndian.Uint64(b[:]))
 }
 
-// Observe implements Observer: it asks the replicas until the one that leads answers.
+// Observe implements Observer: it asks the replicas until the leader answers.
 func (c *GroupClient) Observe(ctx context.Context, m protocol.ObserveMsg) (protocol.ObserveReply, error) {
-	for _, name := range c.order() {
+	for _, name := range c.leaderFirst() {
 		row, ok := c.tables.Members.Get(name)
 		if !ok || ctx.Err() != nil {
 			continue
 		}
 		var reply protocol.ObserveReply
-		if err := c.links.Call(row.Address, "Quarantine.Observe", m, &reply, observeTime); err != nil {
-			continue // The next one may lead.
+		if err := c.links.Call(row.Address, "Quarantine.Observe", m, &reply, observeTimeout); err != nil {
+			continue // The next replica may lead.
 		}
 		if reply.Leads {
 			return reply, nil
--- a/transport/handover.go
+++ b/transport/handover.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	handOverPeers   = 2                // instances that keep a repeatable request's record
-	handOverAsk     = 3                // instances that are asked for one
-	handOverKeep    = 10 * time.Minute // how long a record is kept
-	handOverMost    = 4096             // records kept at once
-	handOverTimeout = time.Second      // for one call to another instance
+	handOverCopies    = 2                // instances that store a repeatable request's record
+	handOverLookups   = 3                // instances that are asked for a record
+	handOverRetention = 10 * time.Minute // how long a record is stored
+	maxHandOvers      = 4096             // records stored at the same time
+	handOverTimeout   = time.Second      // for one call to another instance
 )
 
-// Transferrer gives a claim to another owner; the claims group can.
+// Transferrer changes the owner of a claim; the claims group implements it.
 type Transferrer interface {
 	Transfer(ctx context.Context, m protocol.TransferClaimMsg) (bool, error)
 }
 
-// handOvers keeps what leaving instances gave to this one.
-type handOvers struct {
+// handOverStore stores the hand-over records received from leaving instances.
+type handOverStore struct {
 	mu   sync.Mutex
-	rows map[protocol.Key]keptHandOver
+	rows map[protocol.Key]storedHandOver
 }
 
-type keptHandOver struct {
+type storedHandOver struct {
 	protocol.HandOver
 	until time.Time
 }
 
-func newHandOvers() *handOvers { return &handOvers{rows: map[protocol.Key]keptHandOver{}} }
+func newHandOvers() *handOverStore { return &handOverStore{rows: map[protocol.Key]storedHandOver{}} }
 
-func (h *handOvers) put(r protocol.HandOver, now time.Time) {
+func (h *handOverStore) put(r protocol.HandOver, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for key, row := range h.rows {
@@ -45,12 +45,12 @@
 			delete(h.rows, key)
 		}
 	}
-	if len(h.rows) < handOverMost {
-		h.rows[r.Request.Key] = keptHandOver{HandOver: r, until: now.Add(handOverKeep)}
+	if len(h.rows) < maxHandOvers {
+		h.rows[r.Request.Key] = storedHandOver{HandOver: r, until: now.Add(handOverRetention)}
 	}
 }
 
-func (h *handOvers) get(m protocol.FetchHandOverMsg, now time.Time) (protocol.HandOver, bool) {
+func (h *handOverStore) get(m protocol.FetchHandOverMsg, now time.Time) (protocol.HandOver, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	row, ok := h.rows[m.Key]
@@ -60,10 +60,10 @@
 	return row.HandOver, true
 }
 
-// HandOverAll ends every request in progress here and gives it to other
-// instances: the caller of a repeatable one resumes anywhere with its key and
-// last event; one that must run at most once is run on by its new owner, where
-// the caller's resend finds it.
+// HandOverAll ends every request in progress here and hands it over to other
+// instances. The caller of a repeatable request resumes on any instance with its
+// key and last event ID. A request that must run at most once is continued by its
+// new owner, where the caller's resend finds it.
 func (g *Gateway) HandOverAll() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -73,7 +73,8 @@
 	}
 }
 
-// handOver gives the request away once its server has ended it.
+// handOver sends the request's record to other instances after its server has
+// ended it.
 func (x *exchange) handOver(cmd attempt.HandOverCmd) {
 	record := protocol.HandOver{
 		Request: *x.request,
@@ -87,8 +88,8 @@
 	if cmd.Ended {
 		record.Server = cmd.Server
 	}
-	given := x.g.give(record)
-	x.claimed = x.claimed && !given // The new owner settles the claim.
+	given := x.g.sendHandOver(record)
+	x.claimed = x.claimed && !given // The new owner records the outcome.
 	x.log.Info().Bool("given", given).Int("tokens", len(x.ends)).Msg("request handed over")
 	r := protocol.NewRefusal(protocol.StatusServiceUnavailable, protocol.CodeLeaving, "the instance is leaving: resume through another one with the same %s and the last event", protocol.HeaderKey)
 	r = r.WithRetryAfter(time.Millisecond)
@@ -98,10 +99,10 @@
 	x.apply(attempt.StopMsg{Refusal: r})
 }
 
-// give sends the record to the instances that its key chooses. A request that
-// must run at most once goes to one only.
-func (g *Gateway) give(r protocol.HandOver) bool {
-	n := handOverPeers
+// sendHandOver sends the record to the instances selected by rendezvous hashing of
+// its key. A request that must run at most once is sent to only one.
+func (g *Gateway) sendHandOver(r protocol.HandOver) bool {
+	n := handOverCopies
 	if r.Claimed {
 		n = 1
 	}
@@ -117,7 +118,7 @@
 	return given
 }
 
-// findHandOver looks for a record of a request that its caller resumes.
+// findHandOver looks up the record of a request that its caller resumes.
 func (g *Gateway) findHandOver(r *protocol.Request) (protocol.HandOver, bool) {
 	m := protocol.FetchHandOverMsg{Key: r.Key, Body: r.BodyDigest}
 	if row, ok := g.handOvers.get(m, clock.Now()); ok {
@@ -126,7 +127,7 @@
 	if g.links == nil {
 		return protocol.HandOver{}, false
 	}
-	for _, peer := range member.Rendezvous(g.tables.Members.Rows(), r.Key.String(), g.self.Name, handOverAsk) {
+	for _, peer := range member.Rendezvous(g.tables.Members.Rows(), r.Key.String(), g.self.Name, handOverLookups) {
 		var reply protocol.FetchHandOverReplyMsg
 		err := g.links.Call(peer.Address, "HandOver.Fetch", m, &reply, handOverTimeout)
 		if err == nil && reply.Found {
@@ -136,20 +137,20 @@
 	return protocol.HandOver{}, false
 }
 
-// resume continues a request from a record: the answer so far is known, and
-// what the caller lacks of it is due at once.
+// resume continues a request from its record. The part of the recorded answer that
+// the caller has not received is ready to be written immediately.
 func (x *exchange) resume(r protocol.HandOver) {
 	held := len(r.Ends)
 	x.text.WriteString(r.Text)
 	x.ends = r.Ends
-	x.moveID, x.movedAt = r.ID, r.Attempt
+	x.importID, x.importAttempt = r.ID, r.Attempt
 	x.state = attempt.New(x.request.Repeatable, x.g.settings.Limits.Attempts, max(x.request.Resume, held), held)
 	x.state.MoveFrom, x.state.MoveAttempt = r.Server, r.Attempt
 	x.state.Attempt, x.state.AttemptsSent = r.Attempt, r.Attempt
 	x.state.MaxAttempts += r.Attempt
 	if from := x.request.Resume; from < held {
 		x.ready = append(x.ready, attempt.EmitCmd{
-			Chunk:  attempt.ChunkMsg{Offset: from, Tokens: held - from, Text: cutText(r.Text, r.Ends, from)},
+			Chunk:  attempt.ChunkMsg{Offset: from, Tokens: held - from, Text: textAfter(r.Text, r.Ends, from)},
 			Offset: held,
 		})
 		x.emitted = true
@@ -157,52 +158,52 @@
 	x.g.metrics.resumed.Inc(1)
 }
 
-// cutText returns the text behind a token offset.
-func cutText(text string, ends []uint32, from int) string {
+// textAfter returns the text after a token offset.
+func textAfter(text string, ends []uint32, from int) string {
 	if from <= 0 || from > len(ends) {
 		return text
 	}
 	return text[ends[from-1]:]
 }
 
-// adopt runs a request on that must run at most once and was handed over. Its
-// claim changes hands first: if that fails, it is not run.
+// adopt continues a handed-over request that must run at most once. It first
+// transfers the claim; if that fails, the request is not run.
 func (g *Gateway) adopt(r protocol.HandOver) {
 	x := g.newExchange(&r.Request, r.ID)
-	x.newOwner()
-	ctx, cancel := context.WithTimeout(context.Background(), claimWait)
+	x.renewOwner()
+	ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 	defer cancel()
 	ok, err := g.transfer.Transfer(ctx, protocol.TransferClaimMsg{Key: r.Request.Key, From: r.Owner, To: x.owner})
 	if err != nil || !ok {
 		g.log.Error().Err(err).Str("key", r.Request.Key.String()).Msg("a claim could not be taken over")
-		g.record(x.finishOf(protocol.MayHaveRun, nil))
+		g.recordOutcome(x.finishClaimMsg(protocol.MayHaveRun, nil))
 		return
 	}
 	x.claimed = true
 	if !g.tables.Streams.Begin(x.row, g.settings.Limits.Streams) {
-		g.record(x.finishOf(protocol.MayHaveRun, nil))
+		g.recordOutcome(x.finishClaimMsg(protocol.MayHaveRun, nil))
 		return
 	}
 	g.addExchange(x)
 	x.resume(r)
 	end := x.watch()
-	x.enterPool(true)
+	x.requestSlot(true)
 	x.apply(attempt.StartMsg{})
-	x.finishAlone()
-	x.settle()
+	x.finishWithoutCaller()
+	x.settleClaim()
 	end()
-	x.leavePool()
+	x.releaseSlot()
 	g.removeExchange(x)
 	x.report()
 }
 
-// HandOverService answers the other instances' calls for hand-overs.
+// HandOverService handles hand-over calls from other instances.
 type HandOverService struct{ g *Gateway }
 
 // NewHandOverService returns the receiver to register under "HandOver".
 func NewHandOverService(g *Gateway) *HandOverService { return &HandOverService{g: g} }
 
-// Put takes a request over.
+// Put accepts a hand-over record.
 func (s *HandOverService) Put(r protocol.HandOver, ok *bool) error {
 	if s.g.stopping.Load() {
 		return errStopping
@@ -216,7 +217,7 @@
 	return nil
 }
 
-// Fetch returns a request that was handed over.
+// Fetch returns a stored hand-over record.
 func (s *HandOverService) Fetch(m protocol.FetchHandOverMsg, reply *protocol.FetchHandOverReplyMsg) error {
 	reply.HandOver, reply.Found = s.g.handOvers.get(m, clock.Now())
 	return nil
--- a/transport/limits.go
+++ b/transport/limits.go
@@ -21,37 +21,38 @@
 )
 
 const (
-	// askTimeout bounds one question to a coordinator.
-	askTimeout = time.Second
-	// leastPart is the part of the interval that passes between two questions
-	// even while requests wait: else a crowd of them would ask without a pause.
-	leastPart = 4
+	// grantTimeout limits one call to a coordinator.
+	grantTimeout = time.Second
+	// minPauseDivisor sets the minimum pause between two grant requests, as a
+	// fraction of the interval. It applies even while callers wait: otherwise many
+	// waiting callers would cause requests without a pause.
+	minPauseDivisor = 4
 )
 
-// Limits drives a [limit.Limiter] for each pool that this instance's callers use,
-// and a [limit.Coordinator] for each pool that this instance ranks first for.
+// Limits runs a [limit.Limiter] for each pool that this instance's callers use,
+// and a [limit.Coordinator] for each pool for which this instance ranks first.
 type Limits struct {
 	tables *state.Tables
 	links  *Links // links is nil when there are no other instances.
 	log    zerolog.Logger
 	self   string
 	cfg    limit.Config
-	kick   chan struct{} // kick asks for a round at once.
+	wake   chan struct{} // wake starts a round immediately.
 
-	asks atomic.Int64 // asks counts the questions to coordinators.
+	requests atomic.Int64 // requests counts the grant requests to coordinators.
 
-	mu       sync.Mutex // mu is taken after all table locks.
+	mu       sync.Mutex // mu is acquired after all table locks.
 	nextID   uint64
 	limiters map[string]*poolLimiter
 	pools    map[string]*limit.Coordinator
 }
 
-// poolLimiter is a limiter with those who wait at it.
+// poolLimiter is a limiter with the channels of its waiting callers.
 type poolLimiter struct {
 	*limit.Limiter
 	slots   int
 	waiting map[uint64]chan limit.Cmd
-	asking  bool // asking says that a question is on its way.
+	asking  bool // asking is set while a grant request is outstanding.
 }
 
 // NewLimits returns limits that are not running. The links may be nil.
@@ -62,33 +63,33 @@
 		log:      log,
 		self:     self,
 		cfg:      cfg,
-		kick:     make(chan struct{}, 1),
+		wake:     make(chan struct{}, 1),
 		limiters: map[string]*poolLimiter{},
 		pools:    map[string]*limit.Coordinator{},
 	}
 }
 
-// LimitConfig returns the bounds of an instance's limiters.
+// LimitConfig returns the configuration of an instance's limiters.
 func LimitConfig(s *settings.Settings) limit.Config { return limit.Config{MaxQueued: s.Limits.Queue} }
 
-// Meter shows the number of questions to coordinators among the meters.
+// Meter registers the number of grant requests as a metric.
 func (l *Limits) Meter(r metrics.Registry) {
-	metrics.NewRegisteredFunctionalGauge("limit.asks", r, l.asks.Load)
+	metrics.NewRegisteredFunctionalGauge("limit.asks", r, l.requests.Load)
 }
 
-// Run asks the coordinators until ctx ends.
+// Run requests grants from the coordinators until ctx ends.
 func (l *Limits) Run(ctx context.Context) error {
 	for {
 		l.round(ctx)
-		whole := limit.Interval(l.instances())
-		least := whole / leastPart
-		if !pause.For(ctx, least) || !pause.Until(ctx, whole-least, l.kick) {
+		interval := limit.Interval(l.instances())
+		minPause := interval / minPauseDivisor
+		if !pause.For(ctx, minPause) || !pause.Until(ctx, interval-minPause, l.wake) {
 			return nil
 		}
 	}
 }
 
-// round brings each limiter up to date and asks for its next grant.
+// round updates each limiter and requests its next grant.
 func (l *Limits) round(ctx context.Context) {
 	instances := l.instances()
 	l.mu.Lock()
@@ -102,19 +103,19 @@
 		if g.slots > 0 && !g.asking {
 			g.asking = true
 			m := protocol.DemandMsg{From: l.self, Pool: pool, Rows: g.Demand()}
-			go l.ask(ctx, g, m)
+			go l.requestGrant(ctx, g, m)
 		}
 	}
 }
 
-// refresh tells a limiter what this instance knows of its pool. It needs l.mu.
+// refresh updates a limiter's slots and instance count. It requires l.mu.
 func (l *Limits) refresh(pool string, g *poolLimiter, instances int) {
 	g.slots = l.slots(pool)
-	g.carryOut(g.Update(limit.PoolMsg{Slots: g.slots, Instances: instances, Now: clock.Now()}))
+	g.notifyWaiting(g.Update(limit.PoolMsg{Slots: g.slots, Instances: instances, Now: clock.Now()}))
 }
 
-// slots returns how many requests a pool's servers run at once: what the
-// operators declare for the model, else what the servers report.
+// slots returns how many requests a pool's servers run concurrently: the
+// operators' setting for the model, else the sum of the servers' reports.
 func (l *Limits) slots(pool string) int {
 	p := l.tables.Backends.View().Model(pool)
 	if p == nil {
@@ -138,11 +139,11 @@
 	return max(1, n)
 }
 
-// ask brings a limiter its next grant. Without an answer the limiter's lease runs
-// out, and it goes on alone.
-func (l *Limits) ask(ctx context.Context, g *poolLimiter, m protocol.DemandMsg) {
-	l.asks.Add(1)
-	grant, err := l.coordinator(m)
+// requestGrant requests the next grant of a limiter. Without an answer the
+// limiter's lease expires, and it limits on its own.
+func (l *Limits) requestGrant(ctx context.Context, g *poolLimiter, m protocol.DemandMsg) {
+	l.requests.Add(1)
+	grant, err := l.callCoordinator(m)
 	now := clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -153,23 +154,23 @@
 		}
 		return
 	}
-	g.carryOut(g.Update(limit.GrantMsg{GrantMsg: grant, ExpiresAt: now.Add(limit.Lease(l.instances())), Now: now}))
+	g.notifyWaiting(g.Update(limit.GrantMsg{GrantMsg: grant, ExpiresAt: now.Add(limit.Lease(l.instances())), Now: now}))
 }
 
-// coordinator asks the member that ranks first for the pool.
-func (l *Limits) coordinator(m protocol.DemandMsg) (protocol.GrantMsg, error) {
-	first := l.first(m.Pool)
+// callCoordinator sends the demand to the pool's coordinator.
+func (l *Limits) callCoordinator(m protocol.DemandMsg) (protocol.GrantMsg, error) {
+	first := l.coordinatorOf(m.Pool)
 	if first.Address == "" {
 		return l.coordinate(m), nil
 	}
 	var grant protocol.GrantMsg
-	err := l.links.Call(first.Address, "Limit.Ask", m, &grant, askTimeout)
+	err := l.links.Call(first.Address, "Limit.Ask", m, &grant, grantTimeout)
 	return grant, err
 }
 
-// first returns the member that ranks first for a pool, or none when that is
-// this instance.
-func (l *Limits) first(pool string) protocol.Member {
+// coordinatorOf returns the member that ranks first for a pool, or the zero member
+// if that is this instance.
+func (l *Limits) coordinatorOf(pool string) protocol.Member {
 	first := member.Rendezvous(l.tables.Members.Rows(), "limit "+pool, "", 1)
 	if l.links == nil || len(first) == 0 || first[0].Name == l.self {
 		return protocol.Member{}
@@ -177,7 +178,7 @@
 	return first[0].Member
 }
 
-// coordinate answers a limiter's question.
+// coordinate answers a limiter's grant request.
 func (l *Limits) coordinate(m protocol.DemandMsg) protocol.GrantMsg {
 	slots, instances, now := l.slots(m.Pool), l.instances(), clock.Now()
 	l.mu.Lock()
@@ -190,8 +191,9 @@
 	return c.HandleDemand(m, slots, instances, now)
 }
 
-// carryOut tells those who wait. It needs l.mu.
-func (g *poolLimiter) carryOut(cmds []limit.Cmd) {
+// notifyWaiting passes the limiter's decisions to the waiting callers. It requires
+// l.mu.
+func (g *poolLimiter) notifyWaiting(cmds []limit.Cmd) {
 	for _, cmd := range cmds {
 		id := uint64(0)
 		switch cmd := cmd.(type) {
@@ -207,8 +209,8 @@
 	}
 }
 
-// Enter asks for a slot. The decision comes over the channel, which may take
-// a while; the func gives the slot, or the place in the queue, back.
+// Enter requests a slot. The decision is sent to the channel, possibly after a
+// wait; leave releases the slot or the place in the queue.
 func (l *Limits) Enter(pool string, m limit.ArriveMsg) (decision <-chan limit.Cmd, leave func()) {
 	ch := make(chan limit.Cmd, 1)
 	l.mu.Lock()
@@ -222,17 +224,17 @@
 	l.nextID++
 	m.ID, m.Now = l.nextID, clock.Now()
 	g.waiting[m.ID] = ch
-	g.carryOut(g.Update(m))
+	g.notifyWaiting(g.Update(m))
 	if g.waiting[m.ID] != nil {
-		l.askNow()
+		l.requestRound()
 	}
 	return ch, func() { l.leave(g, m.ID) }
 }
 
-// askNow has a round asked now, since somebody waits.
-func (l *Limits) askNow() {
+// requestRound starts a round immediately, since a caller is waiting.
+func (l *Limits) requestRound() {
 	select {
-	case l.kick <- struct{}{}:
+	case l.wake <- struct{}{}:
 	default:
 	}
 }
@@ -241,22 +243,22 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(g.waiting, id)
-	g.carryOut(g.Update(limit.DoneMsg{ID: id, Now: clock.Now()}))
+	g.notifyWaiting(g.Update(limit.DoneMsg{ID: id, Now: clock.Now()}))
 }
 
-// Wanted returns how many slots of a pool the callers of all instances could
-// use now, as its coordinator knows it.
-func (l *Limits) Wanted(pool string) (int, error) {
-	first := l.first(pool)
+// TotalDemand returns how many slots of a pool the callers of all instances could
+// use now, as known to its coordinator.
+func (l *Limits) TotalDemand(pool string) (int, error) {
+	first := l.coordinatorOf(pool)
 	if first.Address == "" {
-		return l.total(pool), nil
+		return l.localTotalDemand(pool), nil
 	}
 	var total int
-	err := l.links.Call(first.Address, "Limit.Total", pool, &total, askTimeout)
+	err := l.links.Call(first.Address, "Limit.Total", pool, &total, grantTimeout)
 	return total, err
 }
 
-func (l *Limits) total(pool string) int {
+func (l *Limits) localTotalDemand(pool string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c := l.pools[pool]; c != nil {
@@ -265,16 +267,16 @@
 	return 0
 }
 
-// PoolRow is one pool's limit on this instance, for the dump.
+// PoolRow is the limit of one pool on this instance, for the dump.
 type PoolRow struct {
 	Pool   string            `json:"pool"`
-	Slots  int               `json:"slots"` // Slots are those of the whole pool; 0 means that nothing is limited.
-	Leads  bool              `json:"leads"` // Leads says that this instance divides the pool.
+	Slots  int               `json:"slots"` // Slots is the number of slots in the whole pool; 0 means no limit.
+	Leads  bool              `json:"leads"` // Leads reports whether this instance coordinates the pool.
 	Queued int               `json:"queued"`
 	Demand []protocol.Demand `json:"demand"`
 }
 
-// Rows returns the pools that callers of this instance use now.
+// Rows returns the pools currently used by callers of this instance.
 func (l *Limits) Rows() []PoolRow {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -286,13 +288,13 @@
 	return rows
 }
 
-// LimitService answers the other instances' questions for grants.
+// LimitService handles grant requests from other instances.
 type LimitService struct{ limits *Limits }
 
 // NewLimitService returns the receiver to register under "Limit".
 func NewLimitService(l *Limits) *LimitService { return &LimitService{limits: l} }
 
-// Ask takes a limiter's demand and returns its grant.
+// Ask returns the grant for a limiter's demand.
 func (s *LimitService) Ask(m protocol.DemandMsg, grant *protocol.GrantMsg) error {
 	*grant = s.limits.coordinate(m)
 	return nil
@@ -300,6 +302,6 @@
 
 // Total returns how many slots of a pool all callers could use now.
 func (s *LimitService) Total(pool string, total *int) error {
-	*total = s.limits.total(pool)
+	*total = s.limits.localTotalDemand(pool)
 	return nil
 }
--- a/transport/limits_test.go
+++ b/transport/limits_test.go
@@ -12,10 +12,10 @@
 	"github.com/weldstream/weldstream/state"
 )
 
-// TestHurriedLimitsPause has requests wait all the time, each of which asks for
-// a round at once. The coordinator is still not asked more often than a quarter
-// of the interval allows, however fast or slow the machine is.
-func TestHurriedLimitsPause(t *testing.T) {
+// TestGrantRequestRateIsLimited keeps requests waiting, each of which starts a
+// round immediately. The coordinator must still not be asked more often than once
+// per quarter of the interval, however fast the machine is.
+func TestGrantRequestRateIsLimited(t *testing.T) {
 	tables := state.NewTables()
 	tables.Backends.SetList([]protocol.Instance{{ID: "e", Kind: protocol.InstanceEngine}}, time.Now())
 	tables.Backends.SetReports([]state.ReportRow{{Server: "e", Report: protocol.LoadReport{Models: []string{"m"}, Slots: 1}, At: time.Now()}})
@@ -33,15 +33,15 @@
 	const enough = 8
 	arrivals := time.NewTicker(time.Millisecond)
 	defer arrivals.Stop()
-	for l.asks.Load() < enough {
+	for l.requests.Load() < enough {
 		<-arrivals.C
-		l.askNow()
+		l.requestRound()
 	}
-	asks := l.asks.Load()
-	most := int64(time.Since(began)/(limit.Interval(1)/leastPart)) + 1
+	asks := l.requests.Load()
+	most := int64(time.Since(began)/(limit.Interval(1)/minPauseDivisor)) + 1
 	stop()
 	<-done
 	if asks > most {
-		t.Errorf("%d questions in a time for %d", asks, most)
+		t.Errorf("%d grant requests, want at most %d in this time", asks, most)
 	}
 }
--- a/transport/links.go
+++ b/transport/links.go
@@ -23,35 +23,36 @@
 
 // Errors of the links between instances.
 var (
-	// ErrPeerVersion is returned when the other side speaks another version.
-	ErrPeerVersion = eris.New("the peer speaks another version of the protocol")
-	// ErrPeerKey is returned when the other side does not hold the cluster's key.
-	ErrPeerKey = eris.New("the peer does not hold the cluster's key")
-	// ErrPeerTimeout is returned when the other side did not answer in time.
+	// ErrPeerVersion is returned when the peer uses another protocol version.
+	ErrPeerVersion = eris.New("the peer uses another protocol version")
+	// ErrPeerKey is returned when the peer does not have the cluster's key.
+	ErrPeerKey = eris.New("the peer does not have the cluster's key")
+	// ErrPeerTimeout is returned when the peer did not answer in time.
 	ErrPeerTimeout = eris.New("the peer did not answer in time")
 )
 
 const (
 	handshakeTimeout = 2 * time.Second
 	nonceBytes       = 16
-	// silentPeer is how long another instance's kernel may acknowledge nothing: two
-	// packets in a row may be lost, repeated after 0.2 s.
-	silentPeer = 700 * time.Millisecond
-	helloBytes = 1 << 10 // helloBytes bounds a greeting: nobody has proved anything yet.
+	// peerAckTimeout is how long the kernel of another instance may acknowledge
+	// nothing. It allows for two lost packets in a row, which are retransmitted
+	// after 0.2 s.
+	peerAckTimeout = 700 * time.Millisecond
+	maxHelloBytes  = 1 << 10 // maxHelloBytes limits a hello, since the peer is not authenticated yet.
 )
 
-// hello opens the handshake. Each side proves that it holds the cluster's key
-// without showing it, over fresh nonces of both.
+// hello is a handshake message. Each side proves that it has the cluster's key
+// without revealing it, by a MAC over fresh nonces of both sides.
 type hello struct {
 	Version int
 	Name    string
-	Domain  string // Domain is the failure domain; empty from an instance that does not tell.
+	Domain  string // Domain is the failure domain; empty if the peer does not send it.
 	Nonce   []byte
 	Proof   []byte
 }
 
-// Links are the connections to and from the other instances. Calls are
-// net/rpc; a connection is opened at its first use and kept.
+// Links manages the connections to and from the other instances. Calls are
+// net/rpc; a connection is opened on first use and kept open.
 type Links struct {
 	name   string
 	key    []byte
@@ -60,16 +61,16 @@
 	server *rpc.Server
 	meter  byteMeter
 	domain string
-	// distances are nil where failure domains do not lie in several regions.
-	distances *distances
+	// distances is nil unless the failure domains span several regions.
+	distances *distanceMeters
 
 	mu      sync.Mutex
-	failed  map[string]int // failed are connects in a row that failed, by address.
+	failed  map[string]int // failed counts consecutive failed connects by address.
 	clients map[string]*rpc.Client
 	conns   map[net.Conn]struct{}
 }
 
-// NewLinks returns links that prove themselves by the cluster's key.
+// NewLinks returns links that authenticate with the cluster's key.
 func NewLinks(name string, key []byte, dial time.Duration, log zerolog.Logger) *Links {
 	return &Links{
 		name:    name,
@@ -83,7 +84,7 @@
 	}
 }
 
-// Meter shows the bytes to and from other instances among the meters.
+// Meter registers metrics of the bytes to and from other instances.
 func (l *Links) Meter(r metrics.Registry) { l.meter.register("peers", r) }
 
 // Register makes the methods of a receiver callable by other instances.
@@ -91,12 +92,12 @@
 	return eris.Wrap(l.server.RegisterName(name, receiver), "register")
 }
 
-// wrap counts a connection's bytes and bounds its writes.
+// wrap adds byte counting and write deadlines to a connection.
 func (l *Links) wrap(conn net.Conn) net.Conn {
-	return &peerConn{Conn: &meteredConn{Conn: conn, meter: &l.meter}, stall: peerStall}
+	return &peerConn{Conn: &meteredConn{Conn: conn, meter: &l.meter}, stall: peerWriteTimeout}
 }
 
-// Serve accepts other instances until ctx ends.
+// Serve accepts connections from other instances until ctx ends.
 func (l *Links) Serve(ctx context.Context, ln net.Listener) error {
 	stop := context.AfterFunc(ctx, func() {
 		_ = ln.Close()
@@ -117,7 +118,7 @@
 
 func (l *Links) serveConn(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	if err := tcp.Bound(conn, silentPeer); err != nil {
+	if err := tcp.Bound(conn, peerAckTimeout); err != nil {
 		l.log.Warn().Str("from", conn.RemoteAddr().String()).Err(err).Msg("peer refused")
 		return
 	}
@@ -156,12 +157,12 @@
 
 // peer is the other side of a connection.
 type peer struct {
-	name   string // name is empty where the other side did not get to tell it.
+	name   string // name is empty if the handshake failed before the peer sent it.
 	domain string
-	frames *frames
+	frames *frameConn
 }
 
-// accept is the handshake on the side that was connected to.
+// accept runs the handshake on the accepting side.
 func (l *Links) accept(conn net.Conn) (peer, error) {
 	s, err := newHandshake(conn)
 	if err != nil {
@@ -169,13 +170,13 @@
 	}
 	theirs, err := s.receive()
 	if err != nil {
-		return peer{}, eris.Wrap(err, "read greeting")
+		return peer{}, eris.Wrap(err, "read hello")
 	}
 	p := peer{name: theirs.Name, domain: theirs.Domain, frames: s.frames}
 	ours := hello{Version: protocol.PeerVersion, Name: l.name, Domain: l.domain, Nonce: s.nonce}
 	ours.Proof = l.proof("accept", theirs.Nonce, s.nonce)
 	if err := s.frames.write(ours); err != nil {
-		return p, eris.Wrap(err, "send greeting")
+		return p, eris.Wrap(err, "send hello")
 	}
 	if theirs.Version != protocol.PeerVersion {
 		return p, ErrPeerVersion
@@ -190,18 +191,18 @@
 	return p, conn.SetDeadline(time.Time{})
 }
 
-// connect is the handshake on the side that opened the connection.
-func (l *Links) connect(conn net.Conn) (*frames, error) {
+// connect runs the handshake on the connecting side.
+func (l *Links) connect(conn net.Conn) (*frameConn, error) {
 	s, err := newHandshake(conn)
 	if err != nil {
 		return nil, err
 	}
 	if err := s.frames.write(hello{Version: protocol.PeerVersion, Name: l.name, Domain: l.domain, Nonce: s.nonce}); err != nil {
-		return nil, eris.Wrap(err, "send greeting")
+		return nil, eris.Wrap(err, "send hello")
 	}
 	theirs, err := s.receive()
 	if err != nil {
-		return nil, eris.Wrap(err, "read greeting")
+		return nil, eris.Wrap(err, "read hello")
 	}
 	if theirs.Version != protocol.PeerVersion {
 		return nil, ErrPeerVersion
@@ -216,9 +217,9 @@
 	return s.frames, conn.SetDeadline(time.Time{})
 }
 
-// handshake is one side's frames and nonce.
+// handshake holds one side's connection and nonce.
 type handshake struct {
-	frames *frames
+	frames *frameConn
 	nonce  []byte
 }
 
@@ -230,28 +231,28 @@
 	if _, err := rand.Read(nonce); err != nil {
 		return nil, err
 	}
-	return &handshake{frames: &frames{conn: conn, r: bufio.NewReader(conn)}, nonce: nonce}, nil
+	return &handshake{frames: &frameConn{conn: conn, r: bufio.NewReader(conn)}, nonce: nonce}, nil
 }
 
-// receive reads the other side's next greeting.
+// receive reads the peer's next hello.
 func (s *handshake) receive() (theirs hello, err error) {
-	if err := s.frames.next(helloBytes); err != nil {
+	if err := s.frames.readFrame(maxHelloBytes); err != nil {
 		return hello{}, err
 	}
 	err = s.frames.decode(&theirs)
 	return theirs, err
 }
 
-// proof binds the side's role and both nonces to the cluster's key.
+// proof returns a MAC with the cluster's key over the side's role and both nonces.
 func (l *Links) proof(role string, connecting, accepting []byte) []byte {
 	mac := hmac.New(sha256.New, l.key)
 	for _, part := range [][]byte{[]byte(role), {0}, connecting, {0}, accepting} {
-		_, _ = mac.Write(part) // A hash does not fail.
+		_, _ = mac.Write(part) // hash.Hash never returns an error.
 	}
 	return mac.Sum(nil)
 }
 
-// client returns the connection to an address, opening it at first use.
+// client returns the connection to an address and opens it on first use.
 func (l *Links) client(address string) (*rpc.Client, error) {
 	l.mu.Lock()
 	c := l.clients[address]
@@ -259,8 +260,8 @@
 	if c != nil {
 		return c, nil
 	}
-	conn, err := tcp.Dial(address, l.dialTime(address), silentPeer)
-	l.dialed(address, err == nil)
+	conn, err := tcp.Dial(address, l.dialTimeout(address), peerAckTimeout)
+	l.recordDial(address, err == nil)
 	if err != nil {
 		return nil, eris.Wrap(err, "connect to peer")
 	}
@@ -270,27 +271,29 @@
 		_ = conn.Close()
 		return nil, err
 	}
-	return l.keep(address, rpc.NewClientWithCodec(clientCodec{opened})), nil
+	return l.storeClient(address, rpc.NewClientWithCodec(clientCodec{opened})), nil
 }
 
 const (
-	// firstDials connects to an address that failed get a part of the usual time,
-	// twice as much after as many more: what is silent now may be started the next
-	// moment, and a connect that began before would not notice.
-	firstDials = 4
-	// firstDialPart of the usual time is the shortest: some round trips of a region.
-	firstDialPart = 4
+	// dialsPerStep is the number of failed connects after which the timeout
+	// doubles. It begins with a fraction of the configured timeout: an instance
+	// that does not answer now may be started a moment later, which a connect that
+	// began earlier would not notice.
+	dialsPerStep = 4
+	// shortDialDivisor sets the shortest timeout, as a fraction of the configured
+	// one. It is still several round trips within a region.
+	shortDialDivisor = 4
 )
 
-// dialTime is how long the next connect to an address may take.
-func (l *Links) dialTime(address string) time.Duration {
+// dialTimeout returns the timeout of the next connect to an address.
+func (l *Links) dialTimeout(address string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return min(l.dial, l.dial/firstDialPart<<min(l.failed[address]/firstDials, firstDialPart))
+	return min(l.dial, l.dial/shortDialDivisor<<min(l.failed[address]/dialsPerStep, shortDialDivisor))
 }
 
-// dialed notes the outcome of a connect.
-func (l *Links) dialed(address string, ok bool) {
+// recordDial records the outcome of a connect.
+func (l *Links) recordDial(address string, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if ok {
@@ -300,20 +303,21 @@
 	l.failed[address]++
 }
 
-// keep stores a new connection unless another call was faster.
-func (l *Links) keep(address string, c *rpc.Client) *rpc.Client {
+// storeClient stores a new connection unless a concurrent call has already stored
+// one.
+func (l *Links) storeClient(address string, c *rpc.Client) *rpc.Client {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if first := l.clients[address]; first != nil {
+	if existing := l.clients[address]; existing != nil {
 		_ = c.Close()
-		return first
+		return existing
 	}
 	l.clients[address] = c
 	return c
 }
 
-// drop closes a connection that failed, so that the next call opens another.
-func (l *Links) drop(address string, c *rpc.Client) {
+// dropClient closes a failed connection, so that the next call opens a new one.
+func (l *Links) dropClient(address string, c *rpc.Client) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.clients[address] == c {
@@ -322,8 +326,8 @@
 	_ = c.Close()
 }
 
-// Call calls a method at an address. A call that gets no answer in time drops
-// the connection: a silent one may be cut.
+// Call calls a method on the instance at an address. A call that times out closes
+// the connection, since the path may be broken.
 func (l *Links) Call(address, method string, args, reply any, timeout time.Duration) error {
 	c, err := l.client(address)
 	if err != nil {
@@ -336,18 +340,18 @@
 	case done := <-call.Done:
 		return l.outcome(address, c, done.Error)
 	case <-timer.C:
-		l.drop(address, c)
+		l.dropClient(address, c)
 		return ErrPeerTimeout
 	}
 }
 
-// outcome drops the connection on errors that are not the method's own.
+// outcome closes the connection on errors other than the method's own.
 func (l *Links) outcome(address string, c *rpc.Client, err error) error {
-	var own rpc.ServerError
-	if err == nil || errors.As(err, &own) {
+	var methodErr rpc.ServerError
+	if err == nil || errors.As(err, &methodErr) {
 		return err
 	}
-	l.drop(address, c)
+	l.dropClient(address, c)
 	if errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, rpc.ErrShutdown) {
 		return eris.Wrap(err, "connection to peer lost")
 	}
--- a/transport/links_test.go
+++ b/transport/links_test.go
@@ -8,9 +8,9 @@
 	"github.com/rs/zerolog"
 )
 
-// stoppedReader accepts one instance, proves itself and then reads no more, as
-// an instance does that was frozen.
-func stoppedReader(t *testing.T, key string) string {
+// stalledPeer accepts one connection, completes the handshake and then stops
+// reading, like a frozen instance.
+func stalledPeer(t *testing.T, key string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,13 +31,13 @@
 	return ln.Addr().String()
 }
 
-// TestCallToStoppedReader sends more than the sockets' buffers hold to an
-// instance that reads no more. The call must end, and so must one that waits
-// for the same connection: the membership's probe, for one.
-func TestCallToStoppedReader(t *testing.T) {
+// TestCallToStalledPeer sends more than the socket buffers hold to an instance
+// that has stopped reading. The call must end, and so must others that wait for
+// the same connection, such as the membership's probe.
+func TestCallToStalledPeer(t *testing.T) {
 	const key = "a key of the cluster"
-	const patience = 20 * time.Second // It only ends a test that would hang.
-	address := stoppedReader(t, key)
+	const testTimeout = 20 * time.Second // Only bounds a test that would hang.
+	address := stalledPeer(t, key)
 	l := NewLinks("entry-1", []byte(key), time.Second, zerolog.Nop())
 	if _, err := l.client(address); err != nil {
 		t.Fatal(err)
@@ -49,39 +49,39 @@
 			results <- l.Call(address, "Sink.Take", make([]byte, 32<<20), &ok, 100*time.Millisecond)
 		}()
 	}
-	limit := time.NewTimer(patience)
+	limit := time.NewTimer(testTimeout)
 	defer limit.Stop()
 	for range 2 {
 		select {
 		case err := <-results:
 			if err == nil {
-				t.Error("a call that nobody read succeeded")
+				t.Error("a call to a stalled peer succeeded")
 			}
 		case <-limit.C:
-			t.Fatal("a call is still held up by a reader that stopped")
+			t.Fatal("a call is still blocked by a stalled peer")
 		}
 	}
 }
 
-// TestFirstConnectsAreShort checks that an instance that is silent is tried often at
-// first, so that one that has just been started is found at once, and for the whole
-// time later, as the way to it may be long.
-func TestFirstConnectsAreShort(t *testing.T) {
+// TestDialTimeoutGrows checks that connects to a silent instance are short at
+// first, so that one that has just been started is found quickly, and later use
+// the whole timeout, since the path may be long.
+func TestDialTimeoutGrows(t *testing.T) {
 	l := NewLinks("a", []byte("0123456789abcdef"), 400*time.Millisecond, zerolog.Nop())
 	for i, want := range []time.Duration{100, 100, 100, 100, 200, 200, 200, 200, 400, 400} {
-		if got := l.dialTime("b"); got != want*time.Millisecond {
-			t.Errorf("connect %d may take %v, want %v ms", i+1, got, int64(want))
+		if got := l.dialTimeout("b"); got != want*time.Millisecond {
+			t.Errorf("timeout of connect %d is %v, want %v ms", i+1, got, int64(want))
 		}
-		l.dialed("b", false)
+		l.recordDial("b", false)
 	}
 	for range 1000 {
-		l.dialed("b", false)
+		l.recordDial("b", false)
 	}
-	if got := l.dialTime("b"); got != 400*time.Millisecond {
-		t.Errorf("after many failures a connect may take %v", got)
+	if got := l.dialTimeout("b"); got != 400*time.Millisecond {
+		t.Errorf("timeout after many failures is %v", got)
 	}
-	l.dialed("b", true)
-	if got := l.dialTime("b"); got != 100*time.Millisecond {
-		t.Errorf("after a connect the next may take %v", got)
+	l.recordDial("b", true)
+	if got := l.dialTimeout("b"); got != 100*time.Millisecond {
+		t.Errorf("timeout after a successful connect is %v", got)
 	}
 }
--- a/transport/localconfig.go
+++ b/transport/localconfig.go
@@ -8,14 +8,14 @@
 	"github.com/weldstream/weldstream/state"
 )
 
-// LocalConfig is the [ConfigStore] of a lone instance: it accepts without
-// asking anybody.
+// LocalConfig is the [ConfigStore] of an instance without a group: it accepts
+// configurations on its own.
 type LocalConfig struct{ tables *state.Tables }
 
 // NewLocalConfig returns a store over the tables.
 func NewLocalConfig(t *state.Tables) *LocalConfig { return &LocalConfig{tables: t} }
 
-// Leader implements [ConfigStore]. There is none.
+// Leader implements [ConfigStore]. There is no leader.
 func (c *LocalConfig) Leader() string { return "" }
 
 // Remove implements [ConfigStore]. There are no replicas.
--- a/transport/membership.go
+++ b/transport/membership.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	probeTimeout = 400 * time.Millisecond
-	syncTimeout  = 2 * time.Second
-	memberQueue  = 256
+	probeTimeout    = 400 * time.Millisecond
+	syncTimeout     = 2 * time.Second
+	memberQueueSize = 256
 )
 
-// Membership drives [member.State]: one goroutine owns the state, others do
-// the calls and post the outcomes.
+// Membership runs [member.State]: one goroutine owns the state, others make the
+// calls and post the outcomes.
 type Membership struct {
 	tables *state.Tables
 	links  *Links
@@ -30,13 +30,13 @@
 	view   *member.State
 	msgs   chan member.Msg
 	syncs  chan chan protocol.GossipMsg
-	leave  chan leaveOrder
-	left   bool // left says that this instance takes no part any more.
+	leave  chan leaveRequest
+	left   bool // left is set after this instance has announced that it left.
 	self   func() member.SetSelfMsg
 }
 
-// NewMembership returns a membership that is not running. The func self tells
-// what the instance says of itself.
+// NewMembership returns a membership that is not running. The function self
+// returns what the instance publishes about itself.
 func NewMembership(t *state.Tables, l *Links, log zerolog.Logger, every time.Duration, view *member.State, self func() member.SetSelfMsg) *Membership {
 	return &Membership{
 		tables: t,
@@ -44,14 +44,14 @@
 		log:    log,
 		every:  every,
 		view:   view,
-		msgs:   make(chan member.Msg, memberQueue),
+		msgs:   make(chan member.Msg, memberQueueSize),
 		syncs:  make(chan chan protocol.GossipMsg),
-		leave:  make(chan leaveOrder),
+		leave:  make(chan leaveRequest),
 		self:   self,
 	}
 }
 
-// Run drives the membership until ctx ends.
+// Run runs the membership until ctx ends.
 func (m *Membership) Run(ctx context.Context) error {
 	tick := time.NewTicker(m.every)
 	defer tick.Stop()
@@ -62,19 +62,19 @@
 		case msg := <-m.msgs:
 			m.apply(ctx, msg)
 		case order := <-m.leave:
-			m.spreadLeft(order)
+			m.announceLeft(order)
 		case reply := <-m.syncs:
 			reply <- m.view.Full()
 		case now := <-tick.C:
-			m.apply(ctx, m.describe())
+			m.apply(ctx, m.selfMsg())
 			m.apply(ctx, member.TickMsg{Now: now, Rand: rand.Uint64()})
 		case <-m.tables.Changed():
-			m.apply(ctx, m.describe())
+			m.apply(ctx, m.selfMsg())
 		}
 	}
 }
 
-func (m *Membership) describe() member.SetSelfMsg {
+func (m *Membership) selfMsg() member.SetSelfMsg {
 	msg := m.self()
 	msg.Now, msg.Rand = clock.Now(), rand.Uint64()
 	msg.Revision, msg.Digest = m.tables.Revision()
@@ -91,7 +91,7 @@
 	m.tables.Members.Set(m.view.Rows())
 }
 
-// post hands a message to the loop, or gives up when it has ended.
+// post sends a message to the loop, or gives up when ctx ends.
 func (m *Membership) post(ctx context.Context, msg member.Msg) {
 	select {
 	case m.msgs <- msg:
@@ -99,7 +99,8 @@
 	}
 }
 
-// ServerLeaving spreads that a backend server takes no new work.
+// ServerLeaving announces to the other instances that a backend server accepts no
+// new work.
 func (m *Membership) ServerLeaving(ctx context.Context, l protocol.Leaving) {
 	if l.Seen.IsZero() {
 		l.Seen = clock.Now()
@@ -108,19 +109,20 @@
 	m.post(ctx, member.ServerLeavingMsg{Leaving: l, Rand: rand.Uint64()})
 }
 
-// ServerJoined spreads that the platform's list has a new backend server.
+// ServerJoined announces to the other instances that the platform's list has a new
+// backend server.
 func (m *Membership) ServerJoined(ctx context.Context, in protocol.Instance) {
 	m.post(ctx, member.ServerJoinedMsg{Joined: protocol.Joined{Instance: in, Seen: clock.Now()}, Rand: rand.Uint64()})
 }
 
-// Leave tells a few members that this instance is gone for good, so that nobody
-// has to find out, and returns when they were told or ctx ends.
+// Leave announces to a few members that this instance has left permanently, so
+// that none has to detect it. It returns when the calls have ended or ctx ends.
 func (m *Membership) Leave(ctx context.Context) {
 	done := make(chan struct{})
-	msg := m.describe()
+	msg := m.selfMsg()
 	msg.Left = true
 	select {
-	case m.leave <- leaveOrder{msg: msg, done: done}:
+	case m.leave <- leaveRequest{msg: msg, done: done}:
 	case <-ctx.Done():
 		return
 	}
@@ -130,14 +132,14 @@
 	}
 }
 
-// leaveOrder asks the loop to spread that this instance has left.
-type leaveOrder struct {
+// leaveRequest asks the loop to announce that this instance has left.
+type leaveRequest struct {
 	msg  member.SetSelfMsg
 	done chan struct{}
 }
 
-// spreadLeft pushes the record and waits for the calls.
-func (m *Membership) spreadLeft(o leaveOrder) {
+// announceLeft pushes the record and waits for the calls.
+func (m *Membership) announceLeft(o leaveRequest) {
 	defer close(o.done)
 	var wg sync.WaitGroup
 	for _, cmd := range m.view.Update(o.msg) {
@@ -162,7 +164,7 @@
 	case member.ServerJoinedCmd:
 		m.tables.Backends.Join(cmd.Joined, clock.Now())
 	case member.FetchConfigCmd:
-		go m.fetch(cmd)
+		go m.fetchConfig(cmd)
 	}
 }
 
@@ -196,7 +198,7 @@
 	m.post(ctx, member.GossipMsg{Gossip: reply, Now: clock.Now(), Rand: rand.Uint64()})
 }
 
-func (m *Membership) fetch(cmd member.FetchConfigCmd) {
+func (m *Membership) fetchConfig(cmd member.FetchConfigCmd) {
 	above, _ := m.tables.Revision()
 	var reply protocol.FetchConfigReplyMsg
 	if err := m.links.Call(cmd.Address, "Config.Fetch", protocol.FetchConfigMsg{Above: above}, &reply, syncTimeout); err != nil {
@@ -216,7 +218,7 @@
 	}
 }
 
-// MemberService answers the other instances' membership calls.
+// MemberService handles membership calls from other instances.
 type MemberService struct {
 	ctx context.Context
 	m   *Membership
@@ -227,16 +229,16 @@
 	return &MemberService{ctx: ctx, m: m}
 }
 
-// Ping takes in news; that it answers is the sign of life.
-func (s *MemberService) Ping(news protocol.GossipMsg, ok *bool) error {
+// Ping merges gossip; the reply itself shows that the instance is alive.
+func (s *MemberService) Ping(gossip protocol.GossipMsg, ok *bool) error {
 	*ok = true
-	s.m.post(s.ctx, member.GossipMsg{Gossip: news, Now: clock.Now(), Rand: rand.Uint64()})
+	s.m.post(s.ctx, member.GossipMsg{Gossip: gossip, Now: clock.Now(), Rand: rand.Uint64()})
 	return nil
 }
 
-// Sync takes in all of another instance's records and returns all of this one's.
-func (s *MemberService) Sync(news protocol.GossipMsg, reply *protocol.GossipMsg) error {
-	s.m.post(s.ctx, member.GossipMsg{Gossip: news, Now: clock.Now(), Rand: rand.Uint64()})
+// Sync merges all records of another instance and returns all records of this one.
+func (s *MemberService) Sync(gossip protocol.GossipMsg, reply *protocol.GossipMsg) error {
+	s.m.post(s.ctx, member.GossipMsg{Gossip: gossip, Now: clock.Now(), Rand: rand.Uint64()})
 	full := make(chan protocol.GossipMsg, 1)
 	select {
 	case s.m.syncs <- full:
@@ -247,20 +249,21 @@
 	}
 }
 
-// Probe pings a third instance for another one.
+// Probe pings a third instance on behalf of the caller.
 func (s *MemberService) Probe(msg protocol.ProbeMsg, reply *protocol.ProbeReplyMsg) error {
 	var ok bool
 	reply.Alive = s.m.links.Call(msg.Address, "Member.Ping", protocol.GossipMsg{}, &ok, probeTimeout) == nil
 	return nil
 }
 
-// ConfigService answers the other instances' calls for the configuration.
+// ConfigService handles configuration calls from other instances.
 type ConfigService struct{ tables *state.Tables }
 
 // NewConfigService returns the receiver to register under "Config".
 func NewConfigService(t *state.Tables) *ConfigService { return &ConfigService{tables: t} }
 
-// Fetch returns the configuration in force if it is above the asked number.
+// Fetch returns the configuration in force if its number is greater than
+// msg.Above.
 func (s *ConfigService) Fetch(msg protocol.FetchConfigMsg, reply *protocol.FetchConfigReplyMsg) error {
 	ix := s.tables.Index()
 	if ix == nil || ix.Number <= msg.Above {
--- a/transport/meter.go
+++ b/transport/meter.go
@@ -7,13 +7,13 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// byteMeter counts what goes over a kind of connections, both ways.
+// byteMeter counts the bytes sent and received over a group of connections.
 type byteMeter struct {
 	sent     atomic.Int64
 	received atomic.Int64
 }
 
-// register shows the counts among the meters, in bytes since the start.
+// register registers the counts as metrics, in bytes since the start.
 func (m *byteMeter) register(name string, r metrics.Registry) {
 	metrics.NewRegisteredFunctionalGauge(name+".bytes.sent", r, m.sent.Load)
 	metrics.NewRegisteredFunctionalGauge(name+".bytes.received", r, m.received.Load)
@@ -23,7 +23,7 @@
 type meteredConn struct {
 	net.Conn
 	meter    *byteMeter
-	distance distanceMeter
+	distance connMeter
 }
 
 // Read implements net.Conn.
--- a/transport/metrics.go
+++ b/transport/metrics.go
@@ -6,10 +6,10 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// sampleSize is how many values a timer keeps to tell its percentiles from.
+// sampleSize is how many values a timer keeps for its percentiles.
 const sampleSize = 1028
 
-// gatewayMetrics are the meters of one gateway. Times are in nanoseconds.
+// gatewayMetrics holds the metrics of one gateway. Times are in nanoseconds.
 type gatewayMetrics struct {
 	registry metrics.Registry
 	requests metrics.Counter
--- a/transport/orders_test.go
+++ b/transport/orders_test.go
@@ -14,7 +14,7 @@
 	"github.com/weldstream/weldstream/state"
 )
 
-// fakeLease answers Leads from a list, the last one for ever.
+// fakeLease answers Leads from a list and then repeats the last answer.
 type fakeLease struct {
 	answers []leaseAnswer
 }
@@ -32,10 +32,10 @@
 	return a.term, a.ok
 }
 
-// TestOrdersNeedTheLease checks that an order goes out only if the lease of the
-// same term holds right before it is sent, and not until a new leader has
-// waited for its predecessor's lease to run out.
-func TestOrdersNeedTheLease(t *testing.T) {
+// TestOrdersRequireLease checks that an order is sent only if the lease of the
+// same term holds right before it, and not until a new leader has waited for its
+// predecessor's lease to expire.
+func TestOrdersRequireLease(t *testing.T) {
 	yes, no, next := leaseAnswer{7, true}, leaseAnswer{7, false}, leaseAnswer{9, true}
 	for _, tt := range []struct {
 		name   string
@@ -45,9 +45,9 @@
 	}{
 		{"leads", []leaseAnswer{yes}, 0, 1},
 		{"does not lead", []leaseAnswer{no}, 0, 0},
-		{"froze before the order", []leaseAnswer{yes, no}, 0, 0},
-		{"another term before the order", []leaseAnswer{yes, next}, 0, 0},
-		{"elected just now", []leaseAnswer{yes}, time.Hour, 0},
+		{"lease expired before the order", []leaseAnswer{yes, no}, 0, 0},
+		{"new term before the order", []leaseAnswer{yes, next}, 0, 0},
+		{"newly elected", []leaseAnswer{yes}, time.Hour, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			orders := 0
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestPeersProveThemselves connects with another key, with another version,
-// and with bytes that are no greeting: each is refused and logged.
-func TestPeersProveThemselves(t *testing.T) {
+// TestPeerAuthentication connects with another key, another protocol version and
+// an invalid proof: each is refused and logged.
+func TestPeerAuthentication(t *testing.T) {
 	var log strings.Builder
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -92,9 +92,9 @@
 	var reply bool
 	wrong := NewLinks("wrong", []byte("another key"), time.Second, zerolog.Nop())
 	if err := wrong.Call(ln.Addr().String(), "Member.Ping", protocol.GossipMsg{}, &reply, time.Second); err == nil || !strings.Contains(err.Error(), "key") {
-		t.Errorf("another key got %v", err)
+		t.Errorf("call with another key: %v", err)
 	}
-	for _, greeting := range []hello{{Version: protocol.PeerVersion + 1, Name: "newer"}, {Version: protocol.PeerVersion, Name: "liar"}} {
+	for _, first := range []hello{{Version: protocol.PeerVersion + 1, Name: "newer"}, {Version: protocol.PeerVersion, Name: "liar"}} {
 		conn, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -103,8 +103,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		greeting.Nonce = s.nonce
-		if err := s.frames.write(greeting); err != nil {
+		first.Nonce = s.nonce
+		if err := s.frames.write(first); err != nil {
 			t.Fatal(err)
 		}
 		_ = s.frames.write(hello{Proof: []byte("guess")})
@@ -114,7 +114,7 @@
 	<-done
 	for _, want := range []string{`"peer":"newer"`, ErrPeerVersion.Error(), `"peer":"liar"`, ErrPeerKey.Error()} {
 		if !strings.Contains(log.String(), want) {
-			t.Errorf("the log lacks %q:\n%s", want, log.String())
+			t.Errorf("the log does not contain %q:\n%s", want, log.String())
 		}
 	}
 }
--- a/transport/parse.go
+++ b/transport/parse.go
@@ -14,13 +14,13 @@
 	"github.com/weldstream/weldstream/state"
 )
 
-// prefixBytes is how much of a prompt its affinity hash covers.
+// prefixBytes is how many bytes of a prompt the affinity hash covers.
 const prefixBytes = 1024
 
-// bytesPerToken turns a prompt's size into an estimate of its tokens.
+// bytesPerToken is used to estimate the number of tokens from a prompt's size.
 const bytesPerToken = 4
 
-// maxKeyBytes bounds an idempotency key.
+// maxKeyBytes limits an idempotency key.
 const maxKeyBytes = 256
 
 // modelBody is the part of a caller's body that the gateway reads.
@@ -36,17 +36,17 @@
 	} `json:"stream_options"`
 }
 
-// parser checks one caller's request against the configuration in force.
+// parser validates one caller's request against the configuration in force.
 type parser struct {
-	ctx       *fasthttp.RequestCtx
-	index     *state.Index
-	workspace *protocol.Workspace
-	now       time.Time
-	longest   time.Duration // longest is the longest deadline that a caller may name.
-	usual     time.Duration // usual is the deadline when none is named.
+	ctx             *fasthttp.RequestCtx
+	index           *state.Index
+	workspace       *protocol.Workspace
+	now             time.Time
+	maxDeadline     time.Duration // maxDeadline is the longest deadline that a caller may set.
+	defaultDeadline time.Duration // defaultDeadline applies if the caller sets none.
 }
 
-// parseModel checks a request for a model.
+// parseModel parses a request for a model.
 func (p *parser) parseModel(kind protocol.Kind) (*protocol.Request, *protocol.Refusal) {
 	r, refusal := p.common(kind)
 	if refusal != nil {
@@ -54,7 +54,7 @@
 	}
 	var body modelBody
 	if err := json.Unmarshal(r.Body, &body); err != nil {
-		return nil, badRequest("the body is not the JSON that is asked for: %v", err)
+		return nil, badRequest("the body is not valid JSON for this request: %v", err)
 	}
 	if refusal := checkModelBody(kind, &body); refusal != nil {
 		return nil, refusal
@@ -76,9 +76,9 @@
 	return r, p.priority(r, rt.Priority)
 }
 
-// prefixHash identifies what later requests will share: of a chat, the messages
-// up to the caller's first, since what stands before that is the same for many
-// conversations; of a prompt, its first bytes.
+// prefixHash identifies the prefix that later requests probably share: of a chat,
+// the messages up to the first one of the user, since many conversations begin
+// with the same messages before it; of a prompt, its first bytes.
 func prefixHash(kind protocol.Kind, prompt json.RawMessage) uint64 {
 	if kind != protocol.KindChat {
 		return xxhash.Sum64(prompt[:min(len(prompt), prefixBytes)])
@@ -92,7 +92,7 @@
 	}
 	h := xxhash.New()
 	for _, m := range messages {
-		_, _ = h.Write(m.Content) // A hash does not fail.
+		_, _ = h.Write(m.Content) // hash.Hash never returns an error.
 		if m.Role == "user" {
 			break
 		}
@@ -109,7 +109,7 @@
 	case kind == protocol.KindChat && !isArray(body.Messages):
 		return badRequest("the field messages is missing or is not a list")
 	case body.N > 1:
-		return badRequest("the field n is %d: only one answer can be asked for", body.N)
+		return badRequest("the field n is %d: only one answer can be requested", body.N)
 	case body.MaxTokens < 0:
 		return badRequest("the field max_tokens is negative")
 	}
@@ -119,7 +119,7 @@
 func isString(raw json.RawMessage) bool { return len(raw) > 0 && raw[0] == '"' }
 func isArray(raw json.RawMessage) bool  { return len(raw) > 2 && raw[0] == '[' }
 
-// parseService checks a call of a plain service.
+// parseService parses a call of a plain service.
 func (p *parser) parseService(name, path string) (*protocol.Request, *protocol.Refusal) {
 	svc := p.index.Service(name, p.workspace.Name)
 	if svc == nil {
@@ -140,7 +140,7 @@
 	return r, p.priority(r, "")
 }
 
-// common reads what all requests share: key, deadline, marks.
+// common parses what all requests share: body, idempotency key and headers.
 func (p *parser) common(kind protocol.Kind) (*protocol.Request, *protocol.Refusal) {
 	h := &p.ctx.Request.Header
 	body := append([]byte(nil), p.ctx.PostBody()...)
@@ -151,7 +151,7 @@
 		BodyDigest: protocol.DigestOf(append([]byte(string(p.ctx.Path())+"\n"), body...)),
 		Method:     string(p.ctx.Method()),
 		Repeatable: true,
-		Deadline:   p.now.Add(p.usual),
+		Deadline:   p.now.Add(p.defaultDeadline),
 	}
 	for _, read := range []func(*protocol.Request) *protocol.Refusal{p.key, p.repeatable, p.deadline, p.issued, p.lastEvent} {
 		if refusal := read(r); refusal != nil {
@@ -185,8 +185,8 @@
 		return nil
 	}
 	d, err := time.ParseDuration(text)
-	if err != nil || d <= 0 || d > p.longest {
-		return badRequest("%s is %q: want a duration above 0 and up to %v", protocol.HeaderDeadline, text, p.longest)
+	if err != nil || d <= 0 || d > p.maxDeadline {
+		return badRequest("%s is %q: want a duration above 0 and up to %v", protocol.HeaderDeadline, text, p.maxDeadline)
 	}
 	r.Deadline = p.now.Add(d)
 	return nil
@@ -200,7 +200,7 @@
 	}
 	at, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
-		return badRequest("%s is %q: want a time as in RFC 3339", protocol.HeaderIssuedAt, text)
+		return badRequest("%s is %q: want an RFC 3339 time", protocol.HeaderIssuedAt, text)
 	}
 	r.IssuedAt = at
 	return nil
@@ -219,21 +219,21 @@
 	return nil
 }
 
-// priority takes the caller's wish, else the route's, bounded by the
-// workspace's highest.
-func (p *parser) priority(r *protocol.Request, usual string) *protocol.Refusal {
-	wish := p.header(protocol.HeaderPriority)
-	if wish == "" {
-		wish = usual
+// priority sets the caller's priority, else the route's, limited to the
+// workspace's maximum.
+func (p *parser) priority(r *protocol.Request, routePriority string) *protocol.Refusal {
+	requested := p.header(protocol.HeaderPriority)
+	if requested == "" {
+		requested = routePriority
 	}
-	priority, err := protocol.ParsePriority(wish)
+	priority, err := protocol.ParsePriority(requested)
 	if err != nil {
 		return badRequest("%s: %v", protocol.HeaderPriority, err)
 	}
 	if p.workspace.MaxPriority != "" {
-		most, err := protocol.ParsePriority(p.workspace.MaxPriority)
+		maximum, err := protocol.ParsePriority(p.workspace.MaxPriority)
 		if err == nil {
-			priority = min(priority, most)
+			priority = min(priority, maximum)
 		}
 	}
 	r.Priority = priority
@@ -249,8 +249,8 @@
 // uuidLength is the length of a UUID in its usual form.
 const uuidLength = 36
 
-// keyTime returns the time inside a key that is a UUID of version 7, or the
-// zero time. Such a key dates its request without a header.
+// keyTime returns the timestamp of a key that is a version 7 UUID, else the zero
+// time. Such a key gives the time of the request without a header.
 func keyTime(key string) time.Time {
 	if len(key) != uuidLength || key[14] != '7' {
 		return time.Time{}
--- a/transport/peerconn.go
+++ b/transport/peerconn.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// peerStall is how long another instance may take no byte of a write. A
-	// frozen one still acknowledges at its kernel, so without a bound a write
-	// that fills the buffers would last as long as the freeze, and with it every
-	// call that waits for the same connection.
-	peerStall = 2 * time.Second
-	// peerPiece is written under one deadline, so that a long message over a
-	// slow link is not taken for a stall.
-	peerPiece = 64 << 10
+	// peerWriteTimeout is how long another instance may accept no data of a write.
+	// The kernel of a frozen instance still acknowledges, so without a limit a
+	// write that fills the buffers would block for as long as the freeze, and with
+	// it every call that waits for the same connection.
+	peerWriteTimeout = 2 * time.Second
+	// peerWriteChunk is written under one deadline, so that a long message over a
+	// slow link does not time out.
+	peerWriteChunk = 64 << 10
 )
 
-// peerConn is a connection to another instance. Each piece of a write has its
-// own deadline.
+// peerConn is a connection to another instance. Each chunk of a write has its own
+// deadline.
 type peerConn struct {
 	net.Conn
 	stall time.Duration
@@ -27,7 +27,7 @@
 func (c *peerConn) Write(p []byte) (int, error) {
 	written := 0
 	for written < len(p) {
-		piece := p[written:min(len(p), written+peerPiece)]
+		piece := p[written:min(len(p), written+peerWriteChunk)]
 		if err := c.SetWriteDeadline(time.Now().Add(c.stall)); err != nil {
 			return written, err
 		}
--- a/transport/poller.go
+++ b/transport/poller.go
@@ -22,57 +22,57 @@
 	"github.com/weldstream/weldstream/state"
 )
 
-// Why an instance is not ready at first.
+// Reasons why an instance is not ready after its start.
 var (
-	errNoList = errors.New("the platform's list has not been read yet")
-	errNoLoad = errors.New("the backend servers have not been asked for their load yet")
+	errNoList = errors.New("the platform's instance list has not been read yet")
+	errNoLoad = errors.New("the backend servers have not been polled for their load yet")
 )
 
-// firstLoad is between two looks for the first list of servers to ask.
-const firstLoad = 20 * time.Millisecond
+// firstLoadInterval is the interval at which the first load reads are tried until
+// the server list is available.
+const firstLoadInterval = 20 * time.Millisecond
 
 const (
-	// listRate is how many bytes a second the reads of the platform's list may
-	// take up.
-	listRate = 2000.0
-	// listTimeout bounds one read.
+	// maxListBytesPerSecond limits the bandwidth for reads of the platform's list.
+	maxListBytesPerSecond = 2000.0
+	// listTimeout limits one read.
 	listTimeout = 5 * time.Second
 )
 
-// pollWorkers bounds the load reports that are asked for at once.
+// pollWorkers limits concurrent reads of load reports.
 const pollWorkers = 16
 
-// Poller reads the platform's list and notices and the backend servers' load
-// reports into the tables.
+// Poller reads the platform's instance list and notices and the backend servers'
+// load reports into the tables.
 type Poller struct {
-	settings *settings.Settings
-	tables   *state.Tables
-	log      zerolog.Logger
-	wires    *wires
-	events   PollerEvents
-	listed   atomic.Bool // listed says that the platform's list was read.
-	loaded   atomic.Bool // loaded says that the listed servers were asked for their load.
-	after    uint64      // after is the sequence of the last notice.
-}
-
-// PollerEvents are told of what a poller finds, so that the other instances
-// learn it without reading it themselves.
+	settings   *settings.Settings
+	tables     *state.Tables
+	log        zerolog.Logger
+	pool       *connPool
+	events     PollerEvents
+	listed     atomic.Bool // listed is set once the platform's list has been read.
+	loaded     atomic.Bool // loaded is set once the listed servers have been polled for their load.
+	lastNotice uint64      // lastNotice is the sequence number of the last notice.
+}
+
+// PollerEvents holds the callbacks for what a poller finds, so that the other
+// instances learn of it without polling themselves.
 type PollerEvents struct {
-	Leaving func(protocol.Leaving)  // Leaving is told of backend servers that will go.
-	Joined  func(protocol.Instance) // Joined is told of backend servers that are new in the list.
-	Entry   func(protocol.Notice)   // Entry is told of notices that name this instance.
+	Leaving func(protocol.Leaving)  // Leaving is called for backend servers that will leave.
+	Joined  func(protocol.Instance) // Joined is called for backend servers new in the list.
+	Entry   func(protocol.Notice)   // Entry is called for notices about this instance.
 }
 
 // NewPoller returns a poller that is not running.
 func NewPoller(s *settings.Settings, t *state.Tables, log zerolog.Logger, events PollerEvents) *Poller {
-	return &Poller{settings: s, tables: t, log: log, wires: newWires(s.Timeouts.Dial), events: events}
+	return &Poller{settings: s, tables: t, log: log, pool: newConnPool(s.Timeouts.Dial), events: events}
 }
 
-// Meter shows the bytes of polling among the meters.
-func (p *Poller) Meter(r metrics.Registry) { p.wires.meter.register("polls", r) }
+// Meter registers metrics of the bytes of polling.
+func (p *Poller) Meter(r metrics.Registry) { p.pool.meter.register("polls", r) }
 
-// Ready returns nil once the platform's list was read and the servers on it
-// were asked for their load. Before that nothing is known to route to.
+// Ready returns nil once the platform's list has been read and the servers on it
+// have been polled for their load. Until then there is no basis for routing.
 func (p *Poller) Ready() error {
 	switch {
 	case !p.listed.Load():
@@ -83,11 +83,11 @@
 	return nil
 }
 
-// RunList reads the list until ctx ends, the more seldom the longer it is.
+// RunList reads the list until ctx ends, less often the longer it is.
 func (p *Poller) RunList(ctx context.Context) error {
 	for {
 		size, err := p.readList()
-		p.note("list", err)
+		p.logError("list", err)
 		timer := time.NewTimer(listInterval(p.settings.Platform.Poll, size))
 		select {
 		case <-timer.C:
@@ -98,34 +98,34 @@
 	}
 }
 
-// listInterval is the time between two reads of a list of so many bytes, which
-// keeps them within listRate. Each instance draws its own, so that together
-// they read it much more often than each of them; what one finds, it tells the
-// others.
-func listInterval(least time.Duration, size int) time.Duration {
-	d := max(least, time.Duration(float64(size)/listRate*float64(time.Second)))
+// listInterval returns the time until the next read of a list of the given size,
+// which keeps the reads within maxListBytesPerSecond. Each instance adds its own
+// jitter, so that the reads of all instances are spread out; what one instance
+// finds, it announces to the others.
+func listInterval(minInterval time.Duration, size int) time.Duration {
+	d := max(minInterval, time.Duration(float64(size)/maxListBytesPerSecond*float64(time.Second)))
 	return d*3/4 + rand.N(d/2)
 }
 
 // RunNotices reads the notices until ctx ends.
 func (p *Poller) RunNotices(ctx context.Context) error {
-	return every(ctx, p.settings.Platform.NoticePoll, func() { p.note("notices", p.readNotices()) })
+	return runEvery(ctx, p.settings.Platform.NoticePoll, func() { p.logError("notices", p.readNotices()) })
 }
 
 // RunLoad reads the load reports until ctx ends.
 func (p *Poller) RunLoad(ctx context.Context) error {
-	for !p.loaded.Load() { // At the start, as soon as there is a list.
+	for !p.loaded.Load() { // Read the first loads as soon as the list is available.
 		p.readLoads()
 		select {
-		case <-time.After(firstLoad):
+		case <-time.After(firstLoadInterval):
 		case <-ctx.Done():
 			return nil
 		}
 	}
-	return every(ctx, p.settings.Timeouts.LoadPoll, p.readLoads)
+	return runEvery(ctx, p.settings.Timeouts.LoadPoll, p.readLoads)
 }
 
-func every(ctx context.Context, d time.Duration, do func()) error {
+func runEvery(ctx context.Context, d time.Duration, do func()) error {
 	tick := time.NewTicker(d)
 	defer tick.Stop()
 	for {
@@ -138,16 +138,16 @@
 	}
 }
 
-func (p *Poller) note(what string, err error) {
+func (p *Poller) logError(what string, err error) {
 	if err != nil {
 		p.log.Warn().Err(err).Str("what", what).Msg("the platform could not be read")
 	}
 }
 
-// get reads one JSON answer of the platform or of a backend server, and returns
+// get reads one JSON response of the platform or of a backend server, and returns
 // its size in bytes.
 func (p *Poller) get(address, path string, timeout time.Duration, dst any) (size int, err error) {
-	status, body, err := p.wires.call(address, http.MethodGet, path, nil, timeout)
+	status, body, err := p.pool.call(address, http.MethodGet, path, nil, timeout)
 	if err != nil {
 		return 0, err
 	}
@@ -157,8 +157,8 @@
 	return len(body), eris.Wrap(json.Unmarshal(body, dst), "parse answer")
 }
 
-// readList reads the list and spreads what is new in it. It returns its size
-// in bytes.
+// readList reads the list and announces what is new in it. It returns the list's
+// size in bytes.
 func (p *Poller) readList() (size int, err error) {
 	var list protocol.InstanceList
 	size, err = p.get(p.settings.Platform.Address, "/v1/instances", p.settings.Timeouts.Dial+listTimeout, &list)
@@ -168,7 +168,7 @@
 	old := p.tables.Backends.View()
 	p.tables.Backends.SetList(list.Instances, clock.Now())
 	if !p.listed.Swap(true) {
-		return size, nil // At the start all of it is new here, and nothing to the others.
+		return size, nil // The first list is new only to this instance.
 	}
 	for _, in := range list.Instances {
 		known := old.Find(in.ID)
@@ -185,12 +185,12 @@
 
 func (p *Poller) readNotices() error {
 	var list protocol.NoticeList
-	path := "/v1/notices?after=" + strconv.FormatUint(p.after, 10)
+	path := "/v1/notices?after=" + strconv.FormatUint(p.lastNotice, 10)
 	if _, err := p.get(p.settings.Platform.Address, path, p.settings.Timeouts.Dial+p.settings.Platform.NoticePoll, &list); err != nil {
 		return err
 	}
 	for _, n := range list.Notices {
-		p.after = max(p.after, n.Sequence)
+		p.lastNotice = max(p.lastNotice, n.Sequence)
 		if n.Instance == p.settings.Name {
 			p.events.Entry(n)
 			continue
@@ -200,8 +200,8 @@
 	return nil
 }
 
-// readLoads asks the servers that the plan names for their load, a bounded
-// number at once.
+// readLoads reads the load reports of the planned servers, up to pollWorkers at a
+// time.
 func (p *Poller) readLoads() {
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, pollWorkers)
@@ -209,7 +209,7 @@
 	view := p.tables.Backends.View()
 	plan := poll.Plan(view, p.perRound())
 	if !p.loaded.Load() {
-		plan = poll.Plan(view, len(view.Servers)) // At the start all of them are asked.
+		plan = poll.Plan(view, len(view.Servers)) // The first round asks all servers.
 	}
 	rows := make([]state.ReportRow, len(plan))
 	for k, i := range plan {
@@ -226,7 +226,7 @@
 	}
 }
 
-// perRound is how many servers one round asks.
+// perRound returns how many servers are asked in one round.
 func (p *Poller) perRound() int {
 	return max(1, int(float64(p.settings.Limits.LoadReads)*p.settings.Timeouts.LoadPoll.Seconds()))
 }
--- a/transport/quarantine.go
+++ b/transport/quarantine.go
@@ -18,65 +18,67 @@
 )
 
 const (
-	// observeEvery is between two questions of an entry instance to the leader; it asks at
-	// once when it saw a server end. At 360 instances that is 720 small calls a second.
-	observeEvery = 500 * time.Millisecond
-	// observeTime bounds one question.
-	observeTime = 700 * time.Millisecond
-	// observeAlone is how old the leader's word may be before an instance goes by what it
-	// saw itself.
-	observeAlone = 3 * observeEvery
-	// judgeEvery is between two decisions of the leader.
-	judgeEvery = 100 * time.Millisecond
+	// observeInterval is the time between two reports of an entry instance to the
+	// leader; a server crash is reported immediately. At 360 instances that is 720
+	// small calls a second.
+	observeInterval = 500 * time.Millisecond
+	// observeTimeout limits one call.
+	observeTimeout = 700 * time.Millisecond
+	// leaderReplyMaxAge is the age of the leader's last reply from which an
+	// instance decides by its own observations.
+	leaderReplyMaxAge = 3 * observeInterval
+	// decideInterval is the time between two decisions of the leader.
+	decideInterval = 100 * time.Millisecond
 )
 
-// Observer answers what an entry instance observed: the leader of the group, or the
-// instance itself where there is no group.
+// Observer evaluates the observations of an entry instance: the leader of the
+// group, or the instance itself without a group.
 type Observer interface {
 	Observe(ctx context.Context, m protocol.ObserveMsg) (protocol.ObserveReply, error)
 }
 
-// Quarantine keeps requests under which servers end from the servers of an entry instance.
+// Quarantine prevents an entry instance from sending requests that crash servers.
 type Quarantine struct {
-	observer Observer
-	name     string
-	dial     time.Duration
-	log      zerolog.Logger
-	wake     chan struct{}
-	heard    atomic.Pointer[time.Time] // heard is when the leader answered last.
+	observer  Observer
+	name      string
+	dial      time.Duration
+	log       zerolog.Logger
+	wake      chan struct{}
+	lastReply atomic.Pointer[time.Time] // lastReply is the send time of the last report that the leader answered.
 
-	mu     sync.Mutex // mu guards all below; no other lock is taken under it.
-	gate   *quarantine.Filter
+	mu     sync.Mutex // mu guards the fields below; no other lock is acquired under it.
+	filter *quarantine.Filter
 	term   uint64
 	broken quarantine.BrokenConnections
 }
 
-// NewQuarantine returns an instance's quarantine, which holds nothing before Run.
+// NewQuarantine returns an instance's quarantine, which holds no requests before
+// Run.
 func NewQuarantine(name string, o Observer, dial time.Duration, log zerolog.Logger) *Quarantine {
 	now := clock.Now()
-	q := &Quarantine{observer: o, name: name, dial: dial, log: log, wake: make(chan struct{}, 1), gate: quarantine.NewFilter(name, now)}
-	q.heard.Store(&now)
+	q := &Quarantine{observer: o, name: name, dial: dial, log: log, wake: make(chan struct{}, 1), filter: quarantine.NewFilter(name, now)}
+	q.lastReply.Store(&now)
 	return q
 }
 
-// Run asks the leader until ctx ends.
+// Run reports to the leader until ctx ends.
 func (q *Quarantine) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		q.ask(ctx)
-		pause.Until(ctx, observeEvery, q.wake)
+		q.report(ctx)
+		pause.Until(ctx, observeInterval, q.wake)
 	}
 	return nil
 }
 
-// ask tells the leader what it lacks and takes its word.
-func (q *Quarantine) ask(ctx context.Context) {
-	limit, cancel := context.WithTimeout(ctx, observeTime)
+// report sends the leader the observations that it lacks and applies its reply.
+func (q *Quarantine) report(ctx context.Context) {
+	limit, cancel := context.WithTimeout(ctx, observeTimeout)
 	defer cancel()
 	q.mu.Lock()
-	m := protocol.ObserveMsg{Instance: q.name, Term: q.term, Observations: q.gate.Report(q.term, clock.Now())}
-	m.Quarantined, m.Watched = q.gate.SyncState()
+	m := protocol.ObserveMsg{Instance: q.name, Term: q.term, Observations: q.filter.Report(q.term, clock.Now())}
+	m.Quarantined, m.Watched = q.filter.SyncState()
 	q.mu.Unlock()
-	asked := clock.Now()
+	sentAt := clock.Now()
 	reply, err := q.observer.Observe(limit, m)
 	if err != nil {
 		q.log.Debug().Err(err).Msg("no leader was told of servers that ended")
@@ -84,20 +86,23 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.gate.Acknowledged(reply.Term, m.Observations)
-	q.gate.ApplyUpdate(reply.Quarantine, reply.Watch, clock.Now())
+	q.filter.Acknowledged(reply.Term, m.Observations)
+	q.filter.ApplyUpdate(reply.Quarantine, reply.Watch, clock.Now())
 	q.term = reply.Term
-	q.heard.Store(&asked)
+	q.lastReply.Store(&sentAt)
 	if reply.Quarantine != nil {
-		q.log.Info().Uint64("changes", reply.Quarantine.Changes).Int("held", q.gate.Held()).Msg("quarantine")
+		q.log.Info().Uint64("changes", reply.Quarantine.Changes).Int("held", q.filter.Held()).Msg("quarantine")
 	}
 }
 
-// alone reports whether no leader has answered of late.
-func (q *Quarantine) alone() bool { return clock.Since(*q.heard.Load()) > observeAlone }
+// leaderUnreachable reports whether no leader has answered within
+// leaderReplyMaxAge.
+func (q *Quarantine) leaderUnreachable() bool {
+	return clock.Since(*q.lastReply.Load()) > leaderReplyMaxAge
+}
 
-// sameRequest is what the sends of a request have in common.
-func sameRequest(r *protocol.Request) *quarantine.Request {
+// quarantineRequest returns what identifies a request across its sends.
+func quarantineRequest(r *protocol.Request) *quarantine.Request {
 	path := r.Method + " " + r.Path
 	if r.Kind != protocol.KindService {
 		path = enginePath(r.Kind)
@@ -105,110 +110,113 @@
 	return &quarantine.Request{Caller: r.Key.Workspace, Host: r.Route, Path: path, Body: r.Body}
 }
 
-// check returns whether a request may be sent to a server, and uses up a trial by which it
-// may.
+// check decides whether a request may be sent to a server, and consumes the trial
+// that permits it, if any.
 func (q *Quarantine) check(r *protocol.Request) quarantine.Decision {
-	same := sameRequest(r)
-	alone := q.alone()
+	request := quarantineRequest(r)
+	unreachable := q.leaderUnreachable()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.gate.Check(same.QuickHash(), same.Fingerprint, true, alone, clock.Now())
+	return q.filter.Check(request.QuickHash(), request.Fingerprint, true, unreachable, clock.Now())
 }
 
-// heldMsg ends an attempt that is not made, as servers ended under its request.
+// heldMsg fails an attempt that is not sent because its request is held.
 func heldMsg(attemptNumber int, p quarantine.Decision) attempt.FailedMsg {
 	r := p.Refusal(time.Now())
 	return attempt.FailedMsg{Attempt: attemptNumber, Verdict: r.Verdict, Status: r.Status, Code: r.Code, Reason: r.Message, RetryAfter: r.RetryAfter, Final: true}
 }
 
-// endedWell notes that a request was answered by its server.
-func (q *Quarantine) endedWell(r *protocol.Request) {
-	same := sameRequest(r)
+// recordSuccess records that a server answered a request.
+func (q *Quarantine) recordSuccess(r *protocol.Request) {
+	request := quarantineRequest(r)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.gate.RecordSuccess(same.QuickHash(), same.Fingerprint, clock.Now())
+	q.filter.RecordSuccess(request.QuickHash(), request.Fingerprint, clock.Now())
 }
 
-// broke notes that a server's connection ended under a request, for none of our reasons.
-func (q *Quarantine) broke(r *protocol.Request, s *state.Server, sent time.Time, err error) {
+// connBroken records that a server's connection ended during a request, unless
+// this side closed it or timed out.
+func (q *Quarantine) connBroken(r *protocol.Request, s *state.Server, sent time.Time, err error) {
 	if !tcp.EndedByPeer(err) {
 		return
 	}
-	fingerprint := sameRequest(r).Fingerprint()
+	fingerprint := quarantineRequest(r).Fingerprint()
 	q.mu.Lock()
 	first := q.broken.Add(s.ID, fingerprint, sent)
 	q.mu.Unlock()
 	if first {
-		go q.probe(s) // It ends within GatherBroken and the limit of a connect.
+		go q.probe(s) // The probe ends within BrokenConnectionWindow and the dial timeout.
 	}
 }
 
-// probe finds out whether a server whose connections broke has ended: its port refuses.
+// probe checks whether a server whose connections broke has crashed: then its port
+// refuses connections.
 func (q *Quarantine) probe(s *state.Server) {
-	broke := time.Now()
+	brokeAt := time.Now()
 	pause.For(context.Background(), quarantine.BrokenConnectionWindow)
 	presence := tcp.Probe(s.Address, q.dial)
 	ended := presence == tcp.PresenceEnded
 	q.mu.Lock()
-	runs, names := q.broken.Take(s.ID, broke)
+	runs, names := q.broken.Take(s.ID, brokeAt)
 	if ended {
-		q.gate.RecordCrash(s.ID, runs, clock.Now())
+		q.filter.RecordCrash(s.ID, runs, clock.Now())
 	}
 	q.mu.Unlock()
 	q.log.Warn().Str("server", s.ID).Stringer("presence", presence).Int("runs", len(runs)).Strs("fingerprints", names).Msg("connections of a server broke")
 	if ended {
 		select {
 		case q.wake <- struct{}{}:
-		default: // Run has not looked since it was woken up last.
+		default: // A wake-up is already pending.
 		}
 	}
 }
 
-// Held returns how many requests are held.
+// Held returns the number of held requests.
 func (q *Quarantine) Held() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.gate.Held()
+	return q.filter.Held()
 }
 
-// QuarantineGroup is what a replica's quarantine needs of the group.
+// QuarantineGroup is the part of the replication group that a replica's quarantine
+// needs.
 type QuarantineGroup interface {
 	Vouches() (term uint64, ok bool)
 	Propose(ctx context.Context, c protocol.Command) (protocol.Result, error)
 }
 
-// QuarantineService decides, on the replica that leads, which requests are held. It is
+// QuarantineService decides on the leading replica which requests are held. It is
 // registered under "Quarantine".
 type QuarantineService struct {
-	group  QuarantineGroup
-	leaves func(server string) bool
-	log    zerolog.Logger
-	logged atomic.Pointer[protocol.QuarantineLog]
+	group     QuarantineGroup
+	isLeaving func(server string) bool
+	log       zerolog.Logger
+	logged    atomic.Pointer[protocol.QuarantineLog]
 
-	mu     sync.Mutex // mu guards all below.
-	term   uint64
-	keeper *quarantine.Coordinator
+	mu          sync.Mutex // mu guards the fields below.
+	term        uint64
+	coordinator *quarantine.Coordinator
 }
 
-// NewQuarantineService returns the service of a replica. The func leaves tells whether a
-// server is known to leave.
-func NewQuarantineService(g QuarantineGroup, leaves func(server string) bool, log zerolog.Logger) *QuarantineService {
-	s := &QuarantineService{group: g, leaves: leaves, log: log, keeper: quarantine.NewCoordinator()}
+// NewQuarantineService returns the service of a replica. The function isLeaving
+// reports whether a server is known to be leaving.
+func NewQuarantineService(g QuarantineGroup, isLeaving func(server string) bool, log zerolog.Logger) *QuarantineService {
+	s := &QuarantineService{group: g, isLeaving: isLeaving, log: log, coordinator: quarantine.NewCoordinator()}
 	s.logged.Store(&protocol.QuarantineLog{})
 	return s
 }
 
-// Install takes the quarantine of the log. The replica's loop calls it.
+// Install stores the replicated quarantine. The replica's loop calls it.
 func (s *QuarantineService) Install(l protocol.QuarantineLog) { s.logged.Store(&l) }
 
-// enter makes sure that what is held belongs to a term. It needs s.mu.
-func (s *QuarantineService) enter(term uint64) {
+// enterTerm discards the observations of an earlier term. It requires s.mu.
+func (s *QuarantineService) enterTerm(term uint64) {
 	if s.term != term {
-		s.term, s.keeper = term, quarantine.NewCoordinator()
+		s.term, s.coordinator = term, quarantine.NewCoordinator()
 	}
 }
 
-// Observe answers an entry instance.
+// Observe handles the report of an entry instance.
 func (s *QuarantineService) Observe(m protocol.ObserveMsg, reply *protocol.ObserveReply) error {
 	term, ok := s.group.Vouches()
 	if !ok {
@@ -216,56 +224,56 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.enter(term)
-	s.keeper.AddObservations(m.Instance, m.Observations, s.leaves, clock.Now())
+	s.enterTerm(term)
+	s.coordinator.AddObservations(m.Instance, m.Observations, s.isLeaving, clock.Now())
 	reply.Term = term
 	reply.Quarantine = s.logged.Load().UpdateSince(m.Quarantined)
-	reply.Watch = protocol.NewWatchUpdate(s.keeper.Watched(), m.Watched)
-	still, ok := s.group.Vouches()
-	reply.Leads = ok && still == term
+	reply.Watch = protocol.NewWatchUpdate(s.coordinator.Watched(), m.Watched)
+	currentTerm, ok := s.group.Vouches()
+	reply.Leads = ok && currentTerm == term
 	return nil
 }
 
 // Run decides while this replica leads, until ctx ends.
 func (s *QuarantineService) Run(ctx context.Context) error {
-	for pause.For(ctx, judgeEvery) {
+	for pause.For(ctx, decideInterval) {
 		s.decide(ctx)
 	}
 	return nil
 }
 
-// decide has the log take what is to change, if this replica leads. A change that is not
-// taken is decided anew.
+// decide proposes the due changes to the log, if this replica leads. A change that
+// is not committed is decided again.
 func (s *QuarantineService) decide(ctx context.Context) {
 	term, ok := s.group.Vouches()
 	if !ok {
 		return
 	}
 	s.mu.Lock()
-	s.enter(term)
-	m := s.keeper.Decide(s.logged.Load(), clock.Now(), time.Now())
+	s.enterTerm(term)
+	m := s.coordinator.Decide(s.logged.Load(), clock.Now(), time.Now())
 	s.mu.Unlock()
 	if len(m.Hold)+len(m.Try)+len(m.Free) == 0 {
 		return
 	}
-	limit, cancel := context.WithTimeout(ctx, observeTime)
+	limit, cancel := context.WithTimeout(ctx, observeTimeout)
 	defer cancel()
 	_, err := s.group.Propose(limit, protocol.Command{Quarantine: &m})
 	s.log.Warn().Err(err).Int("held", len(m.Hold)).Int("tried", len(m.Try)).Int("freed", len(m.Free)).Msg("quarantine changed")
 }
 
-// LocalQuarantine decides for an instance without a group, and keeps the quarantine in its
-// memory.
+// LocalQuarantine decides for an instance without a group, and keeps the
+// quarantine in memory.
 type LocalQuarantine struct {
-	leaves func(server string) bool
-	mu     sync.Mutex // mu guards all below.
-	keeper *quarantine.Coordinator
-	log    *state.Machine
+	isLeaving   func(server string) bool
+	mu          sync.Mutex // mu guards the fields below.
+	coordinator *quarantine.Coordinator
+	log         *state.Machine
 }
 
-// NewLocalQuarantine returns one that holds nothing.
-func NewLocalQuarantine(leaves func(server string) bool) *LocalQuarantine {
-	return &LocalQuarantine{leaves: leaves, keeper: quarantine.NewCoordinator(), log: state.NewMachine()}
+// NewLocalQuarantine returns a local quarantine that holds no requests.
+func NewLocalQuarantine(isLeaving func(server string) bool) *LocalQuarantine {
+	return &LocalQuarantine{isLeaving: isLeaving, coordinator: quarantine.NewCoordinator(), log: state.NewMachine()}
 }
 
 // Observe implements Observer.
@@ -273,12 +281,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := clock.Now()
-	l.keeper.AddObservations(m.Instance, m.Observations, l.leaves, now)
+	l.coordinator.AddObservations(m.Instance, m.Observations, l.isLeaving, now)
 	logged := l.log.QuarantineLog()
-	change := l.keeper.Decide(&logged, now, time.Now())
+	change := l.coordinator.Decide(&logged, now, time.Now())
 	if len(change.Hold)+len(change.Try)+len(change.Free) > 0 {
 		l.log.Apply(&protocol.Command{At: protocol.Millis(time.Now()), Quarantine: &change})
 		logged = l.log.QuarantineLog()
 	}
-	return protocol.ObserveReply{Leads: true, Term: 1, Quarantine: logged.UpdateSince(m.Quarantined), Watch: protocol.NewWatchUpdate(l.keeper.Watched(), m.Watched)}, nil
+	return protocol.ObserveReply{Leads: true, Term: 1, Quarantine: logged.UpdateSince(m.Quarantined), Watch: protocol.NewWatchUpdate(l.coordinator.Watched(), m.Watched)}, nil
 }
--- a/transport/relay_test.go
+++ b/transport/relay_test.go
@@ -19,7 +19,7 @@
 
 const relayTokens = 2000
 
-// relayEngine answers each request with the same events.
+// relayEngine serves the same events for each request.
 func relayEngine(tb testing.TB) string {
 	var answer bytes.Buffer
 	for i := range relayTokens {
@@ -38,7 +38,7 @@
 	return strings.TrimPrefix(srv.URL, "http://")
 }
 
-// relayGateway serves a gateway before one engine.
+// relayGateway serves a gateway with one engine.
 func relayGateway(tb testing.TB, engine, key string) string {
 	tables := state.NewTables()
 	tables.Install(protocol.Revision{Number: 1, Config: &protocol.Config{
@@ -58,8 +58,8 @@
 	return ln.Addr().String()
 }
 
-// BenchmarkRelay relays one stream at a time as fast as it goes; see
-// BenchmarkRelay of package e2e for whole processes.
+// BenchmarkRelay relays one stream at a time at full speed; see BenchmarkRelay of
+// package e2e for whole processes.
 func BenchmarkRelay(b *testing.B) {
 	const key = "relay-key"
 	address := relayGateway(b, relayEngine(b), key)
