--- a/transport/replica.go
+++ b/transport/replica.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	sendQueue       = 1024             // messages that wait for one replica
-	sendBatch       = 64               // messages in one call
+	sendQueueSize   = 1024             // messages queued for one replica
+	maxBatch        = 64               // messages per call
 	stepTimeout     = time.Second      // for a call without a snapshot
 	snapshotTimeout = 30 * time.Second // for a call with a snapshot
-	serveTimeout    = 5 * time.Second  // for a call that another instance waits for
+	serveTimeout    = 5 * time.Second  // for handling a call from another instance
 )
 
 // StepArgs carries messages between replicas of one group.
@@ -28,46 +28,46 @@
 	Messages []replicate.Message
 }
 
-// ReplicaSender sends messages to other replicas: a queue and a goroutine for
-// each, so that one that does not answer holds up nobody else.
+// ReplicaSender sends messages to other replicas. Each replica has its own queue
+// and goroutine, so that an unresponsive one does not delay the others.
 type ReplicaSender struct {
-	ctx    context.Context
-	tables *state.Tables
-	links  *Links
-	mu     sync.Mutex
-	queues map[string]chan StepArgs
-	guess  func(name string) (address string, ok bool)
+	ctx             context.Context
+	tables          *state.Tables
+	links           *Links
+	mu              sync.Mutex
+	queues          map[string]chan StepArgs
+	fallbackAddress func(name string) (address string, ok bool)
 }
 
-// ReplicaSenderOption changes a new sender.
+// ReplicaSenderOption configures a ReplicaSender.
 type ReplicaSenderOption func(*ReplicaSender)
 
-// WithAddresses sets what tells the address of a replica that the membership has
-// not met yet; without it, messages to such a one are lost.
+// WithAddresses sets the lookup for the address of a replica that the membership
+// does not know yet; without it, messages to such a replica are dropped.
 func WithAddresses(f func(name string) (address string, ok bool)) ReplicaSenderOption {
-	return func(s *ReplicaSender) { s.guess = f }
+	return func(s *ReplicaSender) { s.fallbackAddress = f }
 }
 
-// NewReplicaSender returns a sender that works until ctx ends.
+// NewReplicaSender returns a sender that runs until ctx ends.
 func NewReplicaSender(ctx context.Context, t *state.Tables, l *Links, opts ...ReplicaSenderOption) *ReplicaSender {
 	s := &ReplicaSender{ctx: ctx, tables: t, links: l, queues: map[string]chan StepArgs{}}
-	s.guess = func(string) (string, bool) { return "", false }
+	s.fallbackAddress = func(string) (string, bool) { return "", false }
 	for _, opt := range opts {
 		opt(s)
 	}
 	return s
 }
 
-// address returns where a replica is reached.
+// address returns the address of a replica.
 func (s *ReplicaSender) address(name string) (string, bool) {
 	if row, ok := s.tables.Members.Get(name); ok {
 		return row.Address, true
 	}
-	return s.guess(name)
+	return s.fallbackAddress(name)
 }
 
-// Send implements group.Sender. A full queue loses the message; the protocol
-// sends again.
+// Send implements group.Sender. If the queue is full, the message is dropped; the
+// protocol retransmits it.
 func (s *ReplicaSender) Send(group uint64, m replicate.Message) {
 	select {
 	case s.queue(m.To.Name) <- StepArgs{Group: group, Messages: []replicate.Message{m}}:
@@ -80,7 +80,7 @@
 	defer s.mu.Unlock()
 	q := s.queues[name]
 	if q == nil {
-		q = make(chan StepArgs, sendQueue)
+		q = make(chan StepArgs, sendQueueSize)
 		s.queues[name] = q
 		go s.run(name, q)
 	}
@@ -88,20 +88,20 @@
 }
 
 func (s *ReplicaSender) run(name string, q chan StepArgs) {
-	p := pipeline{waiting: q, open: make(chan struct{}, openCalls)}
+	p := pipeline{waiting: q, open: make(chan struct{}, maxOpenCalls)}
 	for {
 		select {
 		case first := <-q:
-			s.callFor(name, gather(first, q), &p)
+			s.callFor(name, batch(first, q), &p)
 		case <-s.ctx.Done():
 			return
 		}
 	}
 }
 
-// gather joins what else waits for the same replica.
-func gather(args StepArgs, q chan StepArgs) StepArgs {
-	for len(args.Messages) < sendBatch {
+// batch appends the other messages queued for the same replica, up to maxBatch.
+func batch(args StepArgs, q chan StepArgs) StepArgs {
+	for len(args.Messages) < maxBatch {
 		select {
 		case more := <-q:
 			args.Messages = append(args.Messages, more.Messages...)
@@ -112,26 +112,29 @@
 	return args
 }
 
-// pipelineAfter is how long messages wait for the answer to those before them. Within
-// a region the answer comes by then, and what gathers meanwhile goes in one call. Over
-// long paths it does not, and a message would wait for up to a whole round trip.
-const pipelineAfter = 4 * time.Millisecond
+// pipelineDelay is how long queued messages wait for the answer to the previous
+// call. Within a region the answer arrives by then, and the messages queued
+// meanwhile go in one call. Between regions it does not, and without this limit a
+// message would wait for up to a whole round trip.
+const pipelineDelay = 4 * time.Millisecond
 
-// openCalls is how many calls to one replica may be open: those of a quarter of a second
-// at one each pipelineAfter. A replica that answers none of them gets no more.
-const openCalls = 64
+// maxOpenCalls limits the open calls to one replica: those of a quarter of a
+// second at one per pipelineDelay. A replica that answers none of them gets no
+// more.
+const maxOpenCalls = 64
 
-// pipeline is what waits for, and is under way to, one replica.
+// pipeline holds the queued messages and the open calls of one replica.
 type pipeline struct {
 	waiting chan StepArgs
-	open    chan struct{} // open holds the calls that are not answered yet.
-	answers atomic.Bool   // answers says that the latest call to end was answered.
+	open    chan struct{} // open holds a token for each unanswered call.
+	answers atomic.Bool   // answers reports whether the last call to end was answered.
 }
 
-// callFor makes a call and waits for its end, or for pipelineAfter where the replica
-// answered the call before. One that did not gets one call at a time. All calls to a replica
-// use one connection, so they seldom overtake each other; where one does, the replica
-// refuses what does not match and is sent it again.
+// callFor makes a call and waits for its end, or only for pipelineDelay if the
+// replica answered the previous call. A replica that did not gets one call at a
+// time. All calls to a replica use one connection, so reordering is rare; if it
+// happens, the replica rejects messages that do not match its log and they are
+// sent again.
 func (s *ReplicaSender) callFor(name string, args StepArgs, p *pipeline) {
 	p.open <- struct{}{}
 	done := make(chan struct{})
@@ -143,14 +146,14 @@
 		answered := s.call(name, args)
 		p.answers.Store(answered)
 		if !answered {
-			forget(p.waiting)
+			discardQueued(p.waiting)
 		}
 	}()
 	if !p.answers.Load() {
 		<-done
 		return
 	}
-	next := time.NewTimer(pipelineAfter)
+	next := time.NewTimer(pipelineDelay)
 	defer next.Stop()
 	select {
 	case <-done:
@@ -158,10 +161,10 @@
 	}
 }
 
-// forget drops what waits for a replica that was not reached. It is sent again in newer
-// messages; when the path is back, rounds of a second ago would hold up those of now,
-// and their answers would look like a long path.
-func forget(q chan StepArgs) {
+// discardQueued drops the messages queued for an unreachable replica. They are
+// sent again in newer messages; when the path is back, rounds of a second ago
+// would delay the current ones, and their answers would look like a long path.
+func discardQueued(q chan StepArgs) {
 	for range len(q) {
 		select {
 		case <-q:
@@ -184,10 +187,10 @@
 		}
 	}
 	var done bool
-	return s.links.Call(address, "Group.Step", args, &done, timeout) == nil // Lost messages are sent again.
+	return s.links.Call(address, "Group.Step", args, &done, timeout) == nil // The protocol retransmits lost messages.
 }
 
-// GroupService answers the other instances' calls to this replica.
+// GroupService handles group calls from other instances to this replica.
 type GroupService struct {
 	ctx   context.Context
 	group *group.Group
@@ -198,7 +201,7 @@
 	return &GroupService{ctx: ctx, group: g}
 }
 
-// Step takes messages of another replica.
+// Step processes messages from another replica.
 func (s *GroupService) Step(args StepArgs, done *bool) error {
 	*done = true
 	for _, m := range args.Messages {
@@ -209,46 +212,46 @@
 	return nil
 }
 
-// GroupReply is the outcome of a call that only the leader can carry out.
+// GroupReply is the reply to a call that only the leader can execute.
 type GroupReply struct {
 	Result protocol.Result
 	Failed GroupFailure
-	Leader string // Leader is who leads, as far as this replica knows.
+	Leader string // Leader is the leader known to this replica.
 	Number uint64
 	Config []byte
 
 	Rollouts []protocol.Rollout
 }
 
-// GroupFailure tells why a call was not carried out.
+// GroupFailure is the reason why a call was not executed.
 type GroupFailure uint8
 
-// The failures of calls to a group.
+// Results of calls to a group.
 const (
-	GroupOK        GroupFailure = iota
-	GroupNotLeader              // GroupElsewhere means that nothing was done here.
-	GroupUnknown                // GroupUnknown means that it may be done or not.
-	GroupFull                   // GroupFull means that the leader's disk has no room.
+	GroupOK             GroupFailure = iota
+	GroupNotLeader                   // GroupNotLeader means that this replica did not execute the call.
+	GroupOutcomeUnknown              // GroupOutcomeUnknown means that the call may or may not have been executed.
+	GroupDiskFull                    // GroupDiskFull means that the leader's disk is full.
 )
 
-func failureOf(err error) GroupFailure {
+func groupFailure(err error) GroupFailure {
 	switch {
 	case err == nil:
 		return GroupOK
 	case eris.Is(err, group.ErrFull):
-		return GroupFull
+		return GroupDiskFull
 	case eris.Is(err, replicate.ErrNotLeader), eris.Is(err, group.ErrNoGroup), eris.Is(err, group.ErrDisk), eris.Is(err, replicate.ErrBusy):
 		return GroupNotLeader
 	}
-	return GroupUnknown
+	return GroupOutcomeUnknown
 }
 
-// Propose has a command committed.
+// Propose proposes a command and waits until it is committed.
 func (s *GroupService) Propose(c protocol.Command, reply *GroupReply) error {
 	ctx, cancel := context.WithTimeout(s.ctx, serveTimeout)
 	defer cancel()
 	result, err := s.group.Propose(ctx, c)
-	reply.Result, reply.Failed, reply.Leader = result, failureOf(err), s.group.Status().Leader.Name
+	reply.Result, reply.Failed, reply.Leader = result, groupFailure(err), s.group.Status().Leader.Name
 	return nil
 }
 
@@ -260,26 +263,26 @@
 	if err == nil {
 		reply.Number, reply.Config, err = s.group.Revision(ctx)
 	}
-	reply.Failed, reply.Leader = failureOf(err), s.group.Status().Leader.Name
+	reply.Failed, reply.Leader = groupFailure(err), s.group.Status().Leader.Name
 	return nil
 }
 
-// Remove takes a name out of the group.
+// Remove removes the replica with the given name from the group.
 func (s *GroupService) Remove(name string, reply *GroupReply) error {
 	ctx, cancel := context.WithTimeout(s.ctx, serveTimeout)
 	defer cancel()
 	err := s.group.Remove(ctx, name)
-	reply.Failed, reply.Leader = failureOf(err), s.group.Status().Leader.Name
+	reply.Failed, reply.Leader = groupFailure(err), s.group.Status().Leader.Name
 	return nil
 }
 
-// ReplicaInfo tells who a replica is.
+// ReplicaInfo identifies a replica and its group.
 type ReplicaInfo struct {
 	ID    protocol.ReplicaID
 	Group uint64
 }
 
-// Document returns the opaque document that holds, confirmed by a quorum.
+// Document returns the accepted opaque document, confirmed by a quorum.
 func (s *GroupService) Document(_ bool, reply *GroupReply) error {
 	ctx, cancel := context.WithTimeout(s.ctx, serveTimeout)
 	defer cancel()
@@ -287,7 +290,7 @@
 	if err == nil {
 		reply.Number, reply.Config, err = s.group.Document(ctx)
 	}
-	reply.Failed, reply.Leader = failureOf(err), s.group.Status().Leader.Name
+	reply.Failed, reply.Leader = groupFailure(err), s.group.Status().Leader.Name
 	return nil
 }
 
@@ -299,17 +302,17 @@
 	if err == nil {
 		reply.Rollouts, err = s.group.Rollouts(ctx)
 	}
-	reply.Failed, reply.Leader = failureOf(err), s.group.Status().Leader.Name
+	reply.Failed, reply.Leader = groupFailure(err), s.group.Status().Leader.Name
 	return nil
 }
 
-// Info tells who this replica is.
+// Info returns the identity of this replica.
 func (s *GroupService) Info(_ bool, reply *ReplicaInfo) error {
 	reply.ID, reply.Group = s.group.ID(), s.group.Status().Group
 	return nil
 }
 
-// FoundArgs names a new group and its founders.
+// FoundArgs identifies a new group and its founders.
 type FoundArgs struct {
 	Group    uint64
 	Founders protocol.ReplicaMembers
@@ -324,7 +327,7 @@
 	return err
 }
 
-// Join asks this replica, if it leads, to take another one in.
+// Join adds another replica to the group if this replica leads.
 func (s *GroupService) Join(info ReplicaInfo, done *bool) error {
 	ctx, cancel := context.WithTimeout(s.ctx, serveTimeout)
 	defer cancel()
--- a/transport/replica_test.go
+++ b/transport/replica_test.go
@@ -16,14 +16,14 @@
 	"github.com/weldstream/weldstream/state"
 )
 
-// farReplica answers its first call at once and holds the second back until the third
-// has come, as a long path does.
+// farReplica answers its first call at once and delays the second until the third
+// has arrived, like a path with a long round trip.
 type farReplica struct {
 	rounds chan uint64
 	third  chan struct{}
 }
 
-// Step takes messages as [GroupService] does.
+// Step receives messages like [GroupService].
 func (r *farReplica) Step(args StepArgs, done *bool) error {
 	*done = true
 	round := args.Messages[0].Round
@@ -52,9 +52,9 @@
 	return c, err
 }
 
-// TestMessagesDoNotWaitForAnswers checks that messages to a replica pass while the call
-// before them is not answered yet, over the same connection.
-func TestMessagesDoNotWaitForAnswers(t *testing.T) {
+// TestCallsArePipelined checks that messages to a replica are sent before the
+// previous call is answered, over the same connection.
+func TestCallsArePipelined(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -78,16 +78,17 @@
 				t.Fatalf("got round %d, want %d", got, round)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("round %d did not come", round)
+			t.Fatalf("round %d did not arrive", round)
 		}
 	}
 	if n := counted.accepted.Load(); n != 1 {
-		t.Errorf("%d connections: the call before was given up first", n)
+		t.Errorf("%d connections, want 1: the previous call was abandoned", n)
 	}
 }
 
-// TestHeartbeatsAreSmall checks that what a heartbeat and its answer do not use does not
-// go over the wire: they are most of what passes between regions in quiet times.
+// TestHeartbeatsAreSmall checks that the unused fields of a heartbeat and its
+// reply are not encoded: without load, these messages are most of the traffic
+// between regions.
 func TestHeartbeatsAreSmall(t *testing.T) {
 	id := protocol.ReplicaID{Name: "10.0.0.1:7201", Incarnation: 1 << 62}
 	for name, m := range map[string]replicate.Message{
@@ -98,15 +99,15 @@
 		if err := encoding.MarshalToBuffer(m, &buf); err != nil {
 			t.Fatal(err)
 		}
-		const most = 150 // bytes; with all that is zero they were 225 and 234.
+		const most = 150 // bytes; with the zero fields encoded they were 225 and 234.
 		if buf.Len() > most {
 			t.Errorf("%s: %d bytes", name, buf.Len())
 		}
 	}
 }
 
-// earlierMessage is what versions without promises, hand-overs and round trips send and
-// read: they write every field, and know none of the later ones.
+// earlierMessage is the message of versions without promises, hand-overs and round
+// trips: they encode every field and know none of the later ones.
 type earlierMessage struct {
 	Kind     replicate.MessageKind
 	From     protocol.ReplicaID
@@ -124,9 +125,9 @@
 	Data     []byte
 }
 
-// TestMessagesOfAnEarlierVersion checks that replicas of this version and of an earlier
-// one read each other's messages alike, as both run during an update.
-func TestMessagesOfAnEarlierVersion(t *testing.T) {
+// TestMessageCompatibility checks that replicas of this version and of an earlier
+// one decode each other's messages correctly, since both run during an update.
+func TestMessageCompatibility(t *testing.T) {
 	id := protocol.ReplicaID{Name: "a", Incarnation: 7}
 	meta := protocol.SnapshotMeta{Index: 4, Term: 2, Members: protocol.ReplicaMembers{Voters: []protocol.ReplicaID{id}}}
 	earlier := earlierMessage{
@@ -141,10 +142,10 @@
 	promised.Promise, promised.Trips = time.Second, []roundtrip.Trip{{From: "a", To: "b"}}
 	bare, heartbeat := earlierMessage{Kind: replicate.Append, From: id, To: id, Term: 9}, replicate.Message{Kind: replicate.Append, From: id, To: id, Term: 9}
 	for name, tt := range map[string]struct{ sent, got, want any }{
-		"to an earlier one":   {promised, &earlierMessage{}, &earlier},
-		"from an earlier one": {earlier, &replicate.Message{}, &now},
-		"a bare one to":       {heartbeat, &earlierMessage{}, &bare},
-		"a bare one from":     {bare, &replicate.Message{}, &heartbeat},
+		"to earlier":             {promised, &earlierMessage{}, &earlier},
+		"from earlier":           {earlier, &replicate.Message{}, &now},
+		"heartbeat to earlier":   {heartbeat, &earlierMessage{}, &bare},
+		"heartbeat from earlier": {bare, &replicate.Message{}, &heartbeat},
 	} {
 		var buf bytes.Buffer
 		if err := encoding.MarshalToBuffer(tt.sent, &buf); err != nil {
--- a/transport/rest_test.go
+++ b/transport/rest_test.go
@@ -15,13 +15,13 @@
 	"github.com/weldstream/weldstream/state"
 )
 
-// tiredService answers a plain service's requests. The first one is turned away as not run
-// with a wish for rest, in seconds, if there is one.
-func tiredService(t *testing.T, rest string) (address string, came *atomic.Int64) {
-	came = &atomic.Int64{}
+// refusingService serves a plain service. If retryAfter is set, it refuses the first
+// request as not run, with a Retry-After of that many seconds.
+func refusingService(t *testing.T, retryAfter string) (address string, received *atomic.Int64) {
+	received = &atomic.Int64{}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		if came.Add(1) == 1 && rest != "" {
-			w.Header().Set("Retry-After", rest)
+		if received.Add(1) == 1 && retryAfter != "" {
+			w.Header().Set("Retry-After", retryAfter)
 			w.Header().Set(protocol.HeaderVerdict, protocol.NotRun.String())
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -29,10 +29,10 @@
 		_, _ = fmt.Fprint(w, "fine")
 	}))
 	t.Cleanup(srv.Close)
-	return strings.TrimPrefix(srv.URL, "http://"), came
+	return strings.TrimPrefix(srv.URL, "http://"), received
 }
 
-// serviceGateway serves an entry instance before servers of a plain service.
+// serviceGateway serves an entry instance with servers of a plain service.
 func serviceGateway(t *testing.T, servers ...string) (ask func() *http.Response) {
 	const key = "rest-key"
 	tables := state.NewTables()
@@ -68,37 +68,38 @@
 	}
 }
 
-// TestServerRestsBeforeEntryInstances checks that a server which asked an entry instance for
-// rest gets nothing from it before its end, and gets requests again behind it.
-func TestServerRestsBeforeEntryInstances(t *testing.T) {
-	const rest = 600 * time.Millisecond
-	tired, came := tiredService(t, "0.6")
-	other, _ := tiredService(t, "")
-	ask := serviceGateway(t, tired, other)
-	for came.Load() == 0 {
+// TestBackoffIsHonored checks that a server which asked an entry instance to back
+// off gets no request from it until the backoff ends, and gets requests again
+// afterwards.
+func TestBackoffIsHonored(t *testing.T) {
+	const backoff = 600 * time.Millisecond
+	refusing, received := refusingService(t, "0.6")
+	other, _ := refusingService(t, "")
+	ask := serviceGateway(t, refusing, other)
+	for received.Load() == 0 {
 		ask()
 	}
-	asked := time.Now()
-	for came.Load() == 1 {
-		if time.Since(asked) > 20*rest {
-			t.Fatal("no request came behind the rest")
+	begun := time.Now()
+	for received.Load() == 1 {
+		if time.Since(begun) > 20*backoff {
+			t.Fatal("no request arrived after the backoff")
 		}
 		if resp := ask(); resp.StatusCode != http.StatusOK {
 			t.Fatalf("status %d", resp.StatusCode)
 		}
 	}
-	if d := time.Since(asked); d < rest*9/10 {
-		t.Errorf("a request came %v behind the wish for %v of rest", d, rest)
+	if d := time.Since(begun); d < backoff*9/10 {
+		t.Errorf("a request arrived %v after the start of a backoff of %v", d, backoff)
 	}
 }
 
-// TestEntryInstanceTellsTheEndOfARest checks that a caller is told when the first of the
-// servers takes requests again, where all of them rest.
-func TestEntryInstanceTellsTheEndOfARest(t *testing.T) {
-	a, _ := tiredService(t, "40")
-	b, _ := tiredService(t, "30")
+// TestRetryAfterIsShortestBackoff checks that when all servers are in backoff, the
+// caller receives the time until the first of them accepts requests again.
+func TestRetryAfterIsShortestBackoff(t *testing.T) {
+	a, _ := refusingService(t, "40")
+	b, _ := refusingService(t, "30")
 	ask := serviceGateway(t, a, b)
-	ask() // Both turn it away.
+	ask() // Both servers refuse it.
 	resp := ask()
 	if got := resp.Header.Get("Retry-After"); resp.StatusCode != http.StatusServiceUnavailable || got != "30" {
 		t.Errorf("status %d, Retry-After %q", resp.StatusCode, got)
--- a/transport/service.go
+++ b/transport/service.go
@@ -9,17 +9,17 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// serviceAnswer is a plain service's whole answer.
+// serviceAnswer is the complete answer of a plain service.
 type serviceAnswer struct {
 	status      int
 	contentType string
 	body        []byte
 }
 
-// finishAnswered ends a plain service's answer.
+// finishAnswered is the finish reason of a plain service's answer.
 const finishAnswered = "answered"
 
-// runService carries one attempt at a plain service. Its answer is one chunk.
+// runService runs one attempt on a plain service. Its answer is one chunk.
 func (g *Gateway) runService(c *call, keep func(serviceAnswer)) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -29,7 +29,7 @@
 	req.Header.SetContentType("application/json")
 	req.Header.Set(protocol.HeaderKey, c.request.Key.ID)
 	req.SetBodyRaw(c.request.Body)
-	w, ok := g.exchangeHead(c, req, resp)
+	w, ok := g.sendAndReadHeader(c, req, resp)
 	if !ok {
 		return
 	}
@@ -39,11 +39,11 @@
 		_ = w.conn.Close()
 		return
 	}
-	_ = w.conn.SetDeadline(time.Now().Add(g.settings.Timeouts.ChunkGap)) // A closed connection shows at the read.
+	_ = w.conn.SetDeadline(time.Now().Add(g.settings.Timeouts.ChunkGap)) // The read reports a closed connection.
 	body, err := readBody(resp)
 	if err != nil {
 		_ = w.conn.Close()
-		c.broke(c, err)
+		c.connBroken(c, err)
 		c.fail(protocol.MayHaveRun, err, false)
 		return
 	}
@@ -53,8 +53,8 @@
 	c.send(attempt.ChunkMsg{Attempt: c.cmd.Attempt, Tokens: 1, Finish: finishAnswered})
 }
 
-// retryableStatus reports whether a status says that this replica could not
-// answer, rather than being the service's answer.
+// retryableStatus reports whether a status means that this server could not
+// answer, as opposed to being the service's own answer.
 func retryableStatus(status int) bool {
 	switch status {
 	case fasthttp.StatusBadGateway, fasthttp.StatusServiceUnavailable, fasthttp.StatusGatewayTimeout, fasthttp.StatusTooManyRequests:
--- a/transport/slot.go
+++ b/transport/slot.go
@@ -7,9 +7,9 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// enterPool asks for a slot of the request's pool. Plain services have none.
-func (x *exchange) enterPool(taken bool) <-chan limit.Cmd {
-	x.leavePool = func() {}
+// requestSlot requests a slot of the request's pool. Plain services have no pool.
+func (x *exchange) requestSlot(taken bool) <-chan limit.Cmd {
+	x.releaseSlot = func() {}
 	if x.request.Kind == protocol.KindService {
 		return nil
 	}
@@ -25,14 +25,14 @@
 		Deadline:  x.request.Deadline,
 		Admitted:  taken,
 	})
-	x.leavePool = leave
+	x.releaseSlot = leave
 	return decision
 }
 
-// awaitSlot waits until the request may begin. It returns false when the
-// request has ended instead, or was handed over.
+// awaitSlot waits until the request may begin. It returns false if the request has
+// ended instead or was handed over.
 func (x *exchange) awaitSlot() bool {
-	decision := x.enterPool(x.request.Resuming)
+	decision := x.requestSlot(x.request.Resuming)
 	if decision == nil {
 		return true
 	}
@@ -41,13 +41,13 @@
 		case cmd := <-decision:
 			r, refused := cmd.(limit.RefuseCmd)
 			if refused {
-				x.apply(attempt.StopMsg{Refusal: x.noSlot(r)})
+				x.apply(attempt.StopMsg{Refusal: x.noSlotRefusal(r)})
 			}
 			x.g.metrics.queued.UpdateSince(x.started)
 			return !refused
 		case m := <-x.urgent:
 			if _, ok := m.(attempt.LeavingMsg); ok {
-				continue // No server has it yet.
+				continue // The request is not on any server yet.
 			}
 			x.apply(m)
 			return false
@@ -55,8 +55,8 @@
 	}
 }
 
-// noSlot is the refusal of a request that no slot is free for in time.
-func (x *exchange) noSlot(cmd limit.RefuseCmd) *protocol.Refusal {
+// noSlotRefusal is the refusal of a request that gets no slot in time.
+func (x *exchange) noSlotRefusal(cmd limit.RefuseCmd) *protocol.Refusal {
 	r := protocol.NewRefusal(protocol.StatusTooManyRequests, protocol.CodeOverloaded, "the servers of %s have no room for workspace %s in time", x.request.Model, x.request.Key.Workspace)
 	return r.WithRetryAfter(cmd.RetryAfter)
 }
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -1,13 +1,13 @@
-// Package transport turns bytes into messages and commands into bytes. It
-// holds every socket of the daemon and decides nothing: which server, whether
-// to retry, what a caller may have are the decisions of the coordination
-// packages.
+// Package transport converts bytes into messages and commands into bytes. It
+// owns all sockets of the daemon and makes no decisions: which server to use,
+// whether to retry and what a caller is entitled to are decided by the
+// coordination packages.
 //
-//	callers  -> Gateway  -> exchange -> wire -> engines, plain services
+//	callers  -> Gateway  -> exchange -> serverConn -> engines, plain services
 //	operators -> Admin
 //	instances <-> Links  (net/rpc)
 //	platform <- Poller
 //
-// One exchange carries one request. It is a loop that feeds messages to
-// [attempt.Update] and carries out the commands that come back.
+// One exchange handles one request. It is a loop that passes messages to
+// [attempt.Update] and executes the returned commands.
 package transport
--- a/transport/wire.go
+++ b/transport/wire.go
@@ -14,64 +14,65 @@
 	"github.com/weldstream/weldstream/internal/tcp"
 )
 
-// ErrClosed is returned for a call on a connection that was dropped.
-var ErrClosed = eris.New("connection was dropped")
+// ErrClosed is returned for a call on a closed connection.
+var ErrClosed = eris.New("connection was closed")
 
-// maxIdle bounds the connections kept open to one backend server.
-const maxIdle = 32
+// maxIdleConns limits the idle connections to one backend server.
+const maxIdleConns = 32
 
-// wire is one HTTP/1.1 connection to a backend server. The codec is fasthttp's;
-// the connection is ours, since a verdict needs to know whether a byte was
-// written, and a caller that hangs up must end the stream at once. A pooled
-// client hides both.
-type wire struct {
+// serverConn is one HTTP/1.1 connection to a backend server. It uses fasthttp's
+// codec but not its client: a verdict depends on whether a byte was written, and a
+// disconnect of the caller must end the stream at once. A pooled client hides
+// both.
+type serverConn struct {
 	conn  net.Conn
 	br    *bufio.Reader
 	bw    *bufio.Writer
-	wrote int64 // wrote counts the bytes that the kernel took.
-	fresh bool  // fresh says that no request went over this connection yet.
+	wrote int64 // wrote counts the bytes that the kernel accepted.
+	fresh bool  // fresh is set until the first response on this connection is complete.
 }
 
-// Write implements io.Writer and counts.
-func (w *wire) Write(p []byte) (int, error) {
+// Write implements io.Writer and counts the bytes written.
+func (w *serverConn) Write(p []byte) (int, error) {
 	n, err := w.conn.Write(p)
 	w.wrote += int64(n)
 	return n, err
 }
 
-// silentServer is how long a server's kernel may acknowledge nothing: three packets in
-// a row must be lost, repeated after 0.2 and 0.6 s.
-const silentServer = time.Second
+// serverAckTimeout is how long a server's kernel may acknowledge nothing. It
+// allows for two lost packets in a row, retransmitted after 0.2 and 0.6 s: three
+// in a row must be lost to exceed it.
+const serverAckTimeout = time.Second
 
-// wires keeps idle connections per address.
-type wires struct {
+// connPool holds idle connections per address.
+type connPool struct {
 	dial  time.Duration
 	meter byteMeter
 	mu    sync.Mutex
-	idle  map[string][]*wire
+	idle  map[string][]*serverConn
 }
 
-func newWires(dial time.Duration) *wires {
-	return &wires{dial: dial, idle: map[string][]*wire{}}
+func newConnPool(dial time.Duration) *connPool {
+	return &connPool{dial: dial, idle: map[string][]*serverConn{}}
 }
 
-// get returns a connection: an idle one unless a fresh one is asked for.
-func (p *wires) get(address string, fresh bool) (*wire, error) {
+// get returns an idle connection, or a new one if fresh is set or none is idle.
+func (p *connPool) get(address string, fresh bool) (*serverConn, error) {
 	if !fresh {
 		if w := p.pop(address); w != nil {
 			return w, nil
 		}
 	}
-	conn, err := tcp.Dial(address, p.dial, silentServer)
+	conn, err := tcp.Dial(address, p.dial, serverAckTimeout)
 	if err != nil {
 		return nil, eris.Wrap(err, "connect")
 	}
-	w := &wire{conn: &meteredConn{Conn: conn, meter: &p.meter}, fresh: true}
+	w := &serverConn{conn: &meteredConn{Conn: conn, meter: &p.meter}, fresh: true}
 	w.br, w.bw = bufio.NewReader(w.conn), bufio.NewWriter(w)
 	return w, nil
 }
 
-func (p *wires) pop(address string) *wire {
+func (p *connPool) pop(address string) *serverConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -83,8 +84,9 @@
 	return w
 }
 
-// put keeps a connection whose last answer was read to its end.
-func (p *wires) put(address string, w *wire) {
+// put returns a connection to the pool after its last response was read to the
+// end.
+func (p *connPool) put(address string, w *serverConn) {
 	w.fresh, w.wrote = false, 0
 	if w.conn.SetDeadline(time.Time{}) != nil {
 		_ = w.conn.Close()
@@ -92,15 +94,15 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[address]) >= maxIdle {
+	if len(p.idle[address]) >= maxIdleConns {
 		_ = w.conn.Close()
 		return
 	}
 	p.idle[address] = append(p.idle[address], w)
 }
 
-// forget closes the idle connections to a server that is leaving.
-func (p *wires) forget(address string) {
+// closeIdle closes the idle connections to a leaving server.
+func (p *connPool) closeIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, w := range p.idle[address] {
@@ -109,9 +111,9 @@
 	delete(p.idle, address)
 }
 
-// send writes a request and reads the head of the answer. The body is left to
-// be read from resp.BodyStream().
-func (w *wire) send(req *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) error {
+// send writes a request and reads the response header. The body is left to be read
+// from resp.BodyStream().
+func (w *serverConn) send(req *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) error {
 	if err := w.conn.SetDeadline(deadline); err != nil {
 		return eris.Wrap(err, "set deadline")
 	}
@@ -128,14 +130,14 @@
 	return nil
 }
 
-// stale reports whether an error on a reused connection says no more than that
-// the server had closed it while it was idle.
-func (w *wire) stale(err error) bool {
+// stale reports whether an error on a reused connection means only that the server
+// closed it while it was idle.
+func (w *serverConn) stale(err error) bool {
 	return !w.fresh && (errors.Is(err, io.EOF) || isReset(err))
 }
 
-// call makes one request with a small answer and returns status and body.
-func (p *wires) call(address, method, path string, body []byte, timeout time.Duration) (int, []byte, error) {
+// call makes one request with a small response and returns its status and body.
+func (p *connPool) call(address, method, path string, body []byte, timeout time.Duration) (int, []byte, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -148,7 +150,7 @@
 		if err != nil {
 			return 0, nil, err
 		}
-		data, err := w.whole(req, resp, time.Now().Add(timeout))
+		data, err := w.roundTrip(req, resp, time.Now().Add(timeout))
 		if err == nil {
 			p.finish(address, w, resp)
 			return resp.StatusCode(), data, nil
@@ -160,8 +162,8 @@
 	}
 }
 
-// finish returns a connection to the pool if the answer allows it.
-func (p *wires) finish(address string, w *wire, resp *fasthttp.Response) {
+// finish returns a connection to the pool unless the response closes it.
+func (p *connPool) finish(address string, w *serverConn, resp *fasthttp.Response) {
 	if resp.ConnectionClose() {
 		_ = w.conn.Close()
 		return
@@ -169,11 +171,11 @@
 	p.put(address, w)
 }
 
-// maxSmallAnswer bounds an answer that is read whole.
-const maxSmallAnswer = 16 << 20
+// maxBodyBytes limits a response body that is read whole.
+const maxBodyBytes = 16 << 20
 
-// whole sends a request and reads the whole answer.
-func (w *wire) whole(req *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) ([]byte, error) {
+// roundTrip sends a request and reads the whole response.
+func (w *serverConn) roundTrip(req *fasthttp.Request, resp *fasthttp.Response, deadline time.Time) ([]byte, error) {
 	if err := w.send(req, resp, deadline); err != nil {
 		return nil, err
 	}
@@ -184,12 +186,12 @@
 	if resp.BodyStream() == nil {
 		return append([]byte(nil), resp.Body()...), nil
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.BodyStream(), maxSmallAnswer+1))
+	data, err := io.ReadAll(io.LimitReader(resp.BodyStream(), maxBodyBytes+1))
 	if err != nil {
 		return nil, eris.Wrap(err, "read body")
 	}
-	if len(data) > maxSmallAnswer {
-		return nil, eris.Errorf("the answer is larger than %d bytes", maxSmallAnswer)
+	if len(data) > maxBodyBytes {
+		return nil, eris.Errorf("the answer is larger than %d bytes", maxBodyBytes)
 	}
 	return data, nil
 }
