--- a/transport/admin.go
+++ b/transport/admin.go
@@ -159,7 +159,7 @@
 		writeRefusal(ctx, "", protocol.NewRefusal(http.StatusServiceUnavailable, protocol.CodeNoQuorum, "%v", err))
 		return
 	}
-	a.log.Warn().Str("replica", name).Msg("replica is taken out")
+	a.log.Warn().Str("replica", name).Msg("replica removed")
 	writeJSON(ctx, http.StatusOK, map[string]string{"removed": name})
 }
 
--- a/transport/bootstrap.go
+++ b/transport/bootstrap.go
@@ -122,7 +122,7 @@
 	for _, name := range b.founders {
 		var done bool
 		if name != b.self && !b.call(name, "Group.Found", args, &done) {
-			b.log.Warn().Str("replica", name).Msg("a founder was not told; it will join")
+			b.log.Warn().Str("replica", name).Msg("founder not notified of the new group; it will join later")
 		}
 	}
 }
@@ -182,6 +182,6 @@
 
 func (b *Bootstrap) logJoinError(err error) {
 	if err != nil {
-		b.log.Warn().Err(err).Msg("group not entered")
+		b.log.Warn().Err(err).Msg("joining the group failed")
 	}
 }
--- a/transport/claim.go
+++ b/transport/claim.go
@@ -251,7 +251,7 @@
 			}
 			select {
 			case <-limit.Done():
-				g.log.Error().Str("key", m.Key.String()).Stringer("verdict", m.Verdict).Msg("an outcome could not be recorded")
+				g.log.Error().Str("key", m.Key.String()).Stringer("verdict", m.Verdict).Msg("recording the outcome of a claim failed")
 				return
 			case <-time.After(recordRetryInterval):
 			}
--- a/transport/fleet.go
+++ b/transport/fleet.go
@@ -64,12 +64,12 @@
 	}
 	f.updatePlanner(term, *ix.Config.Fleet)
 	if err := f.readPrices(); err != nil {
-		f.log.Warn().Err(err).Msg("prices could not be read")
+		f.log.Warn().Err(err).Msg("reading the platform's prices failed")
 		return
 	}
 	v, err := f.view(ix)
 	if err != nil {
-		f.log.Warn().Err(err).Msg("the need could not be learned")
+		f.log.Warn().Err(err).Msg("reading the demand for slots failed")
 		return
 	}
 	f.refused = map[protocol.Price]bool{}
@@ -167,13 +167,13 @@
 	case fleet.LoadCmd:
 		err = f.load(cmd)
 	case fleet.DrainCmd:
-		f.log.Info().Str("server", cmd.ID).Msg("giving up an instance")
+		f.log.Info().Str("server", cmd.ID).Msg("draining an instance that is no longer needed")
 		f.leaving(protocol.Leaving{Server: cmd.ID, Origin: "given up"})
 	case fleet.GiveBackCmd:
 		err = f.terminate(cmd.ID)
 	}
 	if err != nil {
-		f.log.Warn().Err(err).Type("order", cmd).Msg("the fleet's order failed")
+		f.log.Warn().Err(err).Type("order", cmd).Msg("fleet order failed")
 	}
 }
 
@@ -209,7 +209,7 @@
 	default:
 		refused.Lost = true
 		f.planner.Update(refused)
-		log.Int("status", status).Err(err).Msg("the answer to a start was lost")
+		log.Int("status", status).Err(err).Msg("outcome of an instance start is unknown")
 	}
 }
 
@@ -234,6 +234,6 @@
 	if status >= 300 && status != http.StatusNotFound {
 		return eris.Errorf("the platform answered %d", status)
 	}
-	f.log.Info().Str("server", id).Msg("instance given back")
+	f.log.Info().Str("server", id).Msg("instance terminated")
 	return nil
 }
--- a/transport/handover.go
+++ b/transport/handover.go
@@ -67,7 +67,7 @@
 func (g *Gateway) HandOverAll() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.log.Warn().Int("requests", len(g.exchanges)).Msg("handing over what is in progress")
+	g.log.Warn().Int("requests", len(g.exchanges)).Msg("handing over the requests in progress")
 	for _, x := range g.exchanges {
 		x.post(attempt.HandOverMsg{})
 	}
@@ -175,7 +175,7 @@
 	defer cancel()
 	ok, err := g.transfer.Transfer(ctx, protocol.TransferClaimMsg{Key: r.Request.Key, From: r.Owner, To: x.owner})
 	if err != nil || !ok {
-		g.log.Error().Err(err).Str("key", r.Request.Key.String()).Msg("a claim could not be taken over")
+		g.log.Error().Err(err).Str("key", r.Request.Key.String()).Msg("transferring a claim failed")
 		g.recordOutcome(x.finishClaimMsg(protocol.MayHaveRun, nil))
 		return
 	}
--- a/transport/limits.go
+++ b/transport/limits.go
@@ -150,7 +150,7 @@
 	g.asking = false
 	if err != nil {
 		if ctx.Err() == nil {
-			l.log.Debug().Err(err).Str("pool", m.Pool).Msg("no grant")
+			l.log.Debug().Err(err).Str("pool", m.Pool).Msg("grant request failed")
 		}
 		return
 	}
--- a/transport/membership.go
+++ b/transport/membership.go
@@ -202,7 +202,7 @@
 	above, _ := m.tables.Revision()
 	var reply protocol.FetchConfigReplyMsg
 	if err := m.links.Call(cmd.Address, "Config.Fetch", protocol.FetchConfigMsg{Above: above}, &reply, syncTimeout); err != nil {
-		m.log.Warn().Str("address", cmd.Address).Err(err).Msg("configuration could not be fetched")
+		m.log.Warn().Str("address", cmd.Address).Err(err).Msg("fetching the configuration failed")
 		return
 	}
 	if !reply.Found {
@@ -210,7 +210,7 @@
 	}
 	rev, err := state.ParseCanonical(reply.Number, reply.Config)
 	if err != nil {
-		m.log.Error().Str("address", cmd.Address).Err(err).Msg("configuration could not be read")
+		m.log.Error().Str("address", cmd.Address).Err(err).Msg("parsing the fetched configuration failed")
 		return
 	}
 	if m.tables.Install(rev) {
--- a/transport/orders.go
+++ b/transport/orders.go
@@ -112,7 +112,7 @@
 		return eris.Errorf("the server answered %d: %.100s", status, answer)
 	}
 	c.tables.Backends.RequestReport(o.Server) // The report shows the order's effect.
-	c.log.Info().Str("server", o.Server).Str("order", string(o.Kind)).Str("name", o.Name).Uint64("fence", term).Msg("order given")
+	c.log.Info().Str("server", o.Server).Str("order", string(o.Kind)).Str("name", o.Name).Uint64("fence", term).Msg("order sent")
 	return nil
 }
 
--- a/transport/poller.go
+++ b/transport/poller.go
@@ -140,7 +140,7 @@
 
 func (p *Poller) logError(what string, err error) {
 	if err != nil {
-		p.log.Warn().Err(err).Str("what", what).Msg("the platform could not be read")
+		p.log.Warn().Err(err).Str("what", what).Msg("reading from the platform failed")
 	}
 }
 
--- a/transport/quarantine.go
+++ b/transport/quarantine.go
@@ -81,7 +81,7 @@
 	sentAt := clock.Now()
 	reply, err := q.observer.Observe(limit, m)
 	if err != nil {
-		q.log.Debug().Err(err).Msg("no leader was told of servers that ended")
+		q.log.Debug().Err(err).Msg("no leader received the report of server crashes")
 		return
 	}
 	q.mu.Lock()
