--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,12 +1,11 @@
-// Package clock tells times that go on while the machine is suspended.
+// Package clock provides a clock that keeps running while the machine is suspended.
 //
-// The steady clock, by which time.Now measures, stands still while a machine is suspended
-// or moved. A lease, an expiry or an age that is measured by it seems to be as young
-// behind such a pause as before, while everybody else has gone on. Times of this package
-// count the pause. They carry no steady reading: they are compared with one another
-// alone, by [Since], [Until] and the methods of time.Time, and neither with time.Now nor
-// by time.Since. How long something took within the process, and the time-outs of timers and
-// connections, are left to the steady clock.
+// The monotonic clock behind time.Now stops while a machine is suspended or migrated. A
+// lease, an expiry or an age measured with it appears no older after such a pause, while
+// time has passed for all other machines. The clock of this package counts the pause. Its
+// times carry no monotonic reading: compare them only with one another, by [Since], [Until]
+// and the methods of time.Time, never with time.Now or by time.Since. Durations within the
+// process, and the time-outs of timers and connections, use the monotonic clock.
 package clock
 
 import (
@@ -14,28 +13,29 @@
 	"time"
 )
 
-// origin is the time of day at the start of the process, without a steady reading, and
-// origin0 what the clock read then.
+// origin is the time of day at the start of the process, without a monotonic reading, and
+// originReading is what read returned at that moment.
 var (
-	origin  = time.Now().Round(0)
-	origin0 = read()
+	origin        = time.Now().Round(0)
+	originReading = read()
 )
 
-// skipped is by how much tests have the clock go on.
-var skipped atomic.Int64
+// testOffset is the time by which tests have advanced the clock.
+var testOffset atomic.Int64
 
-// Now returns the time.
-func Now() time.Time { return origin.Add(read() - origin0 + time.Duration(skipped.Load())) }
+// Now returns the current time of this clock.
+func Now() time.Time { return origin.Add(read() - originReading + time.Duration(testOffset.Load())) }
 
-// Since returns how long ago a time of this clock was.
+// Since returns the time elapsed since t, a time of this clock.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns how long it is until a time of this clock.
+// Until returns the duration until t, a time of this clock.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Steady returns a time of this clock by the steady one, for the time-outs of connections.
+// Steady converts a time of this clock to one with a monotonic reading, as the deadlines
+// of connections need.
 func Steady(t time.Time) time.Time { return time.Now().Add(Until(t)) }
 
-// Skip has the clock go on by a time that the steady one does not count, as behind a
-// suspension. It is for tests.
-func Skip(d time.Duration) { skipped.Add(int64(d)) }
+// Skip advances the clock by d and leaves the monotonic clock as it is, as a suspension
+// does. It is for tests.
+func Skip(d time.Duration) { testOffset.Add(int64(d)) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// TestClockGoesOn checks that times rise as the steady clock does, count what that does
-// not, and are turned into those of the steady clock.
-func TestClockGoesOn(t *testing.T) {
-	first, steady := Now(), time.Now()
-	if d := Since(first); d < 0 || d > time.Since(steady)+time.Second {
-		t.Errorf("%v passed at once", d)
+// TestClockCountsSuspensions checks that the clock advances with the monotonic clock, counts
+// suspensions that the monotonic clock does not, and converts its times to monotonic ones.
+func TestClockCountsSuspensions(t *testing.T) {
+	first, monotonic := Now(), time.Now()
+	if d := Since(first); d < 0 || d > time.Since(monotonic)+time.Second {
+		t.Errorf("elapsed time is %v immediately after the start", d)
 	}
 	Skip(time.Hour)
 	defer Skip(-time.Hour)
-	if d := Since(first); d < time.Hour || d > time.Hour+time.Since(steady)+time.Second {
-		t.Errorf("an hour's suspension is told as %v", d)
+	if d := Since(first); d < time.Hour || d > time.Hour+time.Since(monotonic)+time.Second {
+		t.Errorf("elapsed time is %v after a suspension of one hour", d)
 	}
 	end := Now().Add(time.Minute)
 	if d := Until(end); d <= 0 || d > time.Minute {
-		t.Errorf("until a minute from now are %v", d)
+		t.Errorf("Until is %v for a time one minute ahead", d)
 	}
 	if d := time.Until(Steady(end)); d <= 0 || d > time.Minute {
-		t.Errorf("by the steady clock they are %v", d)
+		t.Errorf("time.Until is %v for the converted time one minute ahead", d)
 	}
 }
--- a/internal/clock/read_other.go
+++ b/internal/clock/read_other.go
@@ -4,9 +4,9 @@
 
 import "time"
 
-// started carries a steady reading.
+// started carries a monotonic reading.
 var started = time.Now()
 
-// read returns the time since the process was started; some systems' steady clocks count
-// suspensions, and there is no other one.
+// read returns the time since the process started. Whether it includes suspensions depends
+// on the system's monotonic clock; no other clock is available here.
 func read() time.Duration { return time.Since(started) }
--- a/internal/clock/uses_test.go
+++ b/internal/clock/uses_test.go
@@ -11,9 +11,9 @@
 	"testing"
 )
 
-// steadyUses are the functions, by file, that may ask the steady clock or the time of day
-// in the packages that keep leases, expiries and ages, and why.
-var steadyUses = map[string]string{
+// permittedUses lists the functions, by file, that may read the monotonic clock or the time
+// of day in the packages that track leases, expiries and ages, with the reason.
+var permittedUses = map[string]string{
 	"coordination/group/group.go: Open":              timeOfDay,
 	"coordination/group/group.go: write":             duration,
 	"transport/backend/backend.go: open":             duration,
@@ -46,21 +46,21 @@
 	"transport/wire.go: call":                        timeOut,
 }
 
-// The reasons for which the steady clock, or the time of day, is asked.
+// The reasons to read the monotonic clock or the time of day.
 const (
-	duration  = "how long something took within the process"
-	timeOut   = "a time-out of a timer or a connection, which the steady clock ends"
-	timeOfDay = "the time of day, as the log, operators and callers have it"
+	duration  = "a duration measured within the process"
+	timeOut   = "a time-out of a timer or a connection, which follows the monotonic clock"
+	timeOfDay = "the time of day, as shown to operators and callers and written to the log"
 )
 
-// keepers are the packages that keep leases, expiries and ages.
-var keepers = []string{"coordination/group", "transport", "transport/backend", "transport/control", "transport/forward", "transport/uplink"}
+// checkedPackages are the packages that track leases, expiries and ages.
+var checkedPackages = []string{"coordination/group", "transport", "transport/backend", "transport/control", "transport/forward", "transport/uplink"}
 
-// TestAgesCountSuspensions checks that the packages which keep leases, expiries and ages
-// ask this package for times, but for the uses that are listed with their reasons.
+// TestAgesCountSuspensions checks that the packages which track leases, expiries and ages
+// read their times from this package, except for the uses in permittedUses.
 func TestAgesCountSuspensions(t *testing.T) {
 	found := map[string]bool{}
-	for _, dir := range keepers {
+	for _, dir := range checkedPackages {
 		files, err := filepath.Glob(filepath.Join("..", "..", filepath.FromSlash(dir), "*.go"))
 		if err != nil || len(files) == 0 {
 			t.Fatalf("%s: %v", dir, err)
@@ -69,25 +69,25 @@
 			if strings.HasSuffix(file, "_test.go") {
 				continue
 			}
-			for _, name := range steadyFuncs(t, file) {
+			for _, name := range timeCallers(t, file) {
 				found[dir+"/"+filepath.Base(file)+": "+name] = true
 			}
 		}
 	}
 	for _, use := range slices.Sorted(maps.Keys(found)) {
-		if steadyUses[use] == "" {
-			t.Errorf("%s asks the steady clock, which stands still while the machine is suspended", use)
+		if permittedUses[use] == "" {
+			t.Errorf("%s reads the monotonic clock, which stops while the machine is suspended, and is not in permittedUses", use)
 		}
 	}
-	for use := range steadyUses {
+	for use := range permittedUses {
 		if !found[use] {
-			t.Errorf("%s is listed and asks no clock", use)
+			t.Errorf("%s is in permittedUses and reads no clock", use)
 		}
 	}
 }
 
-// steadyFuncs returns the functions of a file that call time.Now, time.Since or time.Until.
-func steadyFuncs(t *testing.T, file string) []string {
+// timeCallers returns the functions of a file that call time.Now, time.Since or time.Until.
+func timeCallers(t *testing.T, file string) []string {
 	t.Helper()
 	tree, err := parser.ParseFile(token.NewFileSet(), file, nil, 0)
 	if err != nil {
@@ -99,17 +99,17 @@
 		if !ok {
 			continue
 		}
-		asks := false
+		calls := false
 		ast.Inspect(f, func(n ast.Node) bool {
 			s, ok := n.(*ast.SelectorExpr)
 			if !ok {
 				return true
 			}
 			pkg, ok := s.X.(*ast.Ident)
-			asks = asks || (ok && pkg.Name == "time" && (s.Sel.Name == "Now" || s.Sel.Name == "Since" || s.Sel.Name == "Until"))
+			calls = calls || (ok && pkg.Name == "time" && (s.Sel.Name == "Now" || s.Sel.Name == "Since" || s.Sel.Name == "Until"))
 			return true
 		})
-		if asks {
+		if calls {
 			names = append(names, f.Name.Name)
 		}
 	}
