--- a/transport/admin.go
+++ b/transport/admin.go
@@ -115,7 +115,7 @@
 
 func (a *Admin) handle(ctx *fasthttp.RequestCtx) {
 	if !a.allowed(ctx) {
-		writeRefusal(ctx, "", protocol.NewRefusal(http.StatusUnauthorized, protocol.CodeUnauthorized, "an operator token is required"))
+		writeRefusal(ctx, "", protocol.NewRefusal(http.StatusUnauthorized, protocol.CodeUnauthorized, "an operator's token is needed"))
 		return
 	}
 	if name, ok := strings.CutPrefix(string(ctx.Path()), "/v1/replicas/"); ok && ctx.IsDelete() {
@@ -197,7 +197,7 @@
 func (a *Admin) apply(ctx *fasthttp.RequestCtx) {
 	var req ApplyRequest
 	if err := json.Unmarshal(ctx.PostBody(), &req); err != nil {
-		writeRefusal(ctx, "", badRequest("the body is not an apply request: %v", err))
+		writeRefusal(ctx, "", badRequest("the body is not an apply: %v", err))
 		return
 	}
 	if req.Number == 0 || len(req.Files) == 0 {
--- a/transport/claim.go
+++ b/transport/claim.go
@@ -150,7 +150,7 @@
 
 // runningElsewhere is the refusal that ends the wait for another run.
 func runningElsewhere(status int, code protocol.Code) *protocol.Refusal {
-	r := protocol.NewRefusal(status, code, "the request is still running elsewhere")
+	r := protocol.NewRefusal(status, code, "the request still runs elsewhere")
 	r.SendNotRun = true
 	return r.WithVerdict(protocol.MayHaveRun)
 }
--- a/transport/engine.go
+++ b/transport/engine.go
@@ -24,7 +24,7 @@
 
 // errEndedEarly is reported at the end of every stream. It matters only while the
 // answer is incomplete: after the last chunk the request has ended and ignores it.
-var errEndedEarly = eris.New("the stream ended before the answer was complete")
+var errEndedEarly = eris.New("the stream ended before the answer was whole")
 
 // Headers sent to engines.
 const (
--- a/transport/event.go
+++ b/transport/event.go
@@ -10,7 +10,7 @@
 
 // errNoUsage is returned for an event without usage, whose offset in the answer is
 // therefore unknown.
-var errNoUsage = eris.New("engine event has no usage")
+var errNoUsage = eris.New("an event lacks its usage")
 
 // event forwards one event and reports whether to read more.
 func (c *call) event(p *fastjson.Parser, data []byte) bool {
--- a/transport/exchange.go
+++ b/transport/exchange.go
@@ -180,7 +180,7 @@
 // dispatch selects a server and starts the attempt in a goroutine.
 func (x *exchange) dispatch(cmd attempt.DispatchCmd) {
 	if cmd.Hedge && !x.g.hedging.spend(clock.Now()) {
-		x.apply(attempt.FailedMsg{Attempt: cmd.Attempt, Verdict: protocol.NotRun, Reason: "the hedge budget is used up"})
+		x.apply(attempt.FailedMsg{Attempt: cmd.Attempt, Verdict: protocol.NotRun, Reason: "too many hedges"})
 		return
 	}
 	// Every attempt passes this check: the first one, retries, hedges, moves and
--- a/transport/gateway.go
+++ b/transport/gateway.go
@@ -290,11 +290,11 @@
 	}
 	key, ok := strings.CutPrefix(string(ctx.Request.Header.Peek("Authorization")), "Bearer ")
 	if !ok {
-		return nil, protocol.NewRefusal(http.StatusUnauthorized, protocol.CodeUnauthorized, "an Authorization header with a workspace key is required")
+		return nil, protocol.NewRefusal(http.StatusUnauthorized, protocol.CodeUnauthorized, "an Authorization header with a workspace key is needed")
 	}
 	w := index.Authenticate(key)
 	if w == nil {
-		return nil, protocol.NewRefusal(http.StatusUnauthorized, protocol.CodeUnauthorized, "the workspace key is unknown")
+		return nil, protocol.NewRefusal(http.StatusUnauthorized, protocol.CodeUnauthorized, "the workspace key is not known")
 	}
 	return &parser{
 		ctx:             ctx,
--- a/transport/groupclient.go
+++ b/transport/groupclient.go
@@ -18,7 +18,7 @@
 
 // ErrNoQuorum is returned when no leader could be reached in time. The command may
 // still have been committed; every command can be sent again.
-var ErrNoQuorum = eris.New("no quorum of replicas is reachable")
+var ErrNoQuorum = eris.New("no quorum of replicas can be reached")
 
 const (
 	proposeTimeout = 2 * time.Second        // for one call to one replica
@@ -130,7 +130,7 @@
 func (c *GroupClient) Apply(ctx context.Context, number uint64, canonical []byte) (protocol.Revision, *protocol.Refusal) {
 	reply, err := c.call(ctx, "Group.Propose", protocol.Command{Apply: &protocol.ApplyConfigMsg{Number: number, Config: canonical}})
 	if err != nil {
-		r := protocol.NewRefusal(http.StatusServiceUnavailable, protocol.CodeNoQuorum, "%v: the configuration may or may not have been accepted; send it again", err)
+		r := protocol.NewRefusal(http.StatusServiceUnavailable, protocol.CodeNoQuorum, "%v: the configuration may be accepted or not; send the same again", err)
 		return protocol.Revision{}, r.WithVerdict(protocol.MayHaveRun).WithRetryAfter(time.Second)
 	}
 	if reply.Failed == GroupDiskFull {
@@ -138,7 +138,7 @@
 	}
 	result := reply.Result.Apply
 	if result == nil {
-		return protocol.Revision{}, protocol.NewRefusal(http.StatusInternalServerError, protocol.CodeConflict, "the group returned no result")
+		return protocol.Revision{}, protocol.NewRefusal(http.StatusInternalServerError, protocol.CodeConflict, "the group gave no answer")
 	}
 	if result.Accepted {
 		return protocol.Revision{Number: number, Digest: result.Digest}, nil
@@ -172,7 +172,7 @@
 		return protocol.ClaimReply{}, err
 	}
 	if reply.Result.Claim == nil {
-		return protocol.ClaimReply{}, eris.New("the group returned no result")
+		return protocol.ClaimReply{}, eris.New("the group gave no answer")
 	}
 	return *reply.Result.Claim, nil
 }
--- a/transport/orders.go
+++ b/transport/orders.go
@@ -116,4 +116,4 @@
 	return nil
 }
 
-var errNotLeading = eris.New("this instance is no longer the leader")
+var errNotLeading = eris.New("this instance does not lead any more")
--- a/transport/parse.go
+++ b/transport/parse.go
@@ -54,7 +54,7 @@
 	}
 	var body modelBody
 	if err := json.Unmarshal(r.Body, &body); err != nil {
-		return nil, badRequest("the body is not valid JSON for this request: %v", err)
+		return nil, badRequest("the body is not the JSON that is asked for: %v", err)
 	}
 	if refusal := checkModelBody(kind, &body); refusal != nil {
 		return nil, refusal
@@ -109,7 +109,7 @@
 	case kind == protocol.KindChat && !isArray(body.Messages):
 		return badRequest("the field messages is missing or is not a list")
 	case body.N > 1:
-		return badRequest("the field n is %d: only one answer can be requested", body.N)
+		return badRequest("the field n is %d: only one answer can be asked for", body.N)
 	case body.MaxTokens < 0:
 		return badRequest("the field max_tokens is negative")
 	}
@@ -200,7 +200,7 @@
 	}
 	at, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
-		return badRequest("%s is %q: want an RFC 3339 time", protocol.HeaderIssuedAt, text)
+		return badRequest("%s is %q: want a time as in RFC 3339", protocol.HeaderIssuedAt, text)
 	}
 	r.IssuedAt = at
 	return nil
--- a/transport/poller.go
+++ b/transport/poller.go
@@ -24,8 +24,8 @@
 
 // Reasons why an instance is not ready after its start.
 var (
-	errNoList = errors.New("the platform's instance list has not been read yet")
-	errNoLoad = errors.New("the backend servers have not been polled for their load yet")
+	errNoList = errors.New("the platform's list has not been read yet")
+	errNoLoad = errors.New("the backend servers have not been asked for their load yet")
 )
 
 // firstLoadInterval is the interval at which the first load reads are tried until
