--- a/coordination/place/vector.go
+++ b/coordination/place/vector.go
@@ -83,7 +83,7 @@
 	for len(changes) > 0 {
 		gap, n := binary.Uvarint(changes)
 		if n <= 0 || len(changes) == n || gap >= uint64(len(loads)) || at+1+int(gap) >= len(loads) {
-			return nil, eris.Wrapf(ErrLoadChanges, "%d bytes left after index %d of %d servers", len(changes), at, len(loads))
+			return nil, eris.Wrapf(ErrLoadChanges, "%d bytes left after %d of %d servers", len(changes), at+1, len(loads))
 		}
 		at += 1 + int(gap)
 		loads[at] = changes[n]
