--- a/coordination/place/regions.go
+++ b/coordination/place/regions.go
@@ -17,9 +17,9 @@
 	otherRegionPenalty = 0.6
 	// regionFailureLimit is the number of servers in the gateway's region that must fail a
 	// request before it is sent to another region. Routes usually allow three attempts, and
-	// a region that is cut off would use up all of them. Servers that
-	// rejected the request because of their load do not count as failed: when domains of each
-	// region were lost in turn, counting them lowered the score by 0.008 (mean of three).
+	// a region that is cut off would use up all of them. Servers that rejected the request
+	// because of their load do not count as failed: when domains of each region were lost in
+	// turn, counting them lowered the score by 0.008 (mean of three).
 	regionFailureLimit = 2
 )
 
