--- a/coordination/quarantine/quarantine.go
+++ b/coordination/quarantine/quarantine.go
@@ -35,8 +35,8 @@
 	// of successes, are sent every 150 to 450 ms and may arrive later.
 	settleTime = 300 * time.Millisecond
 	// doubtfulDelay is how long after its latest crash was first reported a doubtful request
-	// is tried; see isDoubtful. By then the requests that were running have ended, and the trial still ends within the 3 s in
-	// which all gateways have to hold a harmful request.
+	// is tried; see isDoubtful. By then the requests that were running have ended, and the
+	// trial still ends within the 3 s in which all gateways have to hold a harmful request.
 	doubtfulDelay = time.Second
 	// trustTime is how long after a success of a request crashes do not count against it. So
 	// a harmless request that many callers send is not held: it succeeds many times within
