--- a/e2e/history_test.go
+++ b/e2e/history_test.go
@@ -255,7 +255,7 @@
 			err = links.Call(address, "Group.Propose", protocol.Command{Apply: &protocol.ApplyConfigMsg{Number: in.number, Config: []byte(in.content)}}, &reply, time.Second)
 		}
 		switch {
-		case err == nil && reply.Failed == transport.GroupNotLeader:
+		case err == nil && reply.Failed == transport.GroupNotExecuted:
 			return configOutput{}, false
 		case err != nil || reply.Failed != transport.GroupOK:
 			return configOutput{unknown: true}, !in.read
--- a/transport/replica.go
+++ b/transport/replica.go
@@ -229,7 +229,7 @@
 // Results of calls to a group.
 const (
 	GroupOK             GroupFailure = iota
-	GroupNotLeader                   // GroupNotLeader means that this replica did not execute the call.
+	GroupNotExecuted                 // GroupNotExecuted means that this replica did not execute the call.
 	GroupOutcomeUnknown              // GroupOutcomeUnknown means that the call may or may not have been executed.
 	GroupDiskFull                    // GroupDiskFull means that the leader's disk is full.
 )
@@ -241,7 +241,7 @@
 	case eris.Is(err, group.ErrFull):
 		return GroupDiskFull
 	case eris.Is(err, replicate.ErrNotLeader), eris.Is(err, group.ErrNoGroup), eris.Is(err, group.ErrDisk), eris.Is(err, replicate.ErrBusy):
-		return GroupNotLeader
+		return GroupNotExecuted
 	}
 	return GroupOutcomeUnknown
 }
