--- a/cmd/weldctl/status.go
+++ b/cmd/weldctl/status.go
@@ -94,7 +94,7 @@
 	switch {
 	case r == nil:
 		return "-"
-	case r.Cut:
+	case r.Overdue:
 		return fmt.Sprintf("%d gateways, cut off from the leader", r.Gateways)
 	}
 	return fmt.Sprintf("%d gateways", r.Gateways)
--- a/cmd/weldstreamd/control.go
+++ b/cmd/weldstreamd/control.go
@@ -37,7 +37,7 @@
 	links      *transport.Links
 	membership *transport.Membership
 	group      *group.Group
-	calls      *control.Calls
+	calls      *control.CallTracker
 	uplink     *control.Uplink
 	relay      *control.Relay // relay is nil where domains do not lie in several regions.
 	peer       net.Listener
@@ -67,7 +67,7 @@
 		c.uplink.RunRollouts,
 		c.uplink.RunQuarantine,
 		duties.RunList,
-		duties.RunTally,
+		duties.RunUsageLog,
 		duties.RunReports,
 		duties.RunOrders,
 		c.watchRegions,
@@ -92,7 +92,7 @@
 // operator parts weldstream's own calls of operators from the platform's.
 func (c *controlInstance) operator(ofPlatform *platform.Operator, own *control.Operator) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
-		if strings.HasPrefix(string(ctx.Path()), control.OperatorPath) {
+		if strings.HasPrefix(string(ctx.Path()), control.OperatorPathPrefix) {
 			own.Handle(ctx)
 			return
 		}
@@ -121,9 +121,9 @@
 	return list
 }
 
-func (c *controlInstance) limits() control.Limits {
+func (c *controlInstance) limits() control.DutyConfig {
 	n := c.settings
-	return control.Limits{
+	return control.DutyConfig{
 		ListRate:    n.Source.ListRate,
 		Lease:       n.Bounds.Lease,
 		UsageWindow: n.Bounds.UsageWindow,
@@ -146,7 +146,7 @@
 	if err := c.wireMembership(); err != nil {
 		return err
 	}
-	c.calls = control.NewCalls(platform.NewSource(n.Source.Address, platform.WithLogger(c.log), platform.WithRegistry(c.registry)))
+	c.calls = control.NewCallTracker(platform.NewSource(n.Source.Address, platform.WithLogger(c.log), platform.WithRegistry(c.registry)))
 	sender := transport.NewReplicaSender(work, c.tables, c.links, transport.WithAddresses(c.peerAddress))
 	c.group, err = group.Open(c.groupConfig(), n.DataDir, c.name(), sender, group.WithLogger(c.log), group.WithRegistry(c.registry), group.WithMoveBlocker(c.calls.Busy), group.WithDocument(func(number uint64, data []byte) { c.uplink.Install(number, data) }),
 		group.WithRollouts(func(l protocol.RolloutLog) { c.uplink.InstallRollouts(l) }),
@@ -155,11 +155,11 @@
 		return err
 	}
 	opts := []control.UplinkOption{
-		control.WithLogger(c.log), control.WithRegistry(c.registry), control.WithTopology(n.Topology()), control.WithDomains(c.domains), control.WithAlone(n.Bounds.Revoke),
+		control.WithLogger(c.log), control.WithRegistry(c.registry), control.WithTopology(n.Topology()), control.WithDomains(c.domains), control.WithGatewayGrace(n.Bounds.Revoke),
 		control.WithExposure(control.Exposure{Share: n.Bounds.TrialShare, Slack: n.Bounds.TrialSlack, Unannounced: n.Bounds.OrderRepeat + announceMargin}),
 	}
 	if c.limits().Usage {
-		opts = append(opts, control.WithQuiet(func() time.Duration { return c.group.Status().SinceLastCommand }))
+		opts = append(opts, control.WithLogIdleTime(func() time.Duration { return c.group.Status().SinceLastCommand }))
 	}
 	c.uplink = control.NewUplink(c.group, c.peers, platform.ParseNumbered, n.Bounds.QuotaWindow, opts...)
 	c.relay = control.NewRelay(c.uplink, c.links, c.name(), n.Peer, c.registry)
--- a/internal/soak/region_test.go
+++ b/internal/soak/region_test.go
@@ -26,7 +26,7 @@
 			if err == nil && status.Leader.Name == c.Operators()[i] {
 				leader = i
 			}
-			if relay.Gateways == 1 && !relay.Cut {
+			if relay.Gateways == 1 && !relay.Overdue {
 				relays++
 			}
 		}
--- a/transport/control/calls_test.go
+++ b/transport/control/calls_test.go
@@ -32,7 +32,7 @@
 // answered, and reads of the list never do.
 func TestCallsAreBusy(t *testing.T) {
 	a := &asking{seen: map[string]bool{}}
-	c := NewCalls(a)
+	c := NewCallTracker(a)
 	a.busy = c.Busy
 	_, _, listed := c.List(t.Context())
 	reported := c.Report(t.Context(), Duty{}, 1, nil)
--- a/transport/control/control.go
+++ b/transport/control/control.go
@@ -61,8 +61,8 @@
 	Reclaimable bool
 }
 
-// Limits are what the role's timers are derived from.
-type Limits struct {
+// DutyConfig are what the role's timers are derived from.
+type DutyConfig struct {
 	ListRate    float64       // ListRate is how many list calls a second all instances may make; 0 sets no limit.
 	Lease       time.Duration // Lease is how long a former holder of the duties may still act.
 	UsageWindow time.Duration // UsageWindow is the length of a window of usage reports.
--- a/transport/control/control_test.go
+++ b/transport/control/control_test.go
@@ -251,7 +251,7 @@
 
 func newDuties(g Group, s Source, holder string) *Duties {
 	const window = 50 * time.Millisecond
-	l := Limits{Lease: 30 * time.Millisecond, UsageWindow: window, UsageDue: 2 * window, Usage: true}
+	l := DutyConfig{Lease: 30 * time.Millisecond, UsageWindow: window, UsageDue: 2 * window, Usage: true}
 	return NewDuties(l, holder, g, s, newUplink(g), zerolog.Nop())
 }
 
@@ -445,7 +445,7 @@
 	var loops sync.WaitGroup
 	loops.Go(func() { _ = d.RunReports(ctx) })
 	<-s.asked // A report is under way.
-	loops.Go(func() { _ = d.RunTally(ctx) })
+	loops.Go(func() { _ = d.RunUsageLog(ctx) })
 	window := time.Now().UnixNano() / int64(d.limits.UsageWindow)
 	d.uplink.mu.Lock()
 	d.uplink.ledger.Take("g", 1, []protocol.UsageRow{{Window: window, Workspace: "w", Count: 40}})
@@ -474,7 +474,7 @@
 // without logging it.
 func TestQuotasBeginWithTheOutage(t *testing.T) {
 	for _, c := range []struct{ quiet, want time.Duration }{{0, 300 * time.Millisecond}, {unlogged + 500*time.Millisecond, 500 * time.Millisecond}, {time.Hour, time.Second}} {
-		u := NewUplink(newFakeGroup(), noPeers, parse, 8*time.Second, WithQuiet(func() time.Duration { return c.quiet }))
+		u := NewUplink(newFakeGroup(), noPeers, parse, 8*time.Second, WithLogIdleTime(func() time.Duration { return c.quiet }))
 		u.Install(5, nil)
 		want := 2 * time.Second.Seconds() * 1000 // More than any bucket holds.
 		got := sync1(t, u, protocol.SyncMsg{Gateway: "g", Lister: 1, Wants: []protocol.QuotaRequest{{Workspace: "w", Units: want}}}).Grants[0].Units
@@ -574,7 +574,7 @@
 // its calls stay below the platform's rate.
 func TestListKeepsToTheRate(t *testing.T) {
 	for calls, want := range map[int]time.Duration{1: listEvery, 60: 2500 * time.Millisecond} {
-		d := &Duties{limits: Limits{ListRate: 40}}
+		d := &Duties{limits: DutyConfig{ListRate: 40}}
 		if got := d.listPause(calls); got != want {
 			t.Errorf("%d calls: a pause of %v, want %v", calls, got, want)
 		}
--- a/transport/control/duties.go
+++ b/transport/control/duties.go
@@ -18,8 +18,8 @@
 var (
 	// ErrFenced is returned when the platform has seen a higher fencing token.
 	ErrFenced = errors.New("the platform has seen a higher fencing token")
-	// ErrNoneLeft is returned when there is no server to be had now.
-	ErrNoneLeft = errors.New("the platform has none to give now")
+	// ErrNoCapacity is returned when there is no server to be had now.
+	ErrNoCapacity = errors.New("the platform has none to give now")
 )
 
 const (
@@ -40,7 +40,7 @@
 // its own kind: with reports behind orders, each order to a silent platform held them
 // up for callTime.
 type Duties struct {
-	limits Limits
+	limits DutyConfig
 	holder string
 	group  Group
 	source Source
@@ -56,7 +56,7 @@
 }
 
 // NewDuties returns duties that nobody carries out yet.
-func NewDuties(l Limits, holder string, g Group, s Source, u *Uplink, log zerolog.Logger) *Duties {
+func NewDuties(l DutyConfig, holder string, g Group, s Source, u *Uplink, log zerolog.Logger) *Duties {
 	d := &Duties{limits: l, holder: holder, group: g, source: s, uplink: u, log: log, reports: newReports(0)}
 	if l.Fleet {
 		d.fleet = NewFleet(u, log)
@@ -146,9 +146,9 @@
 // tallyEvery is between two logged states of the counts.
 const tallyEvery = 400 * time.Millisecond
 
-// RunTally logs the counts while this instance leads, beside the duties: these wait
+// RunUsageLog logs the counts while this instance leads, beside the duties: these wait
 // for the platform, and for the end of a former holder's lease.
-func (d *Duties) RunTally(ctx context.Context) error {
+func (d *Duties) RunUsageLog(ctx context.Context) error {
 	for ctx.Err() == nil {
 		pause.For(ctx, tallyEvery)
 		if term, ok := d.group.Vouches(); ok && term == d.recalled.Load() {
--- a/transport/control/operator.go
+++ b/transport/control/operator.go
@@ -13,11 +13,11 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// OperatorPath begins the paths of weldstream's own calls of operators.
-const OperatorPath = "/v1/"
+// OperatorPathPrefix begins the paths of weldstream's own calls of operators.
+const OperatorPathPrefix = "/v1/"
 
 const (
-	pathRollouts = OperatorPath + "rollouts"
+	pathRollouts = OperatorPathPrefix + "rollouts"
 	// operatorTime bounds one call of an operator.
 	operatorTime = 3 * time.Second
 )
@@ -101,11 +101,11 @@
 // RolloutRefusal returns what an operator is told of an error.
 func RolloutRefusal(err error) *protocol.Refusal {
 	switch {
-	case errors.Is(err, ErrOrder):
+	case errors.Is(err, ErrInvalidOrder):
 		return protocol.NewRefusal(fasthttp.StatusBadRequest, protocol.CodeBadRequest, "%v", err)
 	case errors.Is(err, ErrUnknownService):
 		return protocol.NewRefusal(fasthttp.StatusUnprocessableEntity, protocol.CodeUnknownService, "%v", err)
-	case errors.Is(err, ErrOtherRollout):
+	case errors.Is(err, ErrRolloutInProgress):
 		return protocol.NewRefusal(fasthttp.StatusConflict, protocol.CodeConflict, "%v", err)
 	case errors.Is(err, ErrNoRollout):
 		return protocol.NewRefusal(fasthttp.StatusNotFound, protocol.CodeNotFound, "%v", err)
--- a/transport/control/orders.go
+++ b/transport/control/orders.go
@@ -12,12 +12,12 @@
 // Errors of orders for roll-outs. After any other the order may hold or not, and can
 // be sent again.
 var (
-	// ErrOrder is returned for an order that cannot be carried out as it is.
-	ErrOrder = eris.New("the order cannot be carried out")
+	// ErrInvalidOrder is returned for an order that cannot be carried out as it is.
+	ErrInvalidOrder = eris.New("the order cannot be carried out")
 	// ErrUnknownService is returned for a service that the configuration does not have.
 	ErrUnknownService = eris.New("the configuration has no such service")
-	// ErrOtherRollout is returned while another roll-out of the service runs.
-	ErrOtherRollout = eris.New("another roll-out of the service runs")
+	// ErrRolloutInProgress is returned while another roll-out of the service runs.
+	ErrRolloutInProgress = eris.New("another roll-out of the service runs")
 	// ErrNoRollout is returned where the service never had a roll-out, or none that runs.
 	ErrNoRollout = eris.New("there is no such roll-out")
 )
@@ -55,11 +55,11 @@
 func (o *RolloutOrders) Begin(ctx context.Context, service, version string, limit time.Duration) (protocol.Rollout, error) {
 	switch {
 	case service == "":
-		return protocol.Rollout{}, eris.Wrap(ErrOrder, "the service is missing")
+		return protocol.Rollout{}, eris.Wrap(ErrInvalidOrder, "the service is missing")
 	case version == "":
-		return protocol.Rollout{}, eris.Wrap(ErrOrder, "the version is missing")
+		return protocol.Rollout{}, eris.Wrap(ErrInvalidOrder, "the version is missing")
 	case limit < time.Millisecond || limit > mostLimit:
-		return protocol.Rollout{}, eris.Wrapf(ErrOrder, "the limit of %v is not from 1ms to %v", limit, mostLimit)
+		return protocol.Rollout{}, eris.Wrapf(ErrInvalidOrder, "the limit of %v is not from 1ms to %v", limit, mostLimit)
 	}
 	if err := o.known(ctx, service); err != nil {
 		return protocol.Rollout{}, err
@@ -69,7 +69,7 @@
 	case err != nil:
 		return protocol.Rollout{}, err
 	case !reply.Taken:
-		return reply.Rollout, eris.Wrapf(ErrOtherRollout, "to version %q", reply.Rollout.Version)
+		return reply.Rollout, eris.Wrapf(ErrRolloutInProgress, "to version %q", reply.Rollout.Version)
 	}
 	return reply.Rollout, nil
 }
--- a/transport/control/relay_test.go
+++ b/transport/control/relay_test.go
@@ -270,7 +270,7 @@
 	if r := within(t, asked(relay, protocol.SyncMsg{Gateway: "h", Lister: 1}), "while the leader is silent"); r.Leads || r.Leader != leaderAt {
 		t.Errorf("one that came later got %+v", r)
 	}
-	if s := relay.relay.Load().State(); !s.Cut {
+	if s := relay.relay.Load().State(); !s.Overdue {
 		t.Errorf("state %+v", s)
 	}
 	w.set(func() { w.hold = nil })
--- a/transport/control/relaystate.go
+++ b/transport/control/relaystate.go
@@ -10,7 +10,7 @@
 	Servers  int    `json:"servers"`
 	Gateways int    `json:"gateways"` // Gateways are those that asked it lately.
 	Batches  uint64 `json:"batches"`
-	Cut      bool   `json:"cut"` // Cut says that the leader's answer is overdue.
+	Overdue  bool   `json:"cut"` // Overdue says that the leader's answer is overdue.
 }
 
 // State returns what a dump shows of the relay.
@@ -23,5 +23,5 @@
 			gateways++
 		}
 	}
-	return RelayState{Leader: r.asked, Term: r.copies.term, Number: r.copies.number, Servers: len(r.copies.servers), Gateways: gateways, Batches: r.batch, Cut: r.overdue}
+	return RelayState{Leader: r.asked, Term: r.copies.term, Number: r.copies.number, Servers: len(r.copies.servers), Gateways: gateways, Batches: r.batch, Overdue: r.overdue}
 }
--- a/transport/control/report_test.go
+++ b/transport/control/report_test.go
@@ -117,7 +117,7 @@
 	u.Install(1, []byte("document"))
 	u.ready()
 	u.SetServers(1, []protocol.Instance{{ID: "i", Service: "s", Domain: "a"}})
-	l := Limits{UsageWindow: 20 * time.Millisecond, UsageDue: 40 * time.Millisecond, Usage: true, Fleet: true}
+	l := DutyConfig{UsageWindow: 20 * time.Millisecond, UsageDue: 40 * time.Millisecond, Usage: true, Fleet: true}
 	d := NewDuties(l, "a", g, s, u, zerolog.Nop())
 	ctx, stop := context.WithCancel(t.Context())
 	var loops sync.WaitGroup
--- a/transport/control/rollouts_test.go
+++ b/transport/control/rollouts_test.go
@@ -329,17 +329,17 @@
 	}
 	begin("s", "v2", time.Minute, ErrUnknownService, 422) // There is no configuration yet.
 	f.number = 1
-	begin("", "v2", time.Minute, ErrOrder, 400)
-	begin("s", "", time.Minute, ErrOrder, 400)
-	begin("s", "v2", 0, ErrOrder, 400)
-	begin("s", "v2", 1000*time.Hour, ErrOrder, 400)
+	begin("", "v2", time.Minute, ErrInvalidOrder, 400)
+	begin("s", "", time.Minute, ErrInvalidOrder, 400)
+	begin("s", "v2", 0, ErrInvalidOrder, 400)
+	begin("s", "v2", 1000*time.Hour, ErrInvalidOrder, 400)
 	begin("t", "v2", time.Minute, ErrUnknownService, 422)
 	if _, err := o.Abort(ctx, "s"); !errors.Is(err, ErrNoRollout) {
 		t.Errorf("nothing to turn back: %v", err)
 	}
 	begin("s", "v2", time.Minute, nil, 0)
 	begin("s", "v2", time.Minute, nil, 0) // Sent again.
-	begin("s", "v3", time.Minute, ErrOtherRollout, 409)
+	begin("s", "v3", time.Minute, ErrRolloutInProgress, 409)
 	if r, err := o.Abort(ctx, "s"); err != nil || r.Stage != protocol.RolloutRolledBack {
 		t.Errorf("turned back: %+v, %v", r, err)
 	}
--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -145,17 +145,17 @@
 // for the next look, and the end of its lease.
 const unlogged = tallyEvery + dutyTick + 200*time.Millisecond
 
-// WithQuiet sets what tells how long ago the latest command had been logged when
+// WithLogIdleTime sets what tells how long ago the latest command had been logged when
 // this instance began to lead. Quotas then begin with what their rates gave since,
 // less what may not have been logged. It needs leaders that log the counts of usage.
-func WithQuiet(quiet func() time.Duration) UplinkOption {
+func WithLogIdleTime(quiet func() time.Duration) UplinkOption {
 	return func(u *Uplink) { u.quiet = func() time.Duration { return quiet() - unlogged } }
 }
 
-// WithAlone sets for how long a gateway goes on serving that does not hear from the
+// WithGatewayGrace sets for how long a gateway goes on serving that does not hear from the
 // control role. Without it, usage waits only for gateways that were heard in the
 // window.
-func WithAlone(d time.Duration) UplinkOption { return func(u *Uplink) { u.alone = d } }
+func WithGatewayGrace(d time.Duration) UplinkOption { return func(u *Uplink) { u.alone = d } }
 
 // NewUplink returns the receiver to register under "Uplink". The func peers
 // tells the peer addresses of the leader, as far as one is known that can answer,
