--- a/transport/control/calls_test.go
+++ b/transport/control/calls_test.go
@@ -7,31 +7,31 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// asking is a source that tells, in each call, what its caller is told meanwhile.
-type asking struct {
+// busySource is a source that records during each call whether the tracker is busy.
+type busySource struct {
 	busy func() bool
 	seen map[string]bool
 }
 
-func (a *asking) List(context.Context) (list []protocol.Instance, calls int, err error) {
+func (a *busySource) List(context.Context) (list []protocol.Instance, calls int, err error) {
 	a.seen["list"] = a.busy()
 	return nil, 1, nil
 }
 
-func (a *asking) Report(context.Context, Duty, int64, map[string]int64) error {
+func (a *busySource) Report(context.Context, Duty, int64, map[string]int64) error {
 	a.seen["report"] = a.busy()
 	return nil
 }
 
-func (a *asking) Order(context.Context, Duty, Order) error {
+func (a *busySource) Order(context.Context, Duty, Order) error {
 	a.seen["order"] = a.busy()
 	return ErrFenced
 }
 
-// TestCallsAreBusy checks that reports and orders count as under way until they are
-// answered, and reads of the list never do.
-func TestCallsAreBusy(t *testing.T) {
-	a := &asking{seen: map[string]bool{}}
+// TestCallTrackerBusy checks that the tracker is busy during reports and orders, and not
+// during reads of the list.
+func TestCallTrackerBusy(t *testing.T) {
+	a := &busySource{seen: map[string]bool{}}
 	c := NewCallTracker(a)
 	a.busy = c.Busy
 	_, _, listed := c.List(t.Context())
@@ -42,10 +42,10 @@
 	}
 	for name, want := range map[string]bool{"list": false, "report": true, "order": true} {
 		if a.seen[name] != want {
-			t.Errorf("during %s busy is %v", name, a.seen[name])
+			t.Errorf("during %s: busy is %v", name, a.seen[name])
 		}
 	}
 	if c.Busy() {
-		t.Error("busy behind the calls")
+		t.Error("still busy after the calls")
 	}
 }
--- a/transport/control/counts.go
+++ b/transport/control/counts.go
@@ -8,41 +8,41 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Used returns a window's counts by workspace.
-func (u *Uplink) Used(window int64) map[string]int64 {
+// UsageTotals returns the counts of a window by workspace.
+func (u *Uplink) UsageTotals(window int64) map[string]int64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.ledger.Total(window)
 }
 
-// Missing returns the gateways that may have counted in a window of a length and have
-// not told all of it, and whether the window is whole. It is not while a new leader
-// has heard fewer gateways than the one before, or none at all.
-func (u *Uplink) Missing(window int64, length time.Duration) (gateways []string, whole bool) {
+// MissingGateways returns the gateways that may have counted requests in a window and have
+// not reported all of them, and whether the window's counts are complete. They are not
+// while a new leader has heard from fewer gateways than its predecessor, or from none.
+func (u *Uplink) MissingGateways(window int64, length time.Duration) (gateways []string, whole bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	gateways = u.marks.Missing(window, length)
-	met := clock.Since(u.entered) > gatewayKept || u.marks.Known() >= u.earlier
-	return gateways, met && u.marks.Known() > 0 && len(gateways) == 0
+	gateways = u.watermarks.Missing(window, length)
+	allHeard := clock.Since(u.enteredAt) > gatewayTTL || u.watermarks.Known() >= u.reportedGateways
+	return gateways, allHeard && u.watermarks.Known() > 0 && len(gateways) == 0
 }
 
-// Changes returns the counts that are to be logged, and forgets windows of a length
-// before one.
-func (u *Uplink) Changes(before int64, length time.Duration) []protocol.TallyRow {
+// UnloggedCounts returns the counts that have yet to be logged, and discards the windows
+// before the given one.
+func (u *Uplink) UnloggedCounts(before int64, length time.Duration) []protocol.TallyRow {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.ledger.Forget(before)
-	u.marks.Forget(usage.End(before-1, length))
+	u.watermarks.Forget(usage.End(before-1, length))
 	return u.ledger.Changes()
 }
 
-// Recall takes the counts of windows of a length that were logged up to a term.
-func (u *Uplink) Recall(term uint64, length time.Duration, rows []protocol.TallyRow) {
+// RestoreCounts loads the counts that were logged before a term began.
+func (u *Uplink) RestoreCounts(term uint64, length time.Duration, rows []protocol.TallyRow) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.enter(term)
+	u.enterTerm(term)
 	u.ledger.Recall(rows)
 	for _, r := range rows {
-		u.marks.Expect(r.Gateway, usage.End(r.Window-1, length))
+		u.watermarks.Expect(r.Gateway, usage.End(r.Window-1, length))
 	}
 }
--- a/transport/control/document.go
+++ b/transport/control/document.go
@@ -7,64 +7,64 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// document is one that was accepted, as it was accepted.
-type document struct {
+// acceptedDocument is a committed document in its original encoding.
+type acceptedDocument struct {
 	number uint64
 	data   []byte
 }
 
-// Install takes an accepted document. It returns at once, as the replica's loop
-// calls it, which sends the heartbeats: packing and reading a document of some
-// hundred routes takes longer than the pause between two of them. Whoever needs
-// the document has it made ready first.
+// Install stores an accepted document and returns immediately: it is called by the loop of
+// the replica, which also sends the heartbeats, and compressing and parsing a document with
+// some hundred routes takes longer than the heartbeat interval. Users of the document call
+// prepareDocument first.
 func (u *Uplink) Install(number uint64, data []byte) {
 	if d := u.accepted.Load(); d != nil && d.number >= number {
 		return
 	}
-	u.accepted.Store(&document{number: number, data: data})
+	u.accepted.Store(&acceptedDocument{number: number, data: data})
 	select {
-	case u.arrived <- struct{}{}:
-	default: // It is to be made ready already.
+	case u.documentAccepted <- struct{}{}:
+	default: // Preparation is already pending.
 	}
 }
 
-// Run makes accepted documents ready ahead of the first question for them, until
-// ctx ends.
+// Run prepares accepted documents before the first request needs them, until ctx ends.
 func (u *Uplink) Run(ctx context.Context) error {
 	for {
 		select {
-		case <-u.arrived:
-			u.ready()
+		case <-u.documentAccepted:
+			u.prepareDocument()
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// ready makes the newest accepted document the one that answers hold. An instance
-// that vouched before the call does so for that one.
-func (u *Uplink) ready() {
+// prepareDocument parses and compresses the newest accepted document, so that answers
+// contain it. If Vouches succeeded before the call, the document is at least as new as the
+// one that was confirmed.
+func (u *Uplink) prepareDocument() {
 	d := u.accepted.Load()
-	if d == nil || d.number == u.readied.Load() {
+	if d == nil || d.number == u.preparedNumber.Load() {
 		return
 	}
-	u.prepare.Lock()
-	defer u.prepare.Unlock()
+	u.prepareMu.Lock()
+	defer u.prepareMu.Unlock()
 	d = u.accepted.Load()
-	if d.number == u.readied.Load() {
-		return // Another question had it made ready meanwhile.
+	if d.number == u.preparedNumber.Load() {
+		return // Another request has prepared it meanwhile.
 	}
-	packed, catalog, err := u.read(d)
+	packed, catalog, err := u.readDocument(d)
 	if err != nil {
 		u.log.Error().Err(err).Uint64("number", d.number).Msg("an accepted document cannot be read")
 	} else {
-		u.hold(d.number, packed, catalog)
+		u.setDocument(d.number, packed, catalog)
 		u.log.Info().Uint64("number", d.number).Int("bytes", len(d.data)).Msg("document accepted")
 	}
-	u.readied.Store(d.number)
+	u.preparedNumber.Store(d.number)
 }
 
-func (u *Uplink) read(d *document) (packed []byte, catalog *protocol.Catalog, err error) {
+func (u *Uplink) readDocument(d *acceptedDocument) (packed []byte, catalog *protocol.Catalog, err error) {
 	if packed, err = Pack(d.data); err != nil {
 		return nil, nil, err
 	}
@@ -72,26 +72,27 @@
 	return packed, catalog, err
 }
 
-// hold puts a document into the answers.
-func (u *Uplink) hold(number uint64, packed []byte, catalog *protocol.Catalog) {
+// setDocument sets the document that answers contain.
+func (u *Uplink) setDocument(number uint64, packed []byte, catalog *protocol.Catalog) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if number < u.number {
-		return // A relay got a newer one from the leader.
+		return // A relay received a newer one from the leader.
 	}
 	u.number, u.packed, u.catalog = number, packed, catalog
 	u.quotas.Configure(catalog.Workspaces, clock.Now())
 }
 
-// document returns the newest document that is ready, packed.
+// document returns the newest prepared document, compressed.
 func (u *Uplink) document() (number uint64, packed []byte) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.number, u.packed
 }
 
-// learn takes a packed document that the leader sent to this instance as a relay.
-func (u *Uplink) learn(number uint64, packed []byte) error {
+// setPackedDocument stores a compressed document that the leader sent to this instance in
+// its role as a relay.
+func (u *Uplink) setPackedDocument(number uint64, packed []byte) error {
 	data, err := Unpack(packed)
 	if err != nil {
 		return err
@@ -100,6 +101,6 @@
 	if err != nil {
 		return err
 	}
-	u.hold(number, packed, catalog)
+	u.setDocument(number, packed, catalog)
 	return nil
 }
--- a/transport/control/document_test.go
+++ b/transport/control/document_test.go
@@ -7,10 +7,10 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// TestInstallHoldsNobodyUp checks that an accepted document is taken at once, however
-// long reading it takes, as the loop that takes it also sends the heartbeats; and that
-// a question which comes then is answered with that document, not with the one before.
-func TestInstallHoldsNobodyUp(t *testing.T) {
+// TestInstallDoesNotBlock checks that Install returns immediately however long parsing takes,
+// because the loop that calls it also sends the heartbeats, and that a request that arrives
+// then is answered with the new document, not with the previous one.
+func TestInstallDoesNotBlock(t *testing.T) {
 	release, began := make(chan struct{}), make(chan struct{}, 2)
 	u := NewUplink(newFakeGroup(), noPeers, func(number uint64, data []byte) (*protocol.Catalog, error) {
 		began <- struct{}{}
@@ -24,8 +24,8 @@
 	}()
 	select {
 	case <-installed:
-	case <-time.After(patience):
-		t.Fatal("an instance that reads a document takes nothing else meanwhile")
+	case <-time.After(testTimeout):
+		t.Fatal("Install blocks while a document is parsed")
 	}
 	answers := make(chan protocol.SyncReply, 2)
 	for range 2 {
@@ -40,7 +40,7 @@
 	<-began
 	select {
 	case got := <-answers:
-		t.Errorf("answered with document %d before the newest was read", got.Number)
+		t.Errorf("answered with document %d before the newest was parsed", got.Number)
 	default:
 	}
 	close(release)
@@ -50,13 +50,13 @@
 		}
 	}
 	if len(began) > 0 {
-		t.Error("the document was read twice")
+		t.Error("the document was parsed twice")
 	}
 }
 
-// TestDocumentIsReadAhead checks that a document is made ready before anybody asks
-// for it, and that an older one takes no newer one's place.
-func TestDocumentIsReadAhead(t *testing.T) {
+// TestDocumentIsPreparedAhead checks that a document is prepared before the first request for
+// it, and that an older one does not replace it.
+func TestDocumentIsPreparedAhead(t *testing.T) {
 	read := make(chan uint64, 2)
 	u := NewUplink(newFakeGroup(), noPeers, func(number uint64, data []byte) (*protocol.Catalog, error) {
 		read <- number
@@ -66,28 +66,28 @@
 	go func() { done <- u.Run(t.Context()) }()
 	u.Install(5, nil)
 	if n := <-read; n != 5 {
-		t.Errorf("read document %d", n)
+		t.Errorf("parsed document %d, want 5", n)
 	}
 	u.Install(4, nil)
-	if got := sync1(t, u, protocol.SyncMsg{Gateway: "g", Lister: 1}); got.Number != 5 {
+	if got := mustSync(t, u, protocol.SyncMsg{Gateway: "g", Lister: 1}); got.Number != 5 {
 		t.Errorf("answered with document %d", got.Number)
 	}
 }
 
-// TestGatewaysAreCountedAcrossLeaders checks that a new leader does not tell the first
-// gateways that ask it that they are alone: each would take what is meant for all.
-func TestGatewaysAreCountedAcrossLeaders(t *testing.T) {
+// TestGatewayCountSurvivesLeaderChange checks that a new leader does not tell the first
+// gateways that they are the only ones, since each would then use the share of all.
+func TestGatewayCountSurvivesLeaderChange(t *testing.T) {
 	g := newFakeGroup()
 	u := newUplink(g)
 	u.Install(5, nil)
-	if got := sync1(t, u, protocol.SyncMsg{Gateway: "a", Gateways: 300, Lister: 1}).Gateways; got != 300 {
-		t.Errorf("the first of 300 is told of %d", got)
+	if got := mustSync(t, u, protocol.SyncMsg{Gateway: "a", Gateways: 300, Lister: 1}).Gateways; got != 300 {
+		t.Errorf("the first of 300 gateways received a count of %d", got)
 	}
 	u.mu.Lock()
-	u.entered = u.entered.Add(-2 * gatewayKept)
-	u.common = common{}
+	u.enteredAt = u.enteredAt.Add(-2 * gatewayTTL)
+	u.common = commonReply{}
 	u.mu.Unlock()
-	if got := sync1(t, u, protocol.SyncMsg{Gateway: "a", Gateways: 300, Lister: 1}).Gateways; got != 1 {
-		t.Errorf("long after, one that is alone is told of %d", got)
+	if got := mustSync(t, u, protocol.SyncMsg{Gateway: "a", Gateways: 300, Lister: 1}).Gateways; got != 1 {
+		t.Errorf("after the TTL, a single gateway received a count of %d", got)
 	}
 }
--- a/transport/control/duties.go
+++ b/transport/control/duties.go
@@ -14,33 +14,35 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Errors that a Source tells apart.
+// Errors that implementations of Source return.
 var (
-	// ErrFenced is returned when the platform has seen a higher fencing token.
+	// ErrFenced is returned if the platform has seen a higher fencing token.
 	ErrFenced = errors.New("the platform has seen a higher fencing token")
-	// ErrNoCapacity is returned when there is no server to be had now.
-	ErrNoCapacity = errors.New("the platform has none to give now")
+	// ErrNoCapacity is returned if no server is available now.
+	ErrNoCapacity = errors.New("the platform has no server available")
 )
 
 const (
-	dutyTick = 100 * time.Millisecond
-	// callTime bounds a call to the platform.
-	callTime = 1500 * time.Millisecond
-	// listEvery is between two reads of the list, at the least, and listPart the
-	// part of the platform's rate that they may take: another instance may read too.
-	listEvery = 500 * time.Millisecond
-	listPart  = 0.6
-	// listSlack is how much later than expected the list may be read before it counts as
-	// out of date: some answers of the platform. Notices are of a second or more.
-	listSlack = 250 * time.Millisecond
+	dutyInterval = 100 * time.Millisecond
+	// callTimeout bounds a call to the platform.
+	callTimeout = 1500 * time.Millisecond
+	// minListInterval is the minimum time between two reads of the list. listRateShare is
+	// the share of the platform's rate limit that reads may use, since another instance
+	// may be reading as well.
+	minListInterval = 500 * time.Millisecond
+	listRateShare   = 0.6
+	// listGrace is how much later than expected the list may be read before it counts as
+	// out of date: several response times of the platform. Notices of leaving servers are
+	// given a second or more ahead.
+	listGrace = 250 * time.Millisecond
 )
 
-// Duties is what the leader does. The list, the usage reports, the orders for servers
-// and the log of counts each have a goroutine, so that a call that hangs holds up only
-// its own kind: with reports behind orders, each order to a silent platform held them
-// up for callTime.
+// Duties carries out the leader's duties. Reading the list, reporting usage, ordering
+// servers and logging counts each have a goroutine, so that a call that hangs delays only
+// its own kind: when one goroutine sent both orders and reports, every order to an
+// unresponsive platform delayed the reports by callTimeout.
 type Duties struct {
-	limits DutyConfig
+	config DutyConfig
 	holder string
 	group  Group
 	source Source
@@ -48,16 +50,16 @@
 	fleet  *Fleet
 	log    zerolog.Logger
 
-	recalled atomic.Uint64 // recalled is the term in which the logged counts were recalled.
-	tenure   tenure
+	restoredTerm atomic.Uint64 // restoredTerm is the term in which the logged counts were restored.
+	tenure       tenure
 
-	reports reports // reports belong to the loop of the reports.
-	ordered uint64  // ordered is the term that the orders belong to; the loop of the orders owns it.
+	reports    reportLog // reports is used only by the loop that sends reports.
+	ordersTerm uint64    // ordersTerm is the term of the planner's orders; only the loop that sends orders uses it.
 }
 
-// NewDuties returns duties that nobody carries out yet.
+// NewDuties returns the duties; they are carried out by the Run methods.
 func NewDuties(l DutyConfig, holder string, g Group, s Source, u *Uplink, log zerolog.Logger) *Duties {
-	d := &Duties{limits: l, holder: holder, group: g, source: s, uplink: u, log: log, reports: newReports(0)}
+	d := &Duties{config: l, holder: holder, group: g, source: s, uplink: u, log: log, reports: newReports(0)}
 	if l.Fleet {
 		d.fleet = NewFleet(u, log)
 	}
@@ -71,10 +73,10 @@
 		changed := d.group.Changed()
 		term, ok := d.group.Vouches()
 		if !ok {
-			pause.Until(ctx, dutyTick, changed)
+			pause.Until(ctx, dutyInterval, changed)
 			continue
 		}
-		limit, cancel := context.WithTimeout(ctx, callTime)
+		limit, cancel := context.WithTimeout(ctx, callTimeout)
 		list, calls, err := d.source.List(limit)
 		cancel()
 		if err == nil {
@@ -84,108 +86,108 @@
 			failing = err != nil
 			d.log.Warn().Err(err).Bool("failing", failing).Msg("the platform's list")
 		}
-		wait := d.listPause(calls)
-		d.uplink.ExpectList(term, err == nil, wait)
+		wait := d.listInterval(calls)
+		d.uplink.RecordListRead(term, err == nil, wait)
 		pause.For(ctx, wait)
 	}
 	return nil
 }
 
-// listPause is between two reads of the list, so that the calls for its pages keep
-// to a part of the platform's rate.
-func (d *Duties) listPause(calls int) time.Duration {
-	if d.limits.ListRate <= 0 {
-		return listEvery
+// listInterval returns the time between two reads of the list, chosen so that the calls for
+// its pages stay within a share of the platform's rate limit.
+func (d *Duties) listInterval(calls int) time.Duration {
+	if d.config.ListRate <= 0 {
+		return minListInterval
 	}
-	return max(listEvery, time.Duration(float64(calls)/(listPart*d.limits.ListRate)*float64(time.Second)))
+	return max(minListInterval, time.Duration(float64(calls)/(listRateShare*d.config.ListRate)*float64(time.Second)))
 }
 
 // RunReports sends the usage reports while this instance leads.
 func (d *Duties) RunReports(ctx context.Context) error {
-	return d.run(ctx, d.limits.Usage, d.report)
+	return d.run(ctx, d.config.Usage, d.sendReports)
 }
 
 // RunOrders orders servers while this instance leads.
 func (d *Duties) RunOrders(ctx context.Context) error {
-	return d.run(ctx, d.fleet != nil, d.scale)
+	return d.run(ctx, d.fleet != nil, d.sendOrders)
 }
 
-// run does one kind of duty while this instance leads.
-func (d *Duties) run(ctx context.Context, owed bool, duty func(context.Context)) error {
+// run carries out one kind of duty while this instance leads.
+func (d *Duties) run(ctx context.Context, enabled bool, duty func(context.Context)) error {
 	for ctx.Err() == nil {
-		if owed && d.mayAct(ctx) {
+		if enabled && d.mayAct(ctx) {
 			duty(ctx)
 		}
-		pause.For(ctx, dutyTick)
+		pause.For(ctx, dutyInterval)
 	}
 	return nil
 }
 
-// scale sends the orders that the planner wants.
-func (d *Duties) scale(ctx context.Context) {
-	if term := d.tenure.current(); term != d.ordered {
-		d.ordered = term
+// sendOrders sends the orders that the planner returns.
+func (d *Duties) sendOrders(ctx context.Context) {
+	if term := d.tenure.current(); term != d.ordersTerm {
+		d.ordersTerm = term
 		d.fleet.Reset(clock.Now())
 	}
-	d.settleBases(ctx)
+	d.settleBaselines(ctx)
 	for _, o := range d.fleet.Plan(clock.Now()) {
-		duty, ok := d.duty()
+		duty, ok := d.currentDuty()
 		if !ok {
 			return
 		}
-		limit, cancel := context.WithTimeout(ctx, callTime)
+		limit, cancel := context.WithTimeout(ctx, callTimeout)
 		err := d.source.Order(limit, duty, o)
 		cancel()
-		d.refused(duty, err)
+		d.checkFenced(duty, err)
 		d.log.Info().Err(err).Str("service", o.Service).Str("domain", o.Domain).Int("count", o.Count).Bool("reclaimable", o.Reclaimable).
 			Uint64("token", duty.Token).Msg("servers ordered")
-		d.fleet.Ordered(o, err, clock.Now())
+		d.fleet.RecordOrder(o, err, clock.Now())
 	}
 }
 
-// tallyEvery is between two logged states of the counts.
-const tallyEvery = 400 * time.Millisecond
+// usageLogInterval is the time between two log entries for the counts.
+const usageLogInterval = 400 * time.Millisecond
 
-// RunUsageLog logs the counts while this instance leads, beside the duties: these wait
-// for the platform, and for the end of a former holder's lease.
+// RunUsageLog logs the usage counts while this instance leads. It has its own loop because
+// the duties wait for the platform and for the expiry of a former holder's lease.
 func (d *Duties) RunUsageLog(ctx context.Context) error {
 	for ctx.Err() == nil {
-		pause.For(ctx, tallyEvery)
-		if term, ok := d.group.Vouches(); ok && term == d.recalled.Load() {
-			d.tally(ctx)
+		pause.For(ctx, usageLogInterval)
+		if term, ok := d.group.Vouches(); ok && term == d.restoredTerm.Load() {
+			d.logUsage(ctx)
 		}
 	}
 	return nil
 }
 
-// tally logs the counts that are not settled yet: a loss of power everywhere
-// takes the gateways' own.
-func (d *Duties) tally(ctx context.Context) {
-	if !d.limits.Usage {
+// logUsage logs the counts that are not settled yet, because a power failure everywhere
+// would destroy the gateways' copies.
+func (d *Duties) logUsage(ctx context.Context) {
+	if !d.config.Usage {
 		return
 	}
-	rows := d.uplink.Changes(usage.Window(d.uplink.Clock(), d.limits.UsageWindow)-windowsBack, d.limits.UsageWindow)
+	rows := d.uplink.UnloggedCounts(usage.Window(d.uplink.Clock(), d.config.UsageWindow)-windowLookback, d.config.UsageWindow)
 	if len(rows) == 0 {
 		return
 	}
-	limit, cancel := context.WithTimeout(ctx, callTime)
+	limit, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if _, err := d.group.Propose(limit, protocol.Command{Tally: &protocol.TallyMsg{Rows: rows}}); err != nil {
 		d.log.Warn().Err(err).Int("rows", len(rows)).Msg("counts not logged")
 	}
 }
 
-// settleBases has the first number of servers of each service settled in the
-// log, so that every later leader plans from the same.
-func (d *Duties) settleBases(ctx context.Context) {
-	for _, m := range d.fleet.Unsettled(clock.Now()) {
-		limit, cancel := context.WithTimeout(ctx, callTime)
+// settleBaselines commits the initial number of servers of each service to the log, so that
+// all later leaders plan from the same number.
+func (d *Duties) settleBaselines(ctx context.Context) {
+	for _, m := range d.fleet.PendingBaselines(clock.Now()) {
+		limit, cancel := context.WithTimeout(ctx, callTimeout)
 		result, err := d.group.Propose(limit, protocol.Command{Base: &m})
 		cancel()
 		if err != nil || result.Base == nil {
 			return
 		}
-		d.fleet.Settled(m.Service, result.Base.Servers)
+		d.fleet.SetBaseline(m.Service, result.Base.Servers)
 		if result.Base.Servers == 0 {
 			continue
 		}
--- a/transport/control/fleet.go
+++ b/transport/control/fleet.go
@@ -9,38 +9,38 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Fleet feeds the planner with what the gateways and the list tell.
+// Fleet provides the planner with its input: the gateways' reports and the list of servers.
 type Fleet struct {
-	uplink  *Uplink
-	log     zerolog.Logger
-	planner *scale.Planner
-	bases   map[string]int  // bases are the first numbers of servers, as settled in the log.
-	asked   map[string]bool // asked are services of which the log was asked, and had no number.
-	first   map[string]count
+	uplink    *Uplink
+	log       zerolog.Logger
+	planner   *scale.Planner
+	baselines map[string]int         // baselines are the initial numbers of servers, as committed to the log.
+	queried   map[string]bool        // queried are the services for which the log was queried and had no number.
+	observed  map[string]serverCount // observed are the numbers of servers in the list, for services without a baseline.
 }
 
-// count is how many servers a service had, and since when.
-type count struct {
+// serverCount is a number of servers and the time since which it has been seen.
+type serverCount struct {
 	servers int
 	since   time.Time
 }
 
-// baseSteady is how long a first number of servers must have stayed the same:
-// the list fills up while all servers start.
-const baseSteady = 1500 * time.Millisecond
+// baselineStableTime is how long the number of servers must be unchanged before it is
+// committed as the initial one: the list grows while all servers start.
+const baselineStableTime = 1500 * time.Millisecond
 
-// NewFleet returns a fleet that has ordered nothing.
+// NewFleet returns a fleet without pending orders.
 func NewFleet(u *Uplink, log zerolog.Logger) *Fleet {
-	return &Fleet{uplink: u, log: log, planner: u.planner(), bases: map[string]int{}, asked: map[string]bool{}, first: map[string]count{}}
+	return &Fleet{uplink: u, log: log, planner: u.newPlanner(), baselines: map[string]int{}, queried: map[string]bool{}, observed: map[string]serverCount{}}
 }
 
-// Reset forgets what an earlier term knew.
-func (f *Fleet) Reset(time.Time) { f.planner = f.uplink.planner() }
+// Reset discards the planner's state of an earlier term.
+func (f *Fleet) Reset(time.Time) { f.planner = f.uplink.newPlanner() }
 
-// Unsettled returns the services whose first number of servers is not known here,
-// with the number that there is. The number is 0 until the log was asked whether
-// one is settled: what a later leader finds is not what was there first.
-func (f *Fleet) Unsettled(now time.Time) []protocol.BaselineMsg {
+// PendingBaselines returns the services whose initial number of servers is unknown here,
+// with the current number. The number is 0 until the log has been queried for a committed
+// one, since the servers that a later leader finds are not the initial ones.
+func (f *Fleet) PendingBaselines(now time.Time) []protocol.BaselineMsg {
 	catalog := f.uplink.Catalog()
 	servers, listed := f.uplink.Servers()
 	if catalog == nil || !listed {
@@ -49,33 +49,34 @@
 	var rows []protocol.BaselineMsg
 	for i := range catalog.Services {
 		s := &catalog.Services[i]
-		if _, ok := f.bases[s.Name]; ok || s.Scaling == nil {
+		if _, ok := f.baselines[s.Name]; ok || s.Scaling == nil {
 			continue
 		}
-		if !f.asked[s.Name] {
+		if !f.queried[s.Name] {
 			rows = append(rows, protocol.BaselineMsg{Service: s.Name})
 			continue
 		}
-		// Whether servers may be ordered now does not matter to how many there are.
-		planned, _ := f.uplink.planned(s.Name, servers)
-		n := standing(planned, s.Name)
-		if c := f.first[s.Name]; c.servers != n {
-			f.first[s.Name] = count{servers: n, since: now}
+		// Whether servers may be ordered now does not affect the count.
+		planned, _ := f.uplink.plannableServers(s.Name, servers)
+		n := countServers(planned, s.Name)
+		if c := f.observed[s.Name]; c.servers != n {
+			f.observed[s.Name] = serverCount{servers: n, since: now}
 		}
-		if n > 0 && now.Sub(f.first[s.Name].since) >= baseSteady {
+		if n > 0 && now.Sub(f.observed[s.Name].since) >= baselineStableTime {
 			rows = append(rows, protocol.BaselineMsg{Service: s.Name, Servers: n})
 		}
 	}
 	return rows
 }
 
-// Settled notes a service's first number of servers, or that the log has none.
-func (f *Fleet) Settled(service string, servers int) {
+// SetBaseline records a service's initial number of servers, or with 0 that the log has
+// none.
+func (f *Fleet) SetBaseline(service string, servers int) {
 	if servers == 0 {
-		f.asked[service] = true
+		f.queried[service] = true
 		return
 	}
-	f.bases[service] = servers
+	f.baselines[service] = servers
 }
 
 // Plan returns the orders to send now.
@@ -89,18 +90,18 @@
 	loads := f.uplink.Loads()
 	for i := range catalog.Services {
 		s := &catalog.Services[i]
-		base, ok := f.bases[s.Name]
-		guess := f.first[s.Name].servers
-		if s.Scaling == nil || (!ok && guess == 0) {
+		base, ok := f.baselines[s.Name]
+		estimate := f.observed[s.Name].servers
+		if s.Scaling == nil || (!ok && estimate == 0) {
 			continue
 		}
-		planned, may := f.uplink.planned(s.Name, m.Servers)
-		if !may {
+		planned, canPlan := f.uplink.plannableServers(s.Name, m.Servers)
+		if !canPlan {
 			continue
 		}
 		m.Servers = planned
 		l := loads[s.Name]
-		m.Services = append(m.Services, scale.Service{Spec: s, Running: l.Work, BegunAnswers: l.Begun, SlowAnswers: l.Slow, InitialServers: pick(ok, base, guess), Provisional: !ok, RunningByRegion: l.Regions})
+		m.Services = append(m.Services, scale.Service{Spec: s, Running: l.Work, BegunAnswers: l.Begun, SlowAnswers: l.Slow, InitialServers: initialServers(ok, base, estimate), Provisional: !ok, RunningByRegion: l.Regions})
 	}
 	var orders []Order
 	for _, o := range f.planner.Plan(m) {
@@ -109,22 +110,22 @@
 	return orders
 }
 
-// Ordered notes what became of an order.
-func (f *Fleet) Ordered(o Order, err error, now time.Time) {
+// RecordOrder records the result of an order.
+func (f *Fleet) RecordOrder(o Order, err error, now time.Time) {
 	f.planner.RecordOrder(scale.Order(o), err == nil, now)
 }
 
-// pick returns the settled number if there is one, else the guess.
-func pick(settled bool, base, guess int) int {
+// initialServers returns the committed number if there is one, else the estimate.
+func initialServers(settled bool, base, estimate int) int {
 	if settled {
 		return base
 	}
-	return guess
+	return estimate
 }
 
-// standing counts a service's servers at the full price: reclaimable ones may
-// have been ordered here. Where there are no others, they count.
-func standing(servers []protocol.Instance, service string) int {
+// countServers counts a service's full-price servers, because the planner itself may have
+// ordered reclaimable ones. If there are only reclaimable ones, it counts those.
+func countServers(servers []protocol.Instance, service string) int {
 	full, reclaimable := 0, 0
 	for i := range servers {
 		switch {
--- a/transport/control/history.go
+++ b/transport/control/history.go
@@ -6,31 +6,31 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// historyKept is how many versions of the list a gateway may be behind and still
-// be sent the changes only.
-const historyKept = 64
+// maxHistory is the number of versions that a gateway may be behind and still be sent only
+// the changes.
+const maxHistory = 64
 
-// history keeps what changed between the versions of the list: whole lists of a
-// large fleet, sent to every gateway at each change, would fill the leader's link.
+// history holds the changes between versions of the list. Sending the complete list of a
+// large fleet to every gateway at each change would saturate the leader's link.
 type history struct {
-	steps []step // steps are in the order of their versions.
+	deltas []listDelta // deltas are in the order of their versions.
 }
 
-// step is what changed in one version.
-type step struct {
+// listDelta contains the changes of one version.
+type listDelta struct {
 	version uint64
-	after   uint64 // after is the version that the changes are against; a relay may not see each one.
+	base    uint64 // base is the version that the changes refer to; a relay may miss versions in between.
 	changed []protocol.Instance
 	gone    []string
 }
 
-// add notes a new version beside the one before.
+// add appends the changes of a new version against the last one.
 func (h *history) add(version, last uint64, before, after []protocol.Instance) {
 	old := make(map[string]protocol.Instance, len(before))
 	for _, in := range before {
 		old[in.ID] = in
 	}
-	s := step{version: version, after: last}
+	s := listDelta{version: version, base: last}
 	for _, in := range after {
 		was, ok := old[in.ID]
 		delete(old, in.ID)
@@ -41,21 +41,20 @@
 	for id := range old {
 		s.gone = append(s.gone, id)
 	}
-	h.steps = append(h.steps, s)
-	if len(h.steps) > historyKept {
-		h.steps = h.steps[len(h.steps)-historyKept:]
+	h.deltas = append(h.deltas, s)
+	if len(h.deltas) > maxHistory {
+		h.deltas = h.deltas[len(h.deltas)-maxHistory:]
 	}
 }
 
-// since returns what changed behind a version, or false where that is not known
-// any more.
+// since returns the changes after a version, or false if they are no longer known.
 func (h *history) since(version uint64) (changed []protocol.Instance, gone []string, ok bool) {
-	if !h.knows(version) {
+	if !h.covers(version) {
 		return nil, nil, false
 	}
-	latest := map[string]*protocol.Instance{} // latest is nil for those that are gone.
-	for i := range h.steps {
-		s := &h.steps[i]
+	latest := map[string]*protocol.Instance{} // latest is nil for removed servers.
+	for i := range h.deltas {
+		s := &h.deltas[i]
 		if s.version <= version {
 			continue
 		}
@@ -76,7 +75,7 @@
 	return changed, gone, true
 }
 
-// knows reports whether a version is one that changes are kept against.
-func (h *history) knows(version uint64) bool {
-	return slices.ContainsFunc(h.steps, func(s step) bool { return s.after == version || s.version == version })
+// covers reports whether the changes since a version are known.
+func (h *history) covers(version uint64) bool {
+	return slices.ContainsFunc(h.deltas, func(s listDelta) bool { return s.base == version || s.version == version })
 }
--- a/transport/control/history_test.go
+++ b/transport/control/history_test.go
@@ -11,13 +11,13 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// TestChangesAddUp checks over random lists that a gateway which is told changes
-// only, from any version on, comes to hold the list as it is.
-func TestChangesAddUp(t *testing.T) {
+// TestHistoryYieldsLatestList checks over random lists that a gateway that receives only
+// changes, from any version on, ends with the latest list.
+func TestHistoryYieldsLatestList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h history
 		lists := [][]protocol.Instance{nil}
-		versions := rapid.IntRange(1, 2*historyKept).Draw(t, "versions")
+		versions := rapid.IntRange(1, 2*maxHistory).Draw(t, "versions")
 		for version := 1; version <= versions; version++ {
 			var list []protocol.Instance
 			for id := range 6 {
@@ -34,7 +34,7 @@
 		latest := len(lists) - 1
 		from := rapid.IntRange(0, latest).Draw(t, "from")
 		changed, gone, ok := h.since(uint64(from))
-		if ok != (latest-from <= historyKept) {
+		if ok != (latest-from <= maxHistory) {
 			t.Fatalf("from %d of %d: known %v", from, latest, ok)
 		}
 		if !ok {
@@ -60,32 +60,31 @@
 	})
 }
 
-// TestGatewayIsToldChanges checks that a gateway with a version of this term gets
-// the one server that changed, and one of another term the whole list.
-func TestGatewayIsToldChanges(t *testing.T) {
+// TestGatewayReceivesListChanges checks that a gateway with a version of this term receives
+// only the server that changed, and one with a version of another term the complete list.
+func TestGatewayReceivesListChanges(t *testing.T) {
 	g := newFakeGroup()
 	u := newUplink(g)
 	list := []protocol.Instance{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 	u.SetServers(1, list)
-	first := sync1(t, u, protocol.SyncMsg{Gateway: "g"})
+	first := mustSync(t, u, protocol.SyncMsg{Gateway: "g"})
 	u.SetServers(1, []protocol.Instance{{ID: "a"}, {ID: "b", Leaving: true}})
-	got := sync1(t, u, protocol.SyncMsg{Gateway: "g", Lister: first.Lister, Servers: first.Version})
+	got := mustSync(t, u, protocol.SyncMsg{Gateway: "g", Lister: first.Lister, Servers: first.Version})
 	if list, err := UnpackList(got.List); err != nil || list.Whole || len(list.Servers) != 1 || !list.Servers[0].Leaving || len(list.Gone) != 1 {
 		t.Errorf("got %+v, %v", list, err)
 	}
-	other := sync1(t, u, protocol.SyncMsg{Gateway: "g", Lister: 9, Servers: first.Version})
+	other := mustSync(t, u, protocol.SyncMsg{Gateway: "g", Lister: 9, Servers: first.Version})
 	if list, err := UnpackList(other.List); err != nil || !list.Whole || len(list.Servers) != 2 || len(list.Gone) > 0 {
-		t.Errorf("one of another term got %+v, %v", list, err)
+		t.Errorf("with a version of another term: got %+v, %v", list, err)
 	}
 }
 
-// TestListIsPackedOnce checks that gateways which lack the same of the list are told
-// in the same bytes, that those which lack something else are not, and that nothing
-// of a list is told once there is a newer one.
+// TestListIsPackedOnce checks that gateways that lack the same changes share the same encoded
+// bytes, that other gateways do not, and that cached bytes are not used for a newer list.
 func TestListIsPackedOnce(t *testing.T) {
 	u := newUplink(newFakeGroup())
 	ask := func(lister, version uint64) []byte {
-		return sync1(t, u, protocol.SyncMsg{Gateway: "g", Lister: lister, Servers: version}).List
+		return mustSync(t, u, protocol.SyncMsg{Gateway: "g", Lister: lister, Servers: version}).List
 	}
 	list := []protocol.Instance{{ID: "a"}, {ID: "b"}}
 	u.SetServers(1, list)
@@ -103,7 +102,7 @@
 		"a newer list":     {whole, ask(0, 0), false},
 	} {
 		if same := &c.a[0] == &c.b[0]; same != c.same {
-			t.Errorf("%s: the same bytes %v", name, same)
+			t.Errorf("%s: shares the encoded bytes: %v", name, same)
 		}
 	}
 }
--- a/transport/control/leader.go
+++ b/transport/control/leader.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// leaderHold is how long a question for the leader is kept while none is known:
-	// about the longest election without a split vote.
-	leaderHold = 400 * time.Millisecond
-	// listHold is how long a gateway that has no list is kept waiting for the first
-	// one of a leader: some answers of the platform. Without it the gateway would ask
-	// again a whole pause later.
-	listHold = 150 * time.Millisecond
+	// leaderWait is how long a request for the leader waits while none is known: about the
+	// longest election without a split vote.
+	leaderWait = 400 * time.Millisecond
+	// firstListWait is how long a gateway without a list waits for a new leader's first
+	// one: several response times of the platform. Without it the gateway would get the
+	// list only with its next request, a whole interval later.
+	firstListWait = 150 * time.Millisecond
 )
 
-// Leader tells who leads, once that is known.
+// Leader returns the current leader, and waits for one if none is known.
 func (u *Uplink) Leader(m protocol.LeaderMsg, reply *protocol.LeaderReply) error {
-	end := time.NewTimer(leaderHold)
+	end := time.NewTimer(leaderWait)
 	defer end.Stop()
 	for {
 		changed := u.group.Changed()
 		leader, all := u.peers()
 		reply.Controls, reply.Domains = all, u.domains(all)
-		// An instance that leads has not fallen silent, whatever the asker heard of it.
+		// An instance that leads is reachable, whatever the gateway assumes.
 		if _, leads := u.group.Vouches(); leads || leader != m.Besides {
 			reply.Leader = leader
 		}
@@ -39,19 +39,19 @@
 	}
 }
 
-// awaitList waits until the list was read in a term, for a gateway without one.
+// awaitList waits until the list has been read in a term, for a gateway without one.
 func (u *Uplink) awaitList(term uint64) {
 	u.mu.Lock()
-	u.enter(term)
-	listed, news := u.listed, u.news
+	u.enterTerm(term)
+	listed, changed := u.listed, u.listChanged
 	u.mu.Unlock()
 	if listed {
 		return
 	}
-	end := time.NewTimer(listHold)
+	end := time.NewTimer(firstListWait)
 	defer end.Stop()
 	select {
-	case <-news:
+	case <-changed:
 	case <-end.C:
 	}
 }
--- a/transport/control/limits.go
+++ b/transport/control/limits.go
@@ -10,76 +10,78 @@
 )
 
 const (
-	// limitsTime bounds the question that a relay passes on to the leader.
-	limitsTime = 250 * time.Millisecond
-	// limitsEvery is between two questions of a relay for the change of the leader's limits:
-	// its gateways hear of a new limit as soon as those which ask the leader themselves.
-	limitsEvery = 200 * time.Millisecond
+	// limitsTimeout bounds a request that a relay forwards to the leader.
+	limitsTimeout = 250 * time.Millisecond
+	// limitsInterval is the interval at which a relay polls the version of the leader's
+	// limits, so that its gateways learn of a new limit as soon as those that poll the
+	// leader directly.
+	limitsInterval = 200 * time.Millisecond
 )
 
-// Limits answers a gateway on the servers that limit their requests, or a relay that passes
-// its question on.
+// Limits answers a gateway's request for the servers' rate limits, or a relay that forwards
+// one.
 func (u *Uplink) Limits(m protocol.LimitsMsg, reply *protocol.LimitsReply) error {
 	term, ok := u.group.Vouches()
 	if !ok {
 		if r := u.relay.Load(); r != nil && m.Gateway != "" {
-			r.passLimits(m, reply)
+			r.forwardLimits(m, reply)
 		}
 		return nil
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.enter(term)
+	u.enterTerm(term)
 	now := clock.Now()
-	*reply = u.book.HandleReport(&m, term, now)
-	reply.ListLate = now.After(u.due)
-	// The lease may have run out meanwhile: then the permits are another one's to give.
+	*reply = u.permits.HandleReport(&m, term, now)
+	reply.ListLate = now.After(u.staleAt)
+	// The lease may have expired meanwhile: then another leader issues the permits.
 	still, ok := u.group.Vouches()
 	reply.Leads = ok && still == term
 	return nil
 }
 
-// Passed tells a gateway that no leader answers what servers said of their limits to
-// others.
+// Passed returns the limits that servers have announced to other gateways, for a gateway
+// that reaches no leader.
 func (u *Uplink) Passed(m protocol.SharedLimitsMsg, reply *protocol.SharedLimitsReply) error {
-	u.passing.Lock()
-	defer u.passing.Unlock()
-	*reply = u.passed.Exchange(&m, clock.Now())
+	u.sharedMu.Lock()
+	defer u.sharedMu.Unlock()
+	*reply = u.sharedLimits.Exchange(&m, clock.Now())
 	return nil
 }
 
-// LimitedServers returns the limits that servers name, in requests a second, for dumps;
-// nil from an instance that does not lead.
+// LimitedServers returns the limits that servers have announced, in requests per second,
+// for dumps. It returns nil on an instance that does not lead.
 func (u *Uplink) LimitedServers() map[string]float64 {
 	if _, ok := u.group.Vouches(); !ok {
 		return nil
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.book.Limits()
+	return u.permits.Limits()
 }
 
-// keepLimits drops the limits of servers that are listed no more. It needs u.mu.
-func (u *Uplink) keepLimits() {
-	u.book.Prune(func(server string) bool { return u.view.Find(server) != nil }, clock.Now())
+// pruneLimits removes the limits of servers that are no longer listed. The caller holds
+// u.mu.
+func (u *Uplink) pruneLimits() {
+	u.permits.Prune(func(server string) bool { return u.view.Find(server) != nil }, clock.Now())
 }
 
-// passLimits has the leader answer one of the relay's gateways.
-func (r *Relay) passLimits(m protocol.LimitsMsg, reply *protocol.LimitsReply) {
+// forwardLimits forwards the request of one of the relay's gateways to the leader.
+func (r *Relay) forwardLimits(m protocol.LimitsMsg, reply *protocol.LimitsReply) {
 	leader, _ := r.uplink.peers() // The list of all control instances is not needed.
-	if leader == "" || leader == r.own {
+	if leader == "" || leader == r.peer {
 		return
 	}
-	if err := r.caller.Call(leader, "Uplink.Limits", m, reply, limitsTime); err != nil {
+	if err := r.caller.Call(leader, "Uplink.Limits", m, reply, limitsTimeout); err != nil {
 		r.uplink.log.Debug().Err(err).Str("leader", leader).Msg("no answer on the servers' limits for a gateway")
 		*reply = protocol.LimitsReply{}
 		return
 	}
-	r.tookLimits(reply)
+	r.recordLimits(reply)
 }
 
-// tookLimits keeps which limits the leader has.
-func (r *Relay) tookLimits(reply *protocol.LimitsReply) {
+// recordLimits stores the version of the leader's limits.
+func (r *Relay) recordLimits(reply *protocol.LimitsReply) {
 	if !reply.Leads {
 		return
 	}
@@ -88,11 +90,11 @@
 	r.limits, r.listLate = protocol.LimitsVersion{Term: reply.Term, Change: reply.Change}, reply.ListLate
 }
 
-// watchLimits asks the leader again and again which limits it has, and whether its list is
-// late, while gateways ask this relay. Their answers tell it, and they then ask for what they
-// lack.
-func (r *Relay) watchLimits(ctx context.Context) {
-	for pause.For(ctx, limitsEvery) {
+// pollLimits polls the version of the leader's limits, and whether its list is out of date,
+// while the relay has gateways. The answers to the gateways contain both, so that they
+// request what they lack.
+func (r *Relay) pollLimits(ctx context.Context) {
+	for pause.For(ctx, limitsInterval) {
 		r.mu.Lock()
 		idle, held := len(r.gateways) == 0, r.limits
 		r.mu.Unlock()
@@ -100,6 +102,6 @@
 			continue
 		}
 		var reply protocol.LimitsReply
-		r.passLimits(protocol.LimitsMsg{Term: held.Term, Held: held.Change}, &reply)
+		r.forwardLimits(protocol.LimitsMsg{Term: held.Term, Held: held.Change}, &reply)
 	}
 }
--- a/transport/control/list.go
+++ b/transport/control/list.go
@@ -9,70 +9,69 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// listing is the platform's list with what changed of it lately. It is guarded by its
-// holder.
-type listing struct {
-	lister  uint64 // lister is the term in which the list was read.
-	version uint64
-	servers []protocol.Instance
-	listed  bool
-	due     time.Time // due is when the list is out of date, unless it was read again.
-	order   []string  // order are the listed servers by name.
-	history history
-	lists   map[uint64][]byte // lists are what changed since a version, packed once for all gateways.
-	names   listNames
+// serverList is the platform's list and its recent changes. The embedding type guards it.
+type serverList struct {
+	listTerm    uint64 // listTerm is the term in which the list was read.
+	version     uint64
+	servers     []protocol.Instance
+	listed      bool
+	staleAt     time.Time // staleAt is when the list becomes out of date, unless it is read again.
+	serverOrder []string  // serverOrder are the IDs of the listed servers, sorted.
+	history     history
+	packedSince map[uint64][]byte // packedSince caches the encoded changes since a version, shared by all gateways.
+	nameOnly    nameOnlyList
 }
 
-// take takes a version of the list.
-func (l *listing) take(lister, version uint64, list []protocol.Instance) {
-	if l.listed && l.lister == lister {
+// setList stores a version of the list.
+func (l *serverList) setList(lister, version uint64, list []protocol.Instance) {
+	if l.listed && l.listTerm == lister {
 		l.history.add(version, l.version, l.servers, list)
 	} else {
 		l.history = history{}
 	}
-	l.lister, l.version, l.servers, l.listed, l.lists = lister, version, list, true, map[uint64][]byte{}
-	l.names = listNames{starts: slices.ContainsFunc(list, func(in protocol.Instance) bool { return protocol.ParseIncarnation(in.ID).Start > 0 })}
-	l.order = make([]string, 0, len(list))
+	l.listTerm, l.version, l.servers, l.listed, l.packedSince = lister, version, list, true, map[uint64][]byte{}
+	l.nameOnly = nameOnlyList{needed: slices.ContainsFunc(list, func(in protocol.Instance) bool { return protocol.ParseIncarnation(in.ID).Start > 0 })}
+	l.serverOrder = make([]string, 0, len(list))
 	for i := range list {
-		l.order = append(l.order, list[i].ID)
+		l.serverOrder = append(l.serverOrder, list[i].ID)
 	}
-	slices.Sort(l.order)
+	slices.Sort(l.serverOrder)
 }
 
-// holds reports whether a gateway holds the newest version.
-func (l *listing) holds(m *protocol.SyncMsg) bool {
-	return m.Lister == l.lister && m.Servers == l.version
+// isCurrent reports whether a gateway holds the newest version.
+func (l *serverList) isCurrent(m *protocol.SyncMsg) bool {
+	return m.Lister == l.listTerm && m.Servers == l.version
 }
 
-// tellServers tells a gateway what it lacks of the list: the changes, if it holds
-// a version of this term that is not too old.
-func (l *listing) tellServers(m *protocol.SyncMsg, reply *protocol.SyncReply) {
-	if !l.listed || l.holds(m) {
+// fillServers adds to an answer what a gateway lacks of the list: only the changes if the
+// gateway holds a recent version of this term.
+func (l *serverList) fillServers(m *protocol.SyncMsg, reply *protocol.SyncReply) {
+	if !l.listed || l.isCurrent(m) {
 		return
 	}
-	reply.Listed, reply.Lister, reply.Version = true, l.lister, l.version
-	if l.startless(m) {
-		reply.List = l.withoutStarts()
+	reply.Listed, reply.Lister, reply.Version = true, l.listTerm, l.version
+	if l.wantsNamesOnly(m) {
+		reply.List = l.packedNames()
 		return
 	}
 	from := m.Servers
-	if m.Lister != l.lister {
-		from = wholeList
+	if m.Lister != l.listTerm {
+		from = noListVersion
 	}
-	list, ok := l.lists[from]
+	list, ok := l.packedSince[from]
 	if !ok {
 		list = packList(l.listSince(from))
-		l.lists[from] = list
+		l.packedSince[from] = list
 	}
 	reply.List = list
 }
 
-// wholeList stands for a version that nobody holds: the first one is 1.
-const wholeList = 0
+// noListVersion is a version that no gateway holds: versions start at 1.
+const noListVersion = 0
 
-// listSince returns what changed of the list since a version, or all of it.
-func (l *listing) listSince(version uint64) protocol.ServerList {
-	if version != wholeList {
+// listSince returns the changes of the list since a version, or all of it.
+func (l *serverList) listSince(version uint64) protocol.ServerList {
+	if version != noListVersion {
 		if changed, gone, ok := l.history.since(version); ok {
 			return protocol.ServerList{Servers: changed, Gone: gone}
 		}
@@ -80,8 +79,8 @@
 	return protocol.ServerList{Whole: true, Servers: l.servers}
 }
 
-// SetServers takes the platform's list, read in a term. A list that is the same
-// as the one before is no news. One that was asked for in an earlier term came too late.
+// SetServers stores the platform's list as read in a term. A list without changes does not
+// get a new version. A list that was requested in an earlier term is discarded.
 func (u *Uplink) SetServers(term uint64, list []protocol.Instance) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -89,39 +88,39 @@
 		u.log.Warn().Uint64("term", term).Uint64("now", u.term).Msg("list of an earlier term left out")
 		return
 	}
-	u.enter(term)
-	list, again := u.starts.Filter(list, clock.Now())
-	for _, r := range again {
+	u.enterTerm(term)
+	list, restarts := u.serverIncarnations.Filter(list, clock.Now())
+	for _, r := range restarts {
 		u.log.Warn().Str("server", r.After.String()).Str("before", r.Before.String()).Msg("server started again")
 	}
-	list = u.announced(list, clock.Now())
+	list = u.filterUnannounced(list, clock.Now())
 	if u.listed && sameServers(u.servers, list) {
 		return
 	}
-	u.take(term, u.version+1, list)
-	u.excuseLeaving(list)
-	close(u.news)
-	u.news = make(chan struct{})
-	u.view = place.NewView(list, u.view, place.WithRollouts(u.logged.Load().Latest), place.WithRegions(u.topology))
+	u.setList(term, u.version+1, list)
+	u.ignoreLeavingCrashes(list)
+	close(u.listChanged)
+	u.listChanged = make(chan struct{})
+	u.view = place.NewView(list, u.view, place.WithRollouts(u.loggedRollouts.Load().Latest), place.WithRegions(u.topology))
 	u.places.Prune(u.view)
-	u.keepLimits()
-	u.common = common{}
-	u.vector.Reset(u.loads.Pack(u.order))
-	u.readings.SetServers(u.order)
+	u.pruneLimits()
+	u.common = commonReply{}
+	u.vector.Reset(u.loads.Pack(u.serverOrder))
+	u.readings.SetServers(u.serverOrder)
 }
 
-// ExpectList notes whether the list could be read in a term, and that it is to be read again
-// after a pause.
-func (u *Uplink) ExpectList(term uint64, read bool, after time.Duration) {
+// RecordListRead records whether the list could be read in a term and how long it is until
+// the next read.
+func (u *Uplink) RecordListRead(term uint64, read bool, after time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if read && term == u.term {
-		u.due = clock.Now().Add(after + listSlack)
+		u.staleAt = clock.Now().Add(after + listGrace)
 	}
 }
 
-// sameServers reports whether two lists say the same. How much longer a server
-// is slow from its start, or still runs, is reported only when that begins and ends.
+// sameServers reports whether two lists are equivalent. For the remaining times of a slow
+// start and until a server ends, only their beginning and end count as changes.
 func sameServers(a, b []protocol.Instance) bool {
 	if len(a) != len(b) {
 		return false
@@ -140,7 +139,7 @@
 	return a == b
 }
 
-// Servers returns the platform's list as it was read last, and whether it was.
+// Servers returns the list that was read last, and whether one was read.
 func (u *Uplink) Servers() ([]protocol.Instance, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/transport/control/load.go
+++ b/transport/control/load.go
@@ -6,47 +6,47 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Load is what the gateways' requests ask of one service.
+// Load is the demand for one service, as reported by the gateways.
 type Load struct {
 	Work    float64
 	Begun   int64
 	Slow    int64
-	Regions map[string]float64 // Regions are Work by the gateways' region; empty where none is known.
+	Regions map[string]float64 // Regions is Work by the gateways' region; empty if no regions are known.
 }
 
 // Loads adds up the reports of all gateways.
 func (u *Uplink) Loads() map[string]Load {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.alive(clock.Now())
+	u.countGateways(clock.Now())
 	loads := map[string]Load{}
 	for _, g := range u.gateways {
 		for _, p := range g.pressure {
-			loads[p.Service] = loads[p.Service].plus(p).from(u.topology.Region(g.domain), p.Work)
+			loads[p.Service] = loads[p.Service].addPressure(p).addRegion(u.topology.Region(g.domain), p.Work)
 		}
 	}
 	return loads
 }
 
-func (l Load) plus(p protocol.Pressure) Load {
+func (l Load) addPressure(p protocol.Pressure) Load {
 	return Load{Work: l.Work + p.Work, Begun: l.Begun + p.Begun, Slow: l.Slow + p.Slow, Regions: l.Regions}
 }
 
-// load adds up the reports on one service. It needs u.mu.
-func (u *Uplink) load(service string) Load {
+// serviceLoad adds up the reports on one service. The caller holds u.mu.
+func (u *Uplink) serviceLoad(service string) Load {
 	var l Load
 	for _, g := range u.gateways {
 		for _, p := range g.pressure {
 			if p.Service == service {
-				l = l.plus(p)
+				l = l.addPressure(p)
 			}
 		}
 	}
 	return l
 }
 
-// lanes returns the terms of all gateways together, by service. It needs u.mu.
-func (u *Uplink) lanes() []protocol.ServiceLanes {
+// mergedLanes merges the lane parameters of all gateways, by service. The caller holds u.mu.
+func (u *Uplink) mergedLanes() []protocol.ServiceLanes {
 	terms := map[string][]protocol.LaneParams{}
 	for _, g := range u.gateways {
 		for _, p := range g.pressure {
--- a/transport/control/operator.go
+++ b/transport/control/operator.go
@@ -13,20 +13,20 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// OperatorPathPrefix begins the paths of weldstream's own calls of operators.
+// OperatorPathPrefix is the prefix of the paths of weldstream's operator API.
 const OperatorPathPrefix = "/v1/"
 
 const (
 	pathRollouts = OperatorPathPrefix + "rollouts"
-	// operatorTime bounds one call of an operator.
-	operatorTime = 3 * time.Second
+	// operatorTimeout bounds a request of an operator.
+	operatorTimeout = 3 * time.Second
 )
 
-// Operator answers weldctl:
+// Operator serves the API that weldctl uses:
 //
-//	GET    /v1/rollouts           the newest roll-out of each service, as RolloutList
-//	POST   /v1/rollouts           begins one, by a RolloutOrder; answers it
-//	DELETE /v1/rollouts/SERVICE   turns one back that runs; answers it
+//	GET    /v1/rollouts           returns the newest roll-out of each service, as RolloutList
+//	POST   /v1/rollouts           starts a roll-out from a RolloutOrder and returns it
+//	DELETE /v1/rollouts/SERVICE   rolls back a running roll-out and returns it
 type Operator struct {
 	orders   *RolloutOrders
 	progress func() []protocol.RolloutProgress
@@ -40,65 +40,66 @@
 	LimitMS int64  `json:"limit_ms"`
 }
 
-// RolloutList is the answer to GET /v1/rollouts.
+// RolloutList is the response to GET /v1/rollouts.
 type RolloutList struct {
 	Rollouts []protocol.Rollout         `json:"rollouts"`
-	Progress []protocol.RolloutProgress `json:"progress,omitempty"` // Progress is what the leader knows of those that run.
+	Progress []protocol.RolloutProgress `json:"progress,omitempty"` // Progress is the leader's view of the running roll-outs.
 }
 
-// NewOperator returns the handler; progress asks the leader how roll-outs go.
+// NewOperator returns the handler; progress queries the leader for the progress of
+// roll-outs.
 func NewOperator(o *RolloutOrders, progress func() []protocol.RolloutProgress, log zerolog.Logger) *Operator {
 	return &Operator{orders: o, progress: progress, log: log}
 }
 
 // Handle is the fasthttp handler.
 func (o *Operator) Handle(c *fasthttp.RequestCtx) {
-	ctx, cancel := context.WithTimeout(context.Background(), operatorTime)
+	ctx, cancel := context.WithTimeout(context.Background(), operatorTimeout)
 	defer cancel()
 	path := string(c.Path())
 	service, one := strings.CutPrefix(path, pathRollouts+"/")
 	switch {
 	case c.IsGet() && path == pathRollouts:
 		list, err := o.orders.List(ctx)
-		o.answer(c, RolloutList{Rollouts: list, Progress: o.progress()}, err)
+		o.writeResult(c, RolloutList{Rollouts: list, Progress: o.progress()}, err)
 	case c.IsPost() && path == pathRollouts:
 		o.begin(ctx, c)
 	case c.IsDelete() && one:
 		r, err := o.orders.Abort(ctx, service)
 		o.log.Info().Err(err).Str("service", service).Uint64("rollout", r.Number).Stringer("stage", r.Stage).Msg("roll-out aborted")
-		o.answer(c, r, err)
+		o.writeResult(c, r, err)
 	default:
-		refuse(c, protocol.NewRefusal(fasthttp.StatusNotFound, protocol.CodeNotFound, "no such path: %s %s", c.Method(), path))
+		writeRefusal(c, protocol.NewRefusal(fasthttp.StatusNotFound, protocol.CodeNotFound, "no such path: %s %s", c.Method(), path))
 	}
 }
 
 func (o *Operator) begin(ctx context.Context, c *fasthttp.RequestCtx) {
 	var order RolloutOrder
 	if err := json.Unmarshal(c.PostBody(), &order); err != nil {
-		refuse(c, protocol.NewRefusal(fasthttp.StatusBadRequest, protocol.CodeBadRequest, "the body is not an order: %v", err))
+		writeRefusal(c, protocol.NewRefusal(fasthttp.StatusBadRequest, protocol.CodeBadRequest, "cannot decode the roll-out order: %v", err))
 		return
 	}
 	r, err := o.orders.Begin(ctx, order.Service, order.Version, time.Duration(order.LimitMS)*time.Millisecond)
 	o.log.Info().Err(err).Str("service", order.Service).Str("version", order.Version).Int64("limit", order.LimitMS).Uint64("rollout", r.Number).Msg("roll-out ordered")
-	o.answer(c, r, err)
+	o.writeResult(c, r, err)
 }
 
-// answer answers a value, or what stands against it.
-func (*Operator) answer(c *fasthttp.RequestCtx, v any, err error) {
+// writeResult writes a value, or the refusal for an error.
+func (*Operator) writeResult(c *fasthttp.RequestCtx, v any, err error) {
 	if err != nil {
-		refuse(c, RolloutRefusal(err))
+		writeRefusal(c, RolloutRefusal(err))
 		return
 	}
 	data, err := json.Marshal(v)
 	if err != nil {
-		refuse(c, protocol.NewRefusal(fasthttp.StatusInternalServerError, protocol.CodeBadRequest, "%v", err))
+		writeRefusal(c, protocol.NewRefusal(fasthttp.StatusInternalServerError, protocol.CodeBadRequest, "%v", err))
 		return
 	}
 	c.SetContentType("application/json")
 	c.SetBody(data)
 }
 
-// RolloutRefusal returns what an operator is told of an error.
+// RolloutRefusal returns the response to an operator for an error.
 func RolloutRefusal(err error) *protocol.Refusal {
 	switch {
 	case errors.Is(err, ErrInvalidOrder):
@@ -110,15 +111,15 @@
 	case errors.Is(err, ErrNoRollout):
 		return protocol.NewRefusal(fasthttp.StatusNotFound, protocol.CodeNotFound, "%v", err)
 	}
-	r := protocol.NewRefusal(fasthttp.StatusServiceUnavailable, protocol.CodeNoQuorum, "%v: the order may hold or not; send the same again", err)
-	return r.WithVerdict(protocol.MayHaveRun).WithRetryAfter(unsureRetry)
+	r := protocol.NewRefusal(fasthttp.StatusServiceUnavailable, protocol.CodeNoQuorum, "%v: the order may or may not have been accepted; retry it unchanged", err)
+	return r.WithVerdict(protocol.MayHaveRun).WithRetryAfter(uncertainRetryAfter)
 }
 
-// unsureRetry is when an operator may ask again after an answer that tells nothing:
-// about as long as an election takes.
-const unsureRetry = 200 * time.Millisecond
+// uncertainRetryAfter is when an operator may retry if the outcome is unknown: about the
+// duration of an election.
+const uncertainRetryAfter = 200 * time.Millisecond
 
-func refuse(c *fasthttp.RequestCtx, r *protocol.Refusal) {
+func writeRefusal(c *fasthttp.RequestCtx, r *protocol.Refusal) {
 	c.SetStatusCode(r.Status)
 	c.SetContentType("application/json")
 	if r.RetryAfter > 0 {
@@ -126,7 +127,7 @@
 	}
 	data, err := json.Marshal(r.Body())
 	if err != nil {
-		return // A refusal holds only strings and numbers.
+		return // A refusal contains only strings and numbers.
 	}
 	c.SetBody(data)
 }
--- a/transport/control/orders.go
+++ b/transport/control/orders.go
@@ -9,24 +9,24 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Errors of orders for roll-outs. After any other the order may hold or not, and can
-// be sent again.
+// Errors for roll-out orders. After any other error the order may have been accepted and
+// can be sent again.
 var (
-	// ErrInvalidOrder is returned for an order that cannot be carried out as it is.
-	ErrInvalidOrder = eris.New("the order cannot be carried out")
-	// ErrUnknownService is returned for a service that the configuration does not have.
-	ErrUnknownService = eris.New("the configuration has no such service")
-	// ErrRolloutInProgress is returned while another roll-out of the service runs.
-	ErrRolloutInProgress = eris.New("another roll-out of the service runs")
-	// ErrNoRollout is returned where the service never had a roll-out, or none that runs.
-	ErrNoRollout = eris.New("there is no such roll-out")
+	// ErrInvalidOrder is returned for an order that is not valid.
+	ErrInvalidOrder = eris.New("invalid roll-out order")
+	// ErrUnknownService is returned for a service that is not in the configuration.
+	ErrUnknownService = eris.New("the service is not in the configuration")
+	// ErrRolloutInProgress is returned while another roll-out of the service is running.
+	ErrRolloutInProgress = eris.New("another roll-out of the service is running")
+	// ErrNoRollout is returned if the service has no roll-out, or no running one.
+	ErrNoRollout = eris.New("no such roll-out")
 )
 
-// RolloutStore is the replicated log as orders for roll-outs need it.
+// RolloutStore is the part of the replicated log that roll-out orders use.
 type RolloutStore interface {
-	// BeginRollout has an order accepted, if nothing stands against it.
+	// BeginRollout commits an order unless it conflicts with another one.
 	BeginRollout(ctx context.Context, m protocol.BeginRolloutMsg) (protocol.BeginRolloutReply, error)
-	// StageRollout takes a roll-out further, if it runs.
+	// StageRollout moves a running roll-out to its next stage.
 	StageRollout(ctx context.Context, m protocol.StageRolloutMsg) (protocol.Rollout, error)
 	// Rollouts returns the newest roll-out of each service, confirmed by a quorum.
 	Rollouts(ctx context.Context) ([]protocol.Rollout, error)
@@ -34,37 +34,37 @@
 	Document(ctx context.Context) (number uint64, data []byte, err error)
 }
 
-// RolloutOrders takes the orders of operators.
+// RolloutOrders processes operators' roll-out orders.
 type RolloutOrders struct {
-	store  RolloutStore
-	parse  func(number uint64, data []byte) (*protocol.Catalog, error)
-	repeat time.Duration
+	store        RolloutStore
+	parse        func(number uint64, data []byte) (*protocol.Catalog, error)
+	repeatWindow time.Duration
 }
 
-// mostLimit is the longest limit of a roll-out.
-const mostLimit = 7 * 24 * time.Hour
+// maxRolloutLimit is the maximum time limit of a roll-out.
+const maxRolloutLimit = 7 * 24 * time.Hour
 
-// NewRolloutOrders returns what takes orders; parse reads a document, and repeat is how
-// long after an order the same one may come again without being a new one.
+// NewRolloutOrders returns a RolloutOrders. The func parse decodes a document; an order that
+// is repeated within repeat does not start a new roll-out.
 func NewRolloutOrders(s RolloutStore, parse func(uint64, []byte) (*protocol.Catalog, error), repeat time.Duration) *RolloutOrders {
-	return &RolloutOrders{store: s, parse: parse, repeat: repeat}
+	return &RolloutOrders{store: s, parse: parse, repeatWindow: repeat}
 }
 
-// Begin orders that a service moves to a version within a limit, and returns the
-// roll-out that the order began, now or when it was sent before.
+// Begin orders the move of a service to a version within a time limit. It returns the
+// roll-out that this order started, now or when it was sent before.
 func (o *RolloutOrders) Begin(ctx context.Context, service, version string, limit time.Duration) (protocol.Rollout, error) {
 	switch {
 	case service == "":
 		return protocol.Rollout{}, eris.Wrap(ErrInvalidOrder, "the service is missing")
 	case version == "":
 		return protocol.Rollout{}, eris.Wrap(ErrInvalidOrder, "the version is missing")
-	case limit < time.Millisecond || limit > mostLimit:
-		return protocol.Rollout{}, eris.Wrapf(ErrInvalidOrder, "the limit of %v is not from 1ms to %v", limit, mostLimit)
+	case limit < time.Millisecond || limit > maxRolloutLimit:
+		return protocol.Rollout{}, eris.Wrapf(ErrInvalidOrder, "the limit of %v is not between 1ms and %v", limit, maxRolloutLimit)
 	}
-	if err := o.known(ctx, service); err != nil {
+	if err := o.checkService(ctx, service); err != nil {
 		return protocol.Rollout{}, err
 	}
-	reply, err := o.store.BeginRollout(ctx, protocol.BeginRolloutMsg{Service: service, Version: version, LimitMS: limit.Milliseconds(), RepeatMS: o.repeat.Milliseconds()})
+	reply, err := o.store.BeginRollout(ctx, protocol.BeginRolloutMsg{Service: service, Version: version, LimitMS: limit.Milliseconds(), RepeatMS: o.repeatWindow.Milliseconds()})
 	switch {
 	case err != nil:
 		return protocol.Rollout{}, err
@@ -74,8 +74,8 @@
 	return reply.Rollout, nil
 }
 
-// known checks that the newest configuration has a service.
-func (o *RolloutOrders) known(ctx context.Context, service string) error {
+// checkService checks that the newest configuration contains a service.
+func (o *RolloutOrders) checkService(ctx context.Context, service string) error {
 	number, data, err := o.store.Document(ctx)
 	if err != nil {
 		return err
@@ -114,14 +114,14 @@
 	return o.store.Rollouts(ctx)
 }
 
-// Abort turns the roll-out of a service back, if it runs.
+// Abort rolls back the roll-out of a service if it is running.
 func (o *RolloutOrders) Abort(ctx context.Context, service string) (protocol.Rollout, error) {
 	r, err := o.Find(ctx, service)
 	if err != nil {
 		return r, err
 	}
 	if r.Stage.Final() {
-		return r, eris.Wrapf(ErrNoRollout, "the last one of service %q is %s", service, r.Stage)
+		return r, eris.Wrapf(ErrNoRollout, "the last roll-out of service %q is %s", service, r.Stage)
 	}
 	return o.store.StageRollout(ctx, protocol.StageRolloutMsg{Service: service, Number: r.Number, Stage: protocol.RolloutRolledBack, Reason: "an operator turned it back"})
 }
--- a/transport/control/pack.go
+++ b/transport/control/pack.go
@@ -12,20 +12,20 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// packList packs a list; UnpackList undoes it.
+// packList encodes and compresses a list; UnpackList reverses it.
 func packList(list protocol.ServerList) []byte {
 	data, err := cbor.Marshal(list)
 	if err != nil {
-		panic(err) // Instances hold only strings and numbers.
+		panic(err) // Instances contain only strings and numbers.
 	}
 	packed, err := Pack(data)
 	if err != nil {
-		panic(err) // Nothing is written but to memory.
+		panic(err) // Writes to memory do not fail.
 	}
 	return packed
 }
 
-// UnpackList reads a packed list.
+// UnpackList decodes a list that packList encoded.
 func UnpackList(packed []byte) (list protocol.ServerList, err error) {
 	data, err := Unpack(packed)
 	if err != nil {
@@ -34,20 +34,20 @@
 	return list, eris.Wrap(cbor.Unmarshal(data, &list), "read list")
 }
 
-// packers are kept, since each takes more than half a megabyte.
-var packers = sync.Pool{New: func() any {
+// flateWriters pools compressors, each of which allocates more than half a megabyte.
+var flateWriters = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
-		panic(err) // The level is fixed.
+		panic(err) // The level is valid.
 	}
 	return w
 }}
 
-// Pack compresses a document for the way to the gateways.
+// Pack compresses a document for transfer to the gateways.
 func Pack(data []byte) ([]byte, error) {
 	var buf bytes.Buffer
-	w, _ := packers.Get().(*flate.Writer) // The pool holds nothing else.
-	defer packers.Put(w)
+	w, _ := flateWriters.Get().(*flate.Writer) // The pool contains only this type.
+	defer flateWriters.Put(w)
 	w.Reset(&buf)
 	if _, err := w.Write(data); err != nil {
 		return nil, eris.Wrap(err, "compress document")
@@ -58,11 +58,11 @@
 	return buf.Bytes(), nil
 }
 
-// maxDocument bounds what a packed document may hold, in bytes.
-const maxDocument = 64 << 20
+// maxDocumentSize bounds the size of an unpacked document, in bytes.
+const maxDocumentSize = 64 << 20
 
-// Unpack undoes [Pack].
+// Unpack reverses [Pack].
 func Unpack(packed []byte) ([]byte, error) {
-	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxDocument))
+	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxDocumentSize))
 	return data, eris.Wrap(err, "unpack document")
 }
--- a/transport/control/quarantine.go
+++ b/transport/control/quarantine.go
@@ -9,40 +9,40 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// quarantineTick is between two looks at what gateways observed: with the time that
-// observations are gathered for, and the gateways' next question, far within the 3 s in
-// which all of them are to know.
-const quarantineTick = 100 * time.Millisecond
+// quarantineInterval is the interval at which the gateways' observations are evaluated.
+// Together with the time for which observations are collected and the gateways' next request,
+// it is far below the 3 s within which all gateways must know of a held request.
+const quarantineInterval = 100 * time.Millisecond
 
-// InstallQuarantine takes the quarantine of the log. The replica's loop calls it.
-func (u *Uplink) InstallQuarantine(l protocol.QuarantineLog) { u.quarantined.Store(&l) }
+// InstallQuarantine stores the quarantine of the log. The loop of the replica calls it.
+func (u *Uplink) InstallQuarantine(l protocol.QuarantineLog) { u.quarantineLog.Store(&l) }
 
-// RunQuarantine has requests held, tried and freed while this instance leads.
+// RunQuarantine commits changes of the quarantine while this instance leads.
 func (u *Uplink) RunQuarantine(ctx context.Context) error {
 	for ctx.Err() == nil {
-		pause.For(ctx, quarantineTick)
+		pause.For(ctx, quarantineInterval)
 		term, ok := u.group.Vouches()
 		if !ok {
 			continue
 		}
-		if m := u.judge(term, clock.Now()); len(m.Hold)+len(m.Try)+len(m.Free) > 0 {
+		if m := u.quarantineChanges(term, clock.Now()); len(m.Hold)+len(m.Try)+len(m.Free) > 0 {
 			u.logQuarantine(ctx, m)
 		}
 	}
 	return nil
 }
 
-// judge returns what is to change in the quarantine now.
-func (u *Uplink) judge(term uint64, now time.Time) protocol.QuarantineMsg {
+// quarantineChanges returns the changes to make in the quarantine now.
+func (u *Uplink) quarantineChanges(term uint64, now time.Time) protocol.QuarantineMsg {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.enter(term)
-	return u.keeper.Decide(u.quarantined.Load(), now, u.clock.Now(now.Sub(u.began)))
+	u.enterTerm(term)
+	return u.quarantine.Decide(u.quarantineLog.Load(), now, u.clock.Now(now.Sub(u.startedAt)))
 }
 
-// logQuarantine has a change logged. One that is not is decided anew in the next tick.
+// logQuarantine commits changes to the log. If that fails, the next tick decides again.
 func (u *Uplink) logQuarantine(ctx context.Context, m protocol.QuarantineMsg) {
-	limit, cancel := context.WithTimeout(ctx, callTime)
+	limit, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if _, err := u.group.Propose(limit, protocol.Command{Quarantine: &m}); err != nil {
 		u.log.Warn().Err(err).Int("held", len(m.Hold)).Int("tried", len(m.Try)).Int("freed", len(m.Free)).Msg("change of the quarantine not logged")
@@ -59,8 +59,8 @@
 	}
 }
 
-// leaves reports whether a server is listed as one that leaves. It needs u.mu.
-func (u *Uplink) leaves(id string) bool {
+// isLeaving reports whether a server is listed as leaving. The caller holds u.mu.
+func (u *Uplink) isLeaving(id string) bool {
 	if u.view == nil {
 		return false
 	}
@@ -68,27 +68,27 @@
 	return s != nil && s.Leaving
 }
 
-// excuseLeaving has the ends of servers that are listed as leaving speak against nobody.
-// It needs u.mu.
-func (u *Uplink) excuseLeaving(list []protocol.Instance) {
+// ignoreLeavingCrashes excludes the ends of servers that are listed as leaving from the
+// evidence against requests. The caller holds u.mu.
+func (u *Uplink) ignoreLeavingCrashes(list []protocol.Instance) {
 	for i := range list {
 		if list[i].Leaving {
-			u.keeper.IgnoreCrash(list[i].ID)
+			u.quarantine.IgnoreCrash(list[i].ID)
 		}
 	}
 }
 
-// tellQuarantine tells an asker what it lacks of the quarantine, and of the requests whose
-// good ends are to be told.
-func tellQuarantine(l *protocol.QuarantineLog, watched []protocol.Fingerprint, held, mark uint64, reply *protocol.SyncReply) {
+// fillQuarantine adds to an answer what its recipient lacks of the quarantine and of the
+// requests whose successful ends it is to report.
+func fillQuarantine(l *protocol.QuarantineLog, watched []protocol.Fingerprint, held, mark uint64, reply *protocol.SyncReply) {
 	reply.Quarantine = l.UpdateSince(held)
 	reply.Watch = protocol.NewWatchUpdate(watched, mark)
 }
 
-// Quarantine returns the requests that are held, as dumps show them.
+// Quarantine returns the held requests, for dumps.
 func (u *Uplink) Quarantine() []protocol.Quarantined {
 	var list []protocol.Quarantined
-	for _, q := range u.quarantined.Load().Entries {
+	for _, q := range u.quarantineLog.Load().Entries {
 		if q.Held {
 			list = append(list, q)
 		}
--- a/transport/control/quota.go
+++ b/transport/control/quota.go
@@ -5,23 +5,23 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Quota grants parts of quotas to a gateway whose requests wait for them. What it takes does
-// not depend on how many gateways and servers there are.
+// Quota grants quota to a gateway whose requests are waiting for it. Its cost does not depend
+// on the number of gateways and servers.
 func (u *Uplink) Quota(m protocol.QuotaMsg, reply *protocol.QuotaReply) error {
 	term, ok := u.group.Vouches()
 	if !ok {
 		return nil
 	}
-	u.ready()
+	u.prepareDocument()
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.enter(term)
+	u.enterTerm(term)
 	now := clock.Now()
-	u.placesDone(m.Done, term)
+	u.recordDone(m.Done, term)
 	for _, want := range m.Wants {
 		reply.Grants = append(reply.Grants, u.quotas.Grant(want, now))
 	}
-	// The lease may have run out meanwhile: then the quotas are another one's to grant.
+	// The lease may have expired meanwhile: then another leader grants the quotas.
 	still, ok := u.group.Vouches()
 	reply.Leads = ok && still == term
 	return nil
--- a/transport/control/quota_test.go
+++ b/transport/control/quota_test.go
@@ -8,9 +8,9 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// TestQuotaNeedsALeader checks that parts of quotas are granted by an instance that leads
-// alone, also where it loses its lease while it answers.
-func TestQuotaNeedsALeader(t *testing.T) {
+// TestQuotaRequiresLeader checks that only a leader grants quota, also if its lease expires
+// during the request.
+func TestQuotaRequiresLeader(t *testing.T) {
 	g := newFakeGroup()
 	u := newUplink(g)
 	m := protocol.QuotaMsg{Gateway: "g", Wants: []protocol.QuotaRequest{{Workspace: "w", Units: 1}}}
@@ -21,20 +21,20 @@
 		return reply
 	}
 	if reply := ask(); !reply.Leads || len(reply.Grants) != 1 {
-		t.Errorf("a leader answers %+v", reply)
+		t.Errorf("leader: got %+v", reply)
 	}
-	g.asks = 2
+	g.vouchesLeft = 2
 	if reply := ask(); reply.Leads {
-		t.Errorf("an instance whose lease ran out meanwhile answers %+v", reply)
+		t.Errorf("instance whose lease expired during the request: got %+v", reply)
 	}
 	if reply := ask(); reply.Leads || len(reply.Grants) > 0 {
-		t.Errorf("an instance that does not lead answers %+v", reply)
+		t.Errorf("instance that does not lead: got %+v", reply)
 	}
 }
 
-// TestEndsComeWithQuotas checks that the leader hears of the ends of requests that it placed
-// beside questions for parts of quotas, of this term and of its own places alone.
-func TestEndsComeWithQuotas(t *testing.T) {
+// TestQuotaRequestCarriesDone checks that the leader learns of completed requests from requests
+// for quota, and considers only those of this term that it placed itself.
+func TestQuotaRequestCarriesDone(t *testing.T) {
 	u := newUplink(newFakeGroup())
 	u.SetServers(1, []protocol.Instance{{ID: "s", Service: "s", Slots: 4}})
 	var place protocol.PlaceReply
@@ -49,24 +49,24 @@
 		return u.places.InProgress()
 	}
 	if n := ends(protocol.PlaceDone{Term: 1, Number: place.Number, Placer: place.Placer + 1}); n != 1 {
-		t.Errorf("%d places behind an end of another placer", n)
+		t.Errorf("%d placements after the completion of another placer's, want 1", n)
 	}
 	if n := ends(protocol.PlaceDone{Term: 2, Number: place.Number, Placer: place.Placer}); n != 1 {
-		t.Errorf("%d places behind an end of another term", n)
+		t.Errorf("%d placements after the completion of another term's, want 1", n)
 	}
 	if n := ends(protocol.PlaceDone{Term: 1, Number: place.Number, Placer: place.Placer}); n != 0 {
-		t.Errorf("%d places behind its end", n)
+		t.Errorf("%d placements after the completion, want 0", n)
 	}
 }
 
-// TestQuotaAnswerDoesNotGrow checks the pattern of many gateways that each see few requests:
-// nothing can be asked for in advance, so that each request waits for an answer. What that
-// holds must not grow with the gateways and servers, as an answer with loads does.
-func TestQuotaAnswerDoesNotGrow(t *testing.T) {
+// TestQuotaMessageSizeIsConstant checks the case of many gateways with few requests each:
+// nothing can be requested in advance, so each request waits for an answer. Its size must not
+// grow with the number of gateways and servers, as an answer with loads does.
+func TestQuotaMessageSizeIsConstant(t *testing.T) {
 	const most = 300 // bytes, of a question and its answer
 	for _, gateways := range []int{30, 300, 986, 1972} {
-		s := newSizeWorld(gateways, changedLoads)
-		s.ask(s.gateways, 0, changedLoads)
+		s := newFleetSim(gateways, modeLoadChanges)
+		s.ask(s.gateways, 0, modeLoadChanges)
 		m := protocol.QuotaMsg{Gateway: "edge-a1-77", Wants: []protocol.QuotaRequest{{Workspace: "workspace-77", Units: 12000, Waiting: 12000}}}
 		var reply protocol.QuotaReply
 		if err := s.leader.Quota(m, &reply); err != nil || !reply.Leads {
@@ -76,8 +76,8 @@
 		s.traffic.add(s.topology, "a1", "a1", m, false)
 		s.traffic.add(s.topology, "a1", "a1", reply, true)
 		if s.traffic.within > most {
-			t.Errorf("%d gateways: %d bytes", gateways, s.traffic.within)
+			t.Errorf("%d gateways: a request for quota takes %d bytes", gateways, s.traffic.within)
 		}
-		t.Logf("%s", fmt.Sprintf("%4d gateways: %d bytes for a part of a quota", gateways, s.traffic.within))
+		t.Logf("%s", fmt.Sprintf("%4d gateways: %d bytes for a quota request", gateways, s.traffic.within))
 	}
 }
--- a/transport/control/readings_test.go
+++ b/transport/control/readings_test.go
@@ -6,17 +6,17 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// TestReadingsOfAllGateways checks that what one gateway had read, and what the leader
-// placed, is told to another one, once, and only with the same list.
+// TestReadingsOfAllGateways checks that the prompts that one gateway sent and that the leader
+// placed are passed to another gateway, once, and only if it holds the same list.
 func TestReadingsOfAllGateways(t *testing.T) {
 	u := newUplink(newFakeGroup())
 	u.SetServers(1, []protocol.Instance{{ID: "b", Service: "s"}, {ID: "a", Service: "s"}})
-	first := sync1(t, u, protocol.SyncMsg{Gateway: "g", Readings: []protocol.Prefill{{Server: "b", Links: []uint32{7, 8}}}})
+	first := mustSync(t, u, protocol.SyncMsg{Gateway: "g", Readings: []protocol.Prefill{{Server: "b", Links: []uint32{7, 8}}}})
 	if len(first.Readings) > 0 || first.ReadingsAt != 0 {
 		t.Errorf("readings %v up to %d for a gateway without the list", first.Readings, first.ReadingsAt)
 	}
 	ask := func(at uint64) protocol.SyncReply {
-		return sync1(t, u, protocol.SyncMsg{Gateway: "h", Lister: first.Lister, Servers: first.Version, ReadingsAt: at})
+		return mustSync(t, u, protocol.SyncMsg{Gateway: "h", Lister: first.Lister, Servers: first.Version, ReadingsAt: at})
 	}
 	got := ask(0)
 	if want := "\x07\x00\x00\x00\x01\x00\x08\x00\x00\x00\x01\x00"; string(got.Readings) != want || got.ReadingsAt != 2 {
@@ -27,9 +27,9 @@
 		t.Fatalf("placed at %q: %v", placed.Server, err)
 	}
 	if got = ask(got.ReadingsAt); len(got.Readings) != 6 || got.Readings[0] != 9 || got.ReadingsAt != 3 {
-		t.Errorf("readings %x up to %d behind a placed prompt", got.Readings, got.ReadingsAt)
+		t.Errorf("readings %x up to %d after a prompt was placed", got.Readings, got.ReadingsAt)
 	}
 	if got = ask(got.ReadingsAt); len(got.Readings) != 0 {
-		t.Errorf("readings %x are told twice", got.Readings)
+		t.Errorf("readings %x were sent twice", got.Readings)
 	}
 }
--- a/transport/control/regions.go
+++ b/transport/control/regions.go
@@ -2,9 +2,8 @@
 
 import "github.com/weldstream/weldstream/coordination/scale"
 
-// from returns the load with work by a gateway of a region added to that region's. It adds
-// nothing to Work.
-func (l Load) from(region string, work float64) Load {
+// addRegion returns the load with work added to that of a region. It does not change Work.
+func (l Load) addRegion(region string, work float64) Load {
 	if region == "" {
 		return l
 	}
@@ -15,5 +14,5 @@
 	return l
 }
 
-// planner returns a planner that has ordered nothing and knows the regions.
-func (u *Uplink) planner() *scale.Planner { return scale.New(scale.WithTopology(u.topology)) }
+// newPlanner returns a planner without pending orders that knows the regions.
+func (u *Uplink) newPlanner() *scale.Planner { return scale.New(scale.WithTopology(u.topology)) }
--- a/transport/control/regions_test.go
+++ b/transport/control/regions_test.go
@@ -12,9 +12,8 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// TestLoadsTellRegions checks that work is added up by the gateways' region, and not
-// where their region is not known.
-func TestLoadsTellRegions(t *testing.T) {
+// TestLoadsByRegion checks that work is added up by the gateways' region, if it is known.
+func TestLoadsByRegion(t *testing.T) {
 	two := topology.New(map[string]string{"a-1": "a", "a-2": "a", "b-1": "b"})
 	for _, c := range []struct {
 		name     string
@@ -26,7 +25,7 @@
 	} {
 		u := NewUplink(newFakeGroup(), noPeers, parse, 8*time.Second, WithTopology(c.topology))
 		for i, domain := range []string{"a-1", "a-2", "b-1", "unknown"} {
-			sync1(t, u, protocol.SyncMsg{Gateway: domain, Domain: domain, Pressure: []protocol.Pressure{{Service: "s", Work: []float64{1, 2, 4, 8}[i]}}})
+			mustSync(t, u, protocol.SyncMsg{Gateway: domain, Domain: domain, Pressure: []protocol.Pressure{{Service: "s", Work: []float64{1, 2, 4, 8}[i]}}})
 		}
 		got := u.Loads()["s"]
 		if got.Work != 15 || !maps.Equal(got.Regions, c.want) {
@@ -35,9 +34,9 @@
 	}
 }
 
-// TestFleetFollowsTheRegions checks that servers at the full price are ordered where
-// the gateways' work arises: all of it is in the region that is a twentieth dearer.
-func TestFleetFollowsTheRegions(t *testing.T) {
+// TestFleetOrdersWhereWorkArises checks that full-price servers are ordered in the region with
+// the gateways' work, even though that region is a twentieth more expensive.
+func TestFleetOrdersWhereWorkArises(t *testing.T) {
 	const servers = 4
 	for _, c := range []struct {
 		name     string
@@ -52,8 +51,8 @@
 			Max: 30, DomainPrices: map[string]float64{"a-1": 0.95, "b-1": 1},
 		}}}}
 		f := NewFleet(u, zerolog.Nop())
-		f.Settled("s", servers)
-		sync1(t, u, protocol.SyncMsg{Gateway: "g", Domain: "b-1", Pressure: []protocol.Pressure{{Service: "s", Work: 10, Begun: 1}}})
+		f.SetBaseline("s", servers)
+		mustSync(t, u, protocol.SyncMsg{Gateway: "g", Domain: "b-1", Pressure: []protocol.Pressure{{Service: "s", Work: 10, Begun: 1}}})
 		u.SetServers(1, []protocol.Instance{})
 		full := map[string]int{}
 		for _, o := range f.Plan(clock.Now()) {
@@ -62,7 +61,7 @@
 			}
 		}
 		if full[c.want] == 0 || len(full) != 1 {
-			t.Errorf("%s: servers at the full price are ordered in %v, want %s alone", c.name, full, c.want)
+			t.Errorf("%s: full-price servers ordered in %v, want only %s", c.name, full, c.want)
 		}
 	}
 }
--- a/transport/control/relay_test.go
+++ b/transport/control/relay_test.go
@@ -23,20 +23,20 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-const leaderAt = "10.0.0.9:7000"
+const leaderAddr = "10.0.0.9:7000"
 
-// wire is the way from relays to the leaders, which a test can hold or break.
-type wire struct {
-	mu      sync.Mutex
-	leaders map[string]*Uplink
-	leader  string
-	fail    bool
-	hold    chan struct{} // hold keeps answers back until it is closed; nil keeps none.
-	batches []protocol.BatchMsg
-	arrived chan struct{} // arrived receives that a batch was answered, before it is held.
+// leaderLink is the connection from relays to the leaders. Tests can delay or break it.
+type leaderLink struct {
+	mu       sync.Mutex
+	leaders  map[string]*Uplink
+	leader   string
+	fail     bool
+	hold     chan struct{} // hold delays answers until it is closed; nil does not.
+	batches  []protocol.BatchMsg
+	answered chan struct{} // answered signals that a batch was processed, before its answer is delayed.
 }
 
-func (w *wire) Call(address, method string, args, reply any, _ time.Duration) error {
+func (w *leaderLink) Call(address, method string, args, reply any, _ time.Duration) error {
 	m, _ := args.(protocol.BatchMsg)
 	w.mu.Lock()
 	u, fail, hold := w.leaders[address], w.fail, w.hold
@@ -46,11 +46,11 @@
 		return u.Limits(m, reply.(*protocol.LimitsReply))
 	}
 	if u == nil || fail || method != "Uplink.Batch" {
-		return errors.New("no answer")
+		return errors.New("no reply")
 	}
 	err := u.Batch(m, reply.(*protocol.BatchReply))
 	select {
-	case w.arrived <- struct{}{}:
+	case w.answered <- struct{}{}:
 	default:
 	}
 	if hold != nil {
@@ -59,40 +59,40 @@
 	return err
 }
 
-func (w *wire) set(change func()) {
+func (w *leaderLink) set(change func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change()
 }
 
-func (w *wire) peers() (string, []string) {
+func (w *leaderLink) peers() (string, []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.leader, []string{leaderAt, "10.0.0.1:7000"}
+	return w.leader, []string{leaderAddr, "10.0.0.1:7000"}
 }
 
 var twoRegions = topology.New(map[string]string{"a1": "a", "b1": "b"})
 
-// newLeader returns a leader of a term and the wire to it.
-func newLeader(term uint64) (*Uplink, *fakeGroup, *wire) {
+// newLeader returns a leader of a term and the link to it.
+func newLeader(term uint64) (*Uplink, *fakeGroup, *leaderLink) {
 	g := newFakeGroup()
 	g.term = term
-	w := &wire{leader: leaderAt, arrived: make(chan struct{}, 100), leaders: map[string]*Uplink{}}
+	w := &leaderLink{leader: leaderAddr, answered: make(chan struct{}, 100), leaders: map[string]*Uplink{}}
 	u := NewUplink(g, w.peers, parse, 8*time.Second, WithTopology(twoRegions))
-	w.leaders[leaderAt] = u
+	w.leaders[leaderAddr] = u
 	return u, g, w
 }
 
-// newRelayOf returns a control instance that relays over a wire, and its group. Its
-// batches are overdue only after the patience of the tests, so that a process which
-// stands still for a moment decides nothing; options change it.
-func newRelayOf(t *testing.T, w *wire, name string, opts ...func(*Relay)) (*Uplink, *fakeGroup) {
+// newTestRelay returns a control instance that relays over a link, and its group. Unless an
+// option changes it, batches are overdue only after testTimeout, so that a stalled process
+// does not affect the result.
+func newTestRelay(t *testing.T, w *leaderLink, name string, opts ...func(*Relay)) (*Uplink, *fakeGroup) {
 	t.Helper()
 	g := newFakeGroup()
 	g.leads = false
 	u := NewUplink(g, w.peers, parse, 8*time.Second, WithTopology(twoRegions))
 	r := NewRelay(u, w, name, name+":7000", metrics.NewRegistry())
-	r.slack = patience
+	r.slack = testTimeout
 	for _, opt := range opts {
 		opt(r)
 	}
@@ -102,11 +102,11 @@
 	return u, g
 }
 
-// usualSlack has batches be overdue as soon as they are in use.
-func usualSlack(r *Relay) { r.slack = batchSlack }
+// defaultSlack makes batches overdue after the same time as in production.
+func defaultSlack(r *Relay) { r.slack = batchSlack }
 
-// asked asks a control instance as a gateway that has a relay, and delivers the answer.
-func asked(u *Uplink, m protocol.SyncMsg) <-chan protocol.SyncReply {
+// syncAsync sends a request of a gateway that uses a relay and delivers the answer.
+func syncAsync(u *Uplink, m protocol.SyncMsg) <-chan protocol.SyncReply {
 	m.Relayed = true
 	answer := make(chan protocol.SyncReply, 1)
 	go func() {
@@ -117,26 +117,26 @@
 	return answer
 }
 
-func within[T any](t *testing.T, c <-chan T, what string) T {
+func receive[T any](t *testing.T, c <-chan T, what string) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patience):
-		t.Fatalf("%s: nothing came", what)
+	case <-time.After(testTimeout):
+		t.Fatalf("time-out waiting for %s", what)
 		panic("unreachable")
 	}
 }
 
-// gatewayCopy is what a gateway holds, taken from answers as its client does.
-type gatewayCopy struct {
+// gatewayState is a gateway's state, updated from answers as its client does.
+type gatewayState struct {
 	m        protocol.SyncMsg
 	document string
 	servers  []protocol.Instance
 	loads    []byte
 }
 
-func (g *gatewayCopy) take(r *protocol.SyncReply) error {
+func (g *gatewayState) apply(r *protocol.SyncReply) error {
 	if len(r.Document) > 0 {
 		data, err := Unpack(r.Document)
 		if err != nil {
@@ -160,16 +160,16 @@
 	return err
 }
 
-// TestRelaysAnswerAsTheLeader checks over random lists, documents and moves of two
-// gateways between two relays and the leader that each answer leaves the gateway with
-// what the leader has.
+// TestRelaysAnswerAsTheLeader checks, with random lists and documents and two gateways that
+// switch between two relays and the leader, that after each answer the gateway's state equals
+// that of the leader.
 func TestRelaysAnswerAsTheLeader(t *testing.T) {
 	leader, _, w := newLeader(3)
-	a, _ := newRelayOf(t, w, "a")
-	b, _ := newRelayOf(t, w, "b")
+	a, _ := newTestRelay(t, w, "a")
+	b, _ := newTestRelay(t, w, "b")
 	instances := []*Uplink{leader, a, b}
 	number := uint64(0)
-	gateways := map[string]*gatewayCopy{}
+	gateways := map[string]*gatewayState{}
 	rapid.Check(t, func(t *rapid.T) {
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
@@ -188,30 +188,30 @@
 				name := rapid.SampledFrom([]string{"g", "h"}).Draw(t, "gateway")
 				g := gateways[name]
 				if g == nil {
-					g = &gatewayCopy{m: protocol.SyncMsg{Gateway: name, Domain: "a1"}}
+					g = &gatewayState{m: protocol.SyncMsg{Gateway: name, Domain: "a1"}}
 					gateways[name] = g
 				}
 				g.m.Running = []protocol.ServerLoad{{Server: fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "server")), Running: 1}}
 				leader.mu.Lock()
-				leader.common = common{} // As if some time had passed.
+				leader.common = commonReply{} // As if it had expired.
 				leader.mu.Unlock()
-				r := <-asked(rapid.SampledFrom(instances).Draw(t, "instance"), g.m)
+				r := <-syncAsync(rapid.SampledFrom(instances).Draw(t, "instance"), g.m)
 				if !r.Leads || r.Term != 3 {
-					t.Fatalf("answer %+v", r)
+					t.Fatalf("invalid answer %+v", r)
 				}
-				if err := g.take(&r); err != nil {
+				if err := g.apply(&r); err != nil {
 					t.Fatal(err)
 				}
 				leader.mu.Lock()
 				want := fmt.Sprintf("document %d", number)
 				if number > 0 && g.document != want {
-					t.Errorf("holds %q, want %q", g.document, want)
+					t.Errorf("gateway holds document %q, want %q", g.document, want)
 				}
 				if leader.listed && !sameServers(sortedByID(leader.servers), g.servers) {
-					t.Errorf("holds the servers %v, want %v", g.servers, leader.servers)
+					t.Errorf("gateway holds servers %v, want %v", g.servers, leader.servers)
 				}
 				if diff := cmp.Diff(leader.vector.Values(), g.loads); r.Loaded.Version > 0 && diff != "" {
-					t.Errorf("holds other loads: %s", diff)
+					t.Errorf("gateway holds different loads (-leader +gateway): %s", diff)
 				}
 				leader.mu.Unlock()
 			}
@@ -224,60 +224,58 @@
 	return all.ApplyTo(nil)
 }
 
-// TestRelayAsksBehindTheQuestion checks that a question which comes in while a batch is
-// under way is not answered by that batch's answer: what the leader vouched for may be
-// older than the question.
-func TestRelayAsksBehindTheQuestion(t *testing.T) {
+// TestRelayAnswerIsNewerThanRequest checks that a request that arrives while a batch is in
+// flight is not answered from that batch's answer, which may be older than the request.
+func TestRelayAnswerIsNewerThanRequest(t *testing.T) {
 	leader, _, w := newLeader(3)
-	relay, _ := newRelayOf(t, w, "a")
+	relay, _ := newTestRelay(t, w, "a")
 	leader.Install(5, []byte("five"))
 	w.hold = make(chan struct{})
-	first := asked(relay, protocol.SyncMsg{Gateway: "g", Lister: 1})
-	within(t, w.arrived, "the first batch") // The leader has vouched for document 5.
+	first := syncAsync(relay, protocol.SyncMsg{Gateway: "g", Lister: 1})
+	receive(t, w.answered, "the first batch") // The leader has confirmed document 5.
 	leader.Install(6, []byte("six"))
-	second := asked(relay, protocol.SyncMsg{Gateway: "h", Lister: 1})
-	within(t, w.arrived, "the second batch")
+	second := syncAsync(relay, protocol.SyncMsg{Gateway: "h", Lister: 1})
+	receive(t, w.answered, "the second batch")
 	close(w.hold)
 	w.set(func() { w.hold = nil })
-	if r := within(t, first, "the first answer"); !r.Leads || r.Number < 5 {
-		t.Errorf("the first got %+v", r)
+	if r := receive(t, first, "the first answer"); !r.Leads || r.Number < 5 {
+		t.Errorf("first gateway: got %+v", r)
 	}
-	if r := within(t, second, "the second answer"); !r.Leads || r.Number != 6 {
-		t.Errorf("the second got document %d, leads %v; 6 was accepted before it asked", r.Number, r.Leads)
+	if r := receive(t, second, "the second answer"); !r.Leads || r.Number != 6 {
+		t.Errorf("second gateway: document %d, leads %v, want document 6, which was accepted before the request", r.Number, r.Leads)
 	}
 }
 
-// TestCutRelayTellsAtOnce checks that a relay which the leader does not answer tells the
-// gateways that wait, and those that come meanwhile, that it cannot vouch and who leads,
-// and that it answers again once the leader does. No answer of it counts meanwhile, so
-// that a key which was taken away is refused within the bound: that rests on the time of
-// the last question whose answer counted.
-func TestCutRelayTellsAtOnce(t *testing.T) {
+// TestDisconnectedRelayRejectsImmediately checks that a relay without an answer from the leader
+// rejects the waiting requests and those that arrive meanwhile, names the leader, and answers
+// again once the leader does. None of its answers is valid meanwhile, so a revoked key is
+// refused within the bound, which depends on the last request with a valid answer.
+func TestDisconnectedRelayRejectsImmediately(t *testing.T) {
 	leader, _, w := newLeader(3)
-	relay, _ := newRelayOf(t, w, "a", usualSlack)
+	relay, _ := newTestRelay(t, w, "a", defaultSlack)
 	leader.Install(5, []byte("the key stands"))
-	if r := within(t, asked(relay, protocol.SyncMsg{Gateway: "g", Lister: 1}), "the first answer"); !r.Leads || r.Leader != leaderAt {
+	if r := receive(t, syncAsync(relay, protocol.SyncMsg{Gateway: "g", Lister: 1}), "the first answer"); !r.Leads || r.Leader != leaderAddr {
 		t.Fatalf("got %+v", r)
 	}
 	hold := make(chan struct{})
 	w.set(func() { w.hold = hold })
-	waits := asked(relay, protocol.SyncMsg{Gateway: "g", Number: 5, Lister: 1})
-	within(t, w.arrived, "the batch")
+	waits := syncAsync(relay, protocol.SyncMsg{Gateway: "g", Number: 5, Lister: 1})
+	receive(t, w.answered, "the batch")
 	leader.Install(6, []byte("the key is gone"))
-	if r := within(t, waits, "while the leader is silent"); r.Leads || r.Leader != leaderAt {
-		t.Errorf("one that waited got %+v", r)
+	if r := receive(t, waits, "an answer while the leader does not respond"); r.Leads || r.Leader != leaderAddr {
+		t.Errorf("waiting request: got %+v", r)
 	}
-	if r := within(t, asked(relay, protocol.SyncMsg{Gateway: "h", Lister: 1}), "while the leader is silent"); r.Leads || r.Leader != leaderAt {
-		t.Errorf("one that came later got %+v", r)
+	if r := receive(t, syncAsync(relay, protocol.SyncMsg{Gateway: "h", Lister: 1}), "an answer while the leader does not respond"); r.Leads || r.Leader != leaderAddr {
+		t.Errorf("later request: got %+v", r)
 	}
 	if s := relay.relay.Load().State(); !s.Overdue {
 		t.Errorf("state %+v", s)
 	}
 	w.set(func() { w.hold = nil })
 	close(hold)
-	end := time.Now().Add(patience)
+	end := time.Now().Add(testTimeout)
 	for {
-		r := within(t, asked(relay, protocol.SyncMsg{Gateway: "g", Number: 5, Lister: 1}), "once the leader answers")
+		r := receive(t, syncAsync(relay, protocol.SyncMsg{Gateway: "g", Number: 5, Lister: 1}), "an answer after the leader responds again")
 		if r.Leads {
 			if r.Number != 6 || len(r.Document) == 0 {
 				t.Errorf("got document %d", r.Number)
@@ -285,89 +283,89 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("it never answers again")
+			t.Fatal("the relay does not resume answering")
 		}
 	}
 }
 
-// TestLeaderChangesUnderARelay checks that a relay whose leader is gone tells so, and
-// then answers for the next one, which gets its whole sums.
-func TestLeaderChangesUnderARelay(t *testing.T) {
+// TestRelayFollowsNewLeader checks that a relay without a leader reports that, and then answers
+// for the next leader, which receives complete sums.
+func TestRelayFollowsNewLeader(t *testing.T) {
 	first, firstGroup, w := newLeader(3)
-	relay, group := newRelayOf(t, w, "a")
+	relay, group := newTestRelay(t, w, "a")
 	first.Install(5, nil)
 	m := protocol.SyncMsg{Gateway: "g", Lister: 1, Domain: "a1", Running: []protocol.ServerLoad{{Server: "s", Running: 4}}}
 	for range 2 {
-		if r := within(t, asked(relay, m), "the first leader"); !r.Leads || r.Term != 3 {
+		if r := receive(t, syncAsync(relay, m), "an answer of the first leader"); !r.Leads || r.Term != 3 {
 			t.Fatalf("got %+v", r)
 		}
 	}
 	firstGroup.set(3, false)
-	if r := within(t, asked(relay, m), "no leader"); r.Leads {
-		t.Errorf("an instance that leads no more vouched: %+v", r)
+	if r := receive(t, syncAsync(relay, m), "an answer without a leader"); r.Leads {
+		t.Errorf("valid answer from an instance that no longer leads: %+v", r)
 	}
 	w.set(func() { w.leader = "" })
-	if r := within(t, asked(relay, m), "no leader"); r.Leads || r.Leader != "" {
+	if r := receive(t, syncAsync(relay, m), "an answer without a known leader"); r.Leads || r.Leader != "" {
 		t.Errorf("got %+v", r)
 	}
 	next, _, _ := newLeader(4)
 	next.Install(6, nil)
 	w.set(func() { w.leader, w.leaders["10.0.0.8:7000"] = "10.0.0.8:7000", next })
 	group.set(4, false)
-	if r := within(t, asked(relay, m), "the next leader"); !r.Leads || r.Term != 4 || r.Number != 6 {
+	if r := receive(t, syncAsync(relay, m), "an answer of the next leader"); !r.Leads || r.Term != 4 || r.Number != 6 {
 		t.Errorf("got %+v", r)
 	}
 	if n := next.loads.Running("s"); n != 4 {
-		t.Errorf("the next leader knows of %d requests, 4 are under way", n)
+		t.Errorf("the next leader counts %d requests, want 4", n)
 	}
 }
 
-// TestWhatOnlyChangedCrosses checks that the second batch of a relay holds no sums that
-// the leader has, and that a leader that does not hold them asks for the whole.
-func TestWhatOnlyChangedCrosses(t *testing.T) {
+// TestRelaySendsChangedSums checks that a relay's second batch omits the sums that the leader
+// holds, and that a leader that does not hold them requests complete ones.
+func TestRelaySendsChangedSums(t *testing.T) {
 	leader, _, w := newLeader(3)
-	relay, _ := newRelayOf(t, w, "a")
+	relay, _ := newTestRelay(t, w, "a")
 	m := protocol.SyncMsg{Gateway: "g", Lister: 1, Domain: "a1", Running: []protocol.ServerLoad{{Server: "s", Running: 4}, {Server: "t", Running: 1}}}
 	ask := func() protocol.BatchMsg {
 		t.Helper()
-		within(t, asked(relay, m), "an answer")
+		receive(t, syncAsync(relay, m), "an answer")
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		return w.batches[len(w.batches)-1]
 	}
 	if b := ask(); b.Base != 0 || len(b.Sums.Running) != 2 || len(b.Sums.Counted) != 1 {
-		t.Errorf("first %+v", b)
+		t.Errorf("first batch: %+v", b)
 	}
 	m.Running[1].Running = 2
 	if b := ask(); b.Base == 0 || len(b.Sums.Running) != 1 || len(b.Sums.Counted) != 0 {
-		t.Errorf("second %+v", b)
+		t.Errorf("second batch: %+v", b)
 	}
 	leader.mu.Lock()
-	delete(leader.relays, "a") // As if the relay had been silent for long.
+	delete(leader.relays, "a") // As if the relay had been idle for too long.
 	leader.loads.DropRelay("a")
 	leader.mu.Unlock()
 	ask()
 	if b := ask(); b.Base != 0 || len(b.Sums.Running) != 2 {
-		t.Errorf("after the leader forgot %+v", b)
+		t.Errorf("batch after the leader dropped the relay: %+v", b)
 	}
 	if leader.loads.Running("s") != 4 || leader.loads.Running("t") != 2 {
-		t.Errorf("the leader knows of %d and %d", leader.loads.Running("s"), leader.loads.Running("t"))
+		t.Errorf("the leader counts %d and %d requests, want 4 and 2", leader.loads.Running("s"), leader.loads.Running("t"))
 	}
 }
 
-// TestUsageThroughRelaysCountsOnce checks that counts which a gateway tells at one
-// relay, another, and the leader count once, also where a relay dies with its answer.
-func TestUsageThroughRelaysCountsOnce(t *testing.T) {
+// TestUsageViaRelaysIsCountedOnce checks that counts which a gateway reports to one relay,
+// another one and the leader are counted once, including when a relay fails with its answer.
+func TestUsageViaRelaysIsCountedOnce(t *testing.T) {
 	leader, _, w := newLeader(3)
-	a, _ := newRelayOf(t, w, "a")
-	b, _ := newRelayOf(t, w, "b")
+	a, _ := newTestRelay(t, w, "a")
+	b, _ := newTestRelay(t, w, "b")
 	m := protocol.SyncMsg{Gateway: "g", Life: 1, Lister: 1, Usage: []protocol.UsageRow{{Window: 9, Workspace: "w", Count: 40}}}
 	for _, u := range []*Uplink{a, b, leader, a} {
-		within(t, asked(u, m), "an answer")
+		receive(t, syncAsync(u, m), "an answer")
 	}
 	m.Usage[0].Count = 41
-	within(t, asked(b, m), "an answer")
-	if got := leader.Used(9)["w"]; got != 41 {
+	receive(t, syncAsync(b, m), "an answer")
+	if got := leader.UsageTotals(9)["w"]; got != 41 {
 		t.Errorf("counted %d, want 41", got)
 	}
 	const length = time.Second
@@ -375,28 +373,28 @@
 	told := func() int {
 		leader.mu.Lock()
 		defer leader.mu.Unlock()
-		return leader.marks.Known() - len(leader.marks.Missing(window, length))
+		return leader.watermarks.Known() - len(leader.watermarks.Missing(window, length))
 	}
 	m.Counted = usage.End(window, length)
-	within(t, asked(a, m), "an answer")
+	receive(t, syncAsync(a, m), "an answer")
 	if told() != 0 {
-		t.Error("counts that were told for another term count as all that the gateway has")
+		t.Error("counts reported for another term are treated as complete")
 	}
 	m.Term = 3
-	within(t, asked(a, m), "an answer")
+	receive(t, syncAsync(a, m), "an answer")
 	if told() != 1 {
-		t.Error("the leader does not know that a relay's gateway has told all of a window")
+		t.Error("the leader does not know that a relay's gateway has reported a complete window")
 	}
 }
 
-// TestQuotaThroughRelays checks that what relays and the leader grant together is what
-// the leader alone would have granted.
-func TestQuotaThroughRelays(t *testing.T) {
+// TestQuotaViaRelaysEqualsDirect checks that relays and the leader together grant what the
+// leader alone would have granted.
+func TestQuotaViaRelaysEqualsDirect(t *testing.T) {
 	granted := func(instances ...*Uplink) float64 {
 		total := 0.0
 		for i := range 12 {
 			m := protocol.SyncMsg{Gateway: fmt.Sprint("g", i), Lister: 1, Wants: []protocol.QuotaRequest{{Workspace: "w", Units: 400, Waiting: 400}}}
-			r := within(t, asked(instances[i%len(instances)], m), "an answer")
+			r := receive(t, syncAsync(instances[i%len(instances)], m), "an answer")
 			if len(r.Grants) != 1 || r.Grants[0].Lasts <= 0 || (r.Grants[0].Units < 400 && r.Grants[0].Wait <= 0) {
 				t.Errorf("granted %+v", r.Grants)
 				continue
@@ -409,23 +407,23 @@
 	direct.Install(5, nil)
 	leader, _, w := newLeader(3)
 	leader.Install(5, nil)
-	a, _ := newRelayOf(t, w, "a")
-	b, _ := newRelayOf(t, w, "b")
+	a, _ := newTestRelay(t, w, "a")
+	b, _ := newTestRelay(t, w, "b")
 	began := time.Now()
 	want, got := granted(direct), granted(a, b, leader)
-	const rate = 1000.0 // rate is what the quota gives in a second.
+	const rate = 1000.0 // rate is the quota per second.
 	if slack := rate * time.Since(began).Seconds(); math.Abs(want-got) > slack+1 || got == 0 {
-		t.Errorf("granted %.0f through relays, %.0f without", got, want)
+		t.Errorf("granted %.0f via relays, want %.0f as without them", got, want)
 	}
 }
 
-// TestEndsGoToTheirPlacer checks that a relay places prompts of its own, and that the
-// end of a request which another instance placed under the same number changes nothing.
-func TestEndsGoToTheirPlacer(t *testing.T) {
+// TestDoneGoesToPlacer checks that a relay places prompts itself, and that the completion of a
+// request that another instance placed under the same number has no effect on it.
+func TestDoneGoesToPlacer(t *testing.T) {
 	leader, _, w := newLeader(3)
-	relay, _ := newRelayOf(t, w, "a")
+	relay, _ := newTestRelay(t, w, "a")
 	leader.SetServers(3, []protocol.Instance{{ID: "x", Service: "s", Slots: 4}, {ID: "y", Service: "s", Slots: 4}, {ID: "z", Service: "s", Slots: 4}})
-	within(t, asked(relay, protocol.SyncMsg{Gateway: "g"}), "an answer")
+	receive(t, syncAsync(relay, protocol.SyncMsg{Gateway: "g"}), "an answer")
 	next := func(u *Uplink) protocol.PlaceReply {
 		t.Helper()
 		var reply protocol.PlaceReply
@@ -436,7 +434,7 @@
 		return reply
 	}
 	end := func(p protocol.PlaceReply) {
-		within(t, asked(relay, protocol.SyncMsg{Gateway: "g", Done: []protocol.PlaceDone{{Term: p.Term, Number: p.Number, Placer: p.Placer}}}), "an answer")
+		receive(t, syncAsync(relay, protocol.SyncMsg{Gateway: "g", Done: []protocol.PlaceDone{{Term: p.Term, Number: p.Number, Placer: p.Placer}}}), "an answer")
 	}
 	other, first := next(leader), next(relay)
 	if other.Number != first.Number || other.Placer == first.Placer {
@@ -444,17 +442,17 @@
 	}
 	end(other)
 	if second := next(relay); second.Server == first.Server {
-		t.Errorf("%s got both while others were free", first.Server)
+		t.Errorf("%s got both requests while others were free", first.Server)
 	}
 	end(first)
 	if third := next(relay); third.Server != first.Server {
-		t.Errorf("placed at %s, though %s was free again", third.Server, first.Server)
+		t.Errorf("placed at %s, want %s, which was free again", third.Server, first.Server)
 	}
 }
 
-// TestOvertakenAnswers checks that batches under way at once leave the relay with what
-// the leader had for the latest one, in whatever order their answers come, and that
-// each question is answered no older than its own batch was.
+// TestOvertakenAnswers checks that the relay ends with the leader's state as of the last batch,
+// in whatever order the answers to concurrent batches arrive, and that each request is answered
+// with a document at least as new as the one confirmed for its own batch.
 func TestOvertakenAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leader, _, w := newLeader(3)
@@ -466,17 +464,17 @@
 			number uint64
 		}
 		var batches []*underWay
-		g := &gatewayCopy{m: protocol.SyncMsg{Gateway: "g", Domain: "a1"}}
+		g := &gatewayState{m: protocol.SyncMsg{Gateway: "g", Domain: "a1"}}
 		number := uint64(0)
-		// What the leader had when it answered the latest batch.
+		// The leader's state when it answered the last batch.
 		listed, servers, loads := false, []protocol.Instance(nil), []byte(nil)
 		answer := func(i int) {
 			x := batches[i]
 			batches = append(batches[:i], batches[i+1:]...)
-			r.take(x.b, &x.reply, time.Millisecond)
-			a := <-x.b.list[0].answer
+			r.handleReply(x.b, &x.reply, time.Millisecond)
+			a := <-x.b.pending[0].reply
 			if !a.Leads || a.Number < x.number {
-				t.Fatalf("answer %+v to a batch for which %d was vouched for", a, x.number)
+				t.Fatalf("answer %+v to a batch for which document %d was confirmed", a, x.number)
 			}
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -494,11 +492,11 @@
 				leader.SetServers(3, list)
 			case 2:
 				g.m.Running = []protocol.ServerLoad{{Server: "1", Running: rapid.IntRange(0, 3).Draw(t, "running")}}
-				q := &question{m: g.m, at: clock.Now(), answer: make(chan protocol.SyncReply, 1)}
-				x := &underWay{b: &exchange{leader: leaderAt, list: []*question{q}}, number: number}
-				x.b.m, _ = r.compose(leaderAt, x.b.list)
+				q := &pendingSync{m: g.m, receivedAt: clock.Now(), reply: make(chan protocol.SyncReply, 1)}
+				x := &underWay{b: &exchange{leader: leaderAddr, pending: []*pendingSync{q}}, number: number}
+				x.b.m, _ = r.newBatch(leaderAddr, x.b.pending)
 				leader.mu.Lock()
-				leader.common = common{} // As if some time had passed.
+				leader.common = commonReply{} // As if it had expired.
 				leader.mu.Unlock()
 				if err := leader.Batch(x.b.m, &x.reply); err != nil {
 					t.Fatal(err)
@@ -514,31 +512,31 @@
 		for len(batches) > 0 {
 			answer(rapid.IntRange(0, len(batches)-1).Draw(t, "answered"))
 		}
-		if listed && !sameServers(servers, r.copies.servers) {
-			t.Fatalf("holds %v, the leader had %v", r.copies.servers, servers)
+		if listed && !sameServers(servers, r.state.servers) {
+			t.Fatalf("relay holds servers %v, want %v", r.state.servers, servers)
 		}
-		if diff := cmp.Diff(loads, r.copies.vector.Values(), cmpopts.EquateEmpty()); diff != "" {
-			t.Fatalf("holds other loads: %s", diff)
+		if diff := cmp.Diff(loads, r.state.vector.Values(), cmpopts.EquateEmpty()); diff != "" {
+			t.Fatalf("relay holds different loads (-leader +relay): %s", diff)
 		}
 	})
 }
 
-// TestTrialThroughRelays checks that the credits of a version on trial that relays hand
-// out are those that the leader granted: the same at each instance, never more together
-// than the share and the slack allow, and that the roll-out's end reaches the gateway.
-func TestTrialThroughRelays(t *testing.T) {
-	r := newRolling(t)
-	w := &wire{leader: leaderAt, arrived: make(chan struct{}, 100), leaders: map[string]*Uplink{leaderAt: r.uplink}}
-	a, _ := newRelayOf(t, w, "a")
-	b, _ := newRelayOf(t, w, "b")
+// TestTrialCreditsViaRelays checks that relays hand out the credits for a version on trial that
+// the leader granted: the same from each instance, in total never more than share and slack
+// allow, and that the end of the roll-out reaches the gateway.
+func TestTrialCreditsViaRelays(t *testing.T) {
+	r := newRolloutTest(t)
+	w := &leaderLink{leader: leaderAddr, answered: make(chan struct{}, 100), leaders: map[string]*Uplink{leaderAddr: r.uplink}}
+	a, _ := newTestRelay(t, w, "a")
+	b, _ := newTestRelay(t, w, "b")
 	r.uplink.mu.Lock()
-	r.uplink.enter(1)
-	r.uplink.entered = clock.Now().Add(-time.Hour)
+	r.uplink.enterTerm(1)
+	r.uplink.enteredAt = clock.Now().Add(-time.Hour)
 	r.uplink.mu.Unlock()
 	const arrived = 1000
 	ask := func(u *Uplink, name string, wants int) protocol.SyncReply {
 		t.Helper()
-		return within(t, asked(u, protocol.SyncMsg{Gateway: name, Life: 1, Rollouts: 1, Trials: []protocol.TrialReport{{Number: 1, Arrived: arrived, Wants: wants}}}), "an answer")
+		return receive(t, syncAsync(u, protocol.SyncMsg{Gateway: name, Life: 1, Rollouts: 1, Trials: []protocol.TrialReport{{Number: 1, Arrived: arrived, Wants: wants}}}), "an answer")
 	}
 	first := ask(a, "g", 5)
 	if len(first.Trials) != 1 || first.Trials[0].Credits != 5 || first.Trials[0].Share <= 0 {
@@ -558,23 +556,23 @@
 	}
 	r.propose(protocol.Command{StageRollout: &protocol.StageRolloutMsg{Service: "s", Number: 1, Stage: protocol.RolloutRolledBack}})
 	if got := ask(b, "g", 5); len(got.Rollouts) != 1 || got.Rollouts[0].Stage != protocol.RolloutRolledBack || len(got.Trials) != 0 {
-		t.Errorf("its end is told as %+v, %+v", got.Rollouts, got.Trials)
+		t.Errorf("after its end: roll-outs %+v, trials %+v", got.Rollouts, got.Trials)
 	}
 }
 
-// TestReadingsPassThroughRelays checks that gateways of relays and of the leader learn
-// which server was given what to read by any of them, and that a relay is not told by
-// the leader what it passed on itself.
-func TestReadingsPassThroughRelays(t *testing.T) {
+// TestReadingsViaRelays checks that the gateways of relays and of the leader learn which server
+// has processed which prompt, whichever of them reports it, and that the leader does not return
+// to a relay what that relay forwarded.
+func TestReadingsViaRelays(t *testing.T) {
 	leader, _, w := newLeader(1)
 	leader.SetServers(1, []protocol.Instance{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}})
-	first, _ := newRelayOf(t, w, "first")
-	second, _ := newRelayOf(t, w, "second")
+	first, _ := newTestRelay(t, w, "first")
+	second, _ := newTestRelay(t, w, "second")
 	held, known, rows := map[string]protocol.SyncReply{}, map[string]map[uint32]string{}, map[string]int{}
 	ask := func(u *Uplink, gateway string, told ...protocol.Prefill) {
 		before := held[gateway]
 		m := protocol.SyncMsg{Gateway: gateway, Relayed: true, Readings: told, ReadingsAt: before.ReadingsAt, Lister: before.Lister, Servers: before.Version}
-		r := within(t, asked(u, m), "an answer to "+gateway)
+		r := receive(t, syncAsync(u, m), "an answer to "+gateway)
 		if known[gateway] == nil {
 			known[gateway] = map[uint32]string{}
 		}
@@ -600,14 +598,14 @@
 	want := map[uint32]string{7: "b", 8: "a"}
 	for gateway, got := range known {
 		if !cmp.Equal(got, want) || rows[gateway] != len(want) {
-			t.Errorf("%s is told %v in %d rows, want %v, each once", gateway, got, rows[gateway], want)
+			t.Errorf("%s received readings %v in %d rows, want %v, each once", gateway, got, rows[gateway], want)
 		}
 	}
 }
 
-// TestEndedRelayAnswersAtOnce checks that a question which comes behind a relay's end
-// does not wait for an answer that nobody gives.
-func TestEndedRelayAnswersAtOnce(t *testing.T) {
+// TestStoppedRelayAnswersImmediately checks that a request that arrives after the relay has
+// stopped does not wait for an answer that never comes.
+func TestStoppedRelayAnswersImmediately(t *testing.T) {
 	_, _, w := newLeader(1)
 	u := newUplink(newFakeGroup())
 	ctx, stop := context.WithCancel(t.Context())
@@ -622,7 +620,7 @@
 		relay.sync(protocol.SyncMsg{Gateway: "g", Relayed: true}, &reply)
 		answer <- reply
 	}()
-	if got := within(t, answer, "an answer"); got.Leads {
-		t.Errorf("answered %+v", got)
+	if got := receive(t, answer, "an answer"); got.Leads {
+		t.Errorf("got valid answer %+v", got)
 	}
 }
--- a/transport/control/rollouts.go
+++ b/transport/control/rollouts.go
@@ -10,115 +10,118 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// liveOrder is how old an order may be, by the time of day, to count as accepted now:
-// a commit takes milliseconds, clocks differ by less than a second.
-const liveOrder = 1500 * time.Millisecond
+// freshOrderAge is the age, by wall-clock time, below which an order counts as accepted just
+// now: a commit takes milliseconds and clocks differ by less than a second.
+const freshOrderAge = 1500 * time.Millisecond
 
-// Exposure bounds what a version on trial may get.
+// Exposure bounds the requests sent to a version on trial.
 type Exposure struct {
-	Share float64 // Share is the part of its service's requests, 0 to 1.
-	Slack float64 // Slack are requests besides.
-	// Unannounced is for how long servers of a version that no order names are kept from
-	// the gateways: the order may be on its way.
+	Share float64 // Share is its share of the service's requests, from 0 to 1.
+	Slack float64 // Slack is a number of additional requests.
+	// Unannounced is how long servers of a version without an order are hidden from the
+	// gateways, because the order may not have arrived yet.
 	Unannounced time.Duration
 }
 
-// logged are the roll-outs as the log has them.
-type logged struct {
+// loggedRollouts are the roll-outs in the log.
+type loggedRollouts struct {
 	protocol.RolloutLog
-	began map[uint64]time.Time // began is when each was ordered, by this instance's own clock.
+	startedAt map[uint64]time.Time // startedAt is when each was ordered, by this instance's own clock.
 }
 
-// InstallRollouts takes the roll-outs of the log. The replica's loop calls it.
+// InstallRollouts stores the roll-outs of the log. The loop of the replica calls it.
 func (u *Uplink) InstallRollouts(l protocol.RolloutLog) {
-	before := u.logged.Load()
-	next := &logged{RolloutLog: l, began: map[uint64]time.Time{}}
+	before := u.loggedRollouts.Load()
+	next := &loggedRollouts{RolloutLog: l, startedAt: map[uint64]time.Time{}}
 	now := clock.Now()
 	for i := range l.Latest {
 		r := &l.Latest[i]
-		if began, ok := before.began[r.Number]; ok {
-			next.began[r.Number] = began
+		if began, ok := before.startedAt[r.Number]; ok {
+			next.startedAt[r.Number] = began
 			continue
 		}
-		age := time.Since(time.UnixMilli(r.BeganAt)) // By the time of day, as the log has it.
-		if age < liveOrder {
+		age := time.Since(time.UnixMilli(r.BeganAt)) // The log uses wall-clock time.
+		if age < freshOrderAge {
 			age = 0
 		}
-		next.began[r.Number] = now.Add(-age)
+		next.startedAt[r.Number] = now.Add(-age)
 	}
-	u.logged.Store(next)
+	u.loggedRollouts.Store(next)
 }
 
-// trial is what the leader of a term knows of a roll-out that runs.
-type trial struct {
-	record     protocol.Rollout
-	began      time.Time // began is when it was ordered.
-	movedAt    time.Time // movedAt is when this leader saw it move first.
-	quietSince time.Time // quietSince is since when nothing runs on the former servers; zero while something does.
-	pool       *rollout.Pool
-	counters   *rollout.Counters
-	analyzer   rollout.Analyzer
-	held       map[string]protocol.RolloutStage // held are the stages that the gateways keep to.
+// activeRollout is a leader's state of a running roll-out.
+type activeRollout struct {
+	record      protocol.Rollout
+	startedAt   time.Time // startedAt is when it was ordered.
+	movingSince time.Time // movingSince is when this leader first saw it in the moving stage.
+	idleSince   time.Time // idleSince is when the servers of the former versions became idle; zero while they are busy.
+	pool        *rollout.Pool
+	counters    *rollout.Counters
+	analyzer    rollout.Analyzer
+	heldStages  map[string]protocol.RolloutStage // heldStages are the stages that the gateways follow.
 }
 
-// renewRollouts takes what changed in the log, and has the view follow. It needs u.mu.
-func (u *Uplink) renewRollouts() {
-	l := u.logged.Load()
-	if u.rolled == l.Changes {
+// applyRollouts applies changes of the log to the running roll-outs and the view. The caller
+// holds u.mu.
+func (u *Uplink) applyRollouts() {
+	l := u.loggedRollouts.Load()
+	if u.appliedRollouts == l.Changes {
 		return
 	}
-	u.rolled = l.Changes
-	trials := map[uint64]*trial{}
+	u.appliedRollouts = l.Changes
+	trials := map[uint64]*activeRollout{}
 	for _, r := range l.Latest {
 		if r.Stage.Final() {
 			continue
 		}
-		t := u.trials[r.Number]
+		t := u.activeRollouts[r.Number]
 		if t == nil {
-			t = &trial{
-				began:    l.began[r.Number],
-				pool:     rollout.NewPool(u.exposure.Share, u.exposure.Slack),
-				counters: rollout.NewCounters(),
-				analyzer: rollout.NewSequential(),
-				held:     map[string]protocol.RolloutStage{},
+			t = &activeRollout{
+				startedAt:  l.startedAt[r.Number],
+				pool:       rollout.NewPool(u.exposure.Share, u.exposure.Slack),
+				counters:   rollout.NewCounters(),
+				analyzer:   rollout.NewSequential(),
+				heldStages: map[string]protocol.RolloutStage{},
 			}
 		}
-		if r.Stage == protocol.RolloutMoving && t.movedAt.IsZero() {
-			t.movedAt = clock.Now()
+		if r.Stage == protocol.RolloutMoving && t.movingSince.IsZero() {
+			t.movingSince = clock.Now()
 		}
 		t.record = r
 		trials[r.Number] = t
 	}
-	u.trials = trials
+	u.activeRollouts = trials
 	if u.listed {
 		u.view = place.NewView(u.servers, u.view, place.WithRollouts(l.Latest), place.WithRegions(u.topology))
 	}
 }
 
-// answerChanges answers a gateway that keeps to the roll-outs of a change. It needs u.mu.
-func (u *Uplink) answerChanges(held uint64, reply *protocol.SyncReply) {
-	l := u.logged.Load()
+// fillRollouts adds the roll-outs to the answer to a gateway that follows another version of
+// them. The caller holds u.mu.
+func (u *Uplink) fillRollouts(held uint64, reply *protocol.SyncReply) {
+	l := u.loggedRollouts.Load()
 	reply.Changes = l.Changes
 	if held != l.Changes {
 		reply.Rollouts = l.Latest
 	}
 }
 
-// answerTrials answers what a gateway reports of roll-outs. It needs u.mu.
-func (u *Uplink) answerTrials(m *protocol.SyncMsg, reply *protocol.SyncReply, now time.Time) {
-	u.renewRollouts()
+// handleTrials records a gateway's reports on trials and adds the credits to the answer. The
+// caller holds u.mu.
+func (u *Uplink) handleTrials(m *protocol.SyncMsg, reply *protocol.SyncReply, now time.Time) {
+	u.applyRollouts()
 	for i := range m.Trials {
 		report := &m.Trials[i]
-		t := u.trials[report.Number]
+		t := u.activeRollouts[report.Number]
 		if t == nil {
-			continue // It is over.
+			continue // The roll-out has ended.
 		}
-		t.held[m.Gateway] = report.Held
+		t.heldStages[m.Gateway] = report.Held
 		t.analyzer.Observe(t.counters.Update(m.Gateway, m.Life, report.Rows), now)
 		if t.record.Stage != protocol.RolloutTrial {
 			continue
 		}
-		elapsed := now.Sub(t.began)
+		elapsed := now.Sub(t.startedAt)
 		share := rollout.TrialShare(&t.record, elapsed)
 		reply.Trials = append(reply.Trials, protocol.TrialGrant{Number: report.Number, Share: share, Credits: t.pool.Grant(rollout.ReportMsg{
 			Gateway:  m.Gateway,
@@ -128,23 +131,23 @@
 			Wants:    report.Wants,
 			Share:    share,
 			Progress: rollout.TrialProgress(&t.record, elapsed),
-			CanGrant: now.Sub(u.entered) >= rollout.CreditLease,
+			CanGrant: now.Sub(u.enteredAt) >= rollout.CreditLease,
 		})})
 	}
 }
 
-// planned returns the servers by which a service's number of servers is planned, and
-// whether it is to be planned now: those of a version on trial do not count, and
+// plannableServers returns the servers that count towards the number of servers of a service,
+// and whether that number may be planned now. Servers of a version on trial do not count, and
 // while requests move from one version to another no order is safe.
-func (u *Uplink) planned(service string, servers []protocol.Instance) ([]protocol.Instance, bool) {
-	for _, r := range u.logged.Load().Latest {
+func (u *Uplink) plannableServers(service string, servers []protocol.Instance) ([]protocol.Instance, bool) {
+	for _, r := range u.loggedRollouts.Load().Latest {
 		if r.Service != service {
 			continue
 		}
-		out := func(in protocol.Instance) bool {
+		excluded := func(in protocol.Instance) bool {
 			return in.Service == service && (r.Blocks(in.Version) || r.OnTrial(in.Version))
 		}
-		return slices.DeleteFunc(slices.Clone(servers), out), r.Stage != protocol.RolloutMoving
+		return slices.DeleteFunc(slices.Clone(servers), excluded), r.Stage != protocol.RolloutMoving
 	}
 	return servers, true
 }
--- a/transport/control/share.go
+++ b/transport/control/share.go
@@ -7,15 +7,16 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// sharesOut tells a gateway that has heard of no leader yet to ask a relay, where this
-// instance has more gateways than it answers at the usual pace. All start at the same time,
-// and each first answer holds the whole list: relays get that once for many of them. One that
-// knows how many gateways there are has found no relay, and is answered. It needs u.mu.
-func (u *Uplink) sharesOut(m *protocol.SyncMsg, reply *protocol.SyncReply, now time.Time) bool {
+// sendToRelays redirects a gateway without a leader to a relay if this instance already serves
+// as many gateways as it can at the usual interval. When all gateways start at the same time,
+// each first answer contains the complete list, and a relay receives it once for many of them.
+// A gateway that knows the number of gateways has found no relay and is answered. The caller
+// holds u.mu.
+func (u *Uplink) sendToRelays(m *protocol.SyncMsg, reply *protocol.SyncReply, now time.Time) bool {
 	if m.Gateways > 0 || !m.Features.Has(protocol.FeatureLocalRelays) || u.topology.Several() || len(reply.Controls) < 2 {
 		return false
 	}
-	n := u.alive(now)
+	n := u.countGateways(now)
 	if n < link.ShareFrom {
 		return false
 	}
@@ -23,12 +24,12 @@
 	return true
 }
 
-// gather is for how long questions are gathered. Within one region no request waits for a
-// batch, and the relays together ask the leader as rarely as gateways would.
-func (r *Relay) gather() time.Duration {
+// gatherDelay returns how long requests are collected for a batch. Within one region no request
+// waits for a batch, and the relays together call the leader as rarely as gateways would.
+func (r *Relay) gatherDelay() time.Duration {
 	if r.uplink.topology.Several() {
-		return gatherTime
+		return batchDelay
 	}
 	_, all := r.uplink.peers()
-	return max(gatherTime, time.Duration(len(all)-1)*link.AnswerEach)
+	return max(batchDelay, time.Duration(len(all)-1)*link.AnswerEach)
 }
--- a/transport/control/steps.go
+++ b/transport/control/steps.go
@@ -15,39 +15,39 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// rolloutTick is between two looks at a roll-out that runs: an answer that speaks
-// against a version is acted on within a tenth of a second and the gateways' next
-// question, far within the 5 s that operators allow.
-const rolloutTick = 100 * time.Millisecond
+// rolloutInterval is the interval at which running roll-outs are evaluated. Evidence against a
+// version takes effect within a tenth of a second plus the gateways' next request, far below
+// the 5 s that operators allow.
+const rolloutInterval = 100 * time.Millisecond
 
-// RunRollouts takes roll-outs further while this instance leads.
+// RunRollouts advances roll-outs while this instance leads.
 func (u *Uplink) RunRollouts(ctx context.Context) error {
 	for ctx.Err() == nil {
-		pause.For(ctx, rolloutTick)
+		pause.For(ctx, rolloutInterval)
 		term, ok := u.group.Vouches()
 		if !ok {
 			continue
 		}
-		for _, m := range u.newVersions(term, clock.Now()) {
+		for _, m := range u.versionsToLog(term, clock.Now()) {
 			u.logVersions(ctx, m)
 		}
-		for _, step := range u.steps(term, clock.Now()) {
-			u.takeStep(ctx, step)
+		for _, step := range u.nextSteps(term, clock.Now()) {
+			u.logStep(ctx, step)
 		}
 	}
 	return nil
 }
 
-// steps returns what the roll-outs are to do now.
-func (u *Uplink) steps(term uint64, now time.Time) []protocol.StageRolloutMsg {
+// nextSteps returns the due transitions of the roll-outs.
+func (u *Uplink) nextSteps(term uint64, now time.Time) []protocol.StageRolloutMsg {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.enter(term)
-	u.renewRollouts()
+	u.enterTerm(term)
+	u.applyRollouts()
 	var steps []protocol.StageRolloutMsg
-	for _, number := range slices.Sorted(maps.Keys(u.trials)) {
-		t := u.trials[number]
-		m := u.tick(t, now)
+	for _, number := range slices.Sorted(maps.Keys(u.activeRollouts)) {
+		t := u.activeRollouts[number]
+		m := u.tickMsg(t, now)
 		step, ok := rollout.Next(&t.record, m)
 		if !ok {
 			continue
@@ -61,15 +61,15 @@
 	return steps
 }
 
-// tick gathers what is known of a roll-out. It needs u.mu.
-func (u *Uplink) tick(t *trial, now time.Time) rollout.TickMsg {
+// tickMsg collects the state of a roll-out for [rollout.Next]. The caller holds u.mu.
+func (u *Uplink) tickMsg(t *activeRollout, now time.Time) rollout.TickMsg {
 	m := rollout.TickMsg{
-		Elapsed:       now.Sub(t.began),
-		LeadingFor:    now.Sub(u.entered),
+		Elapsed:       now.Sub(t.startedAt),
+		LeadingFor:    now.Sub(u.enteredAt),
 		Assessment:    t.analyzer.Assessment(),
-		Running:       u.load(t.record.Service).Work,
-		InSync:        u.keepTo(t, now),
-		MaxAnswerTime: u.longest(t.record.Service),
+		Running:       u.serviceLoad(t.record.Service).Work,
+		InSync:        u.gatewaysInSync(t, now),
+		MaxAnswerTime: u.maxAnswerTime(t.record.Service),
 	}
 	m.ExpectedRequests = t.pool.ExpectedRequests(m.Elapsed, t.record.Limit())
 	m.Headroom = t.pool.Headroom(m.ExpectedRequests)
@@ -79,7 +79,7 @@
 		case s.Service != t.record.Service:
 		case s.Version == t.record.Version:
 			if !s.Leaving {
-				m.Slots += width(s)
+				m.Slots += serverWidth(s)
 			}
 		default:
 			m.OldRunning += u.loads.Running(s.ID)
@@ -90,36 +90,37 @@
 	}
 	switch {
 	case m.OldRunning > 0:
-		t.quietSince = time.Time{}
-	case t.quietSince.IsZero():
-		t.quietSince = now
+		t.idleSince = time.Time{}
+	case t.idleSince.IsZero():
+		t.idleSince = now
 	default:
-		m.IdleFor = now.Sub(t.quietSince)
+		m.IdleFor = now.Sub(t.idleSince)
 	}
-	if !t.movedAt.IsZero() {
-		m.MovingFor = now.Sub(t.movedAt)
+	if !t.movingSince.IsZero() {
+		m.MovingFor = now.Sub(t.movingSince)
 	}
 	return m
 }
 
-func width(in *protocol.Instance) int {
+func serverWidth(in *protocol.Instance) int {
 	s := place.Server{Instance: *in}
 	return s.Width()
 }
 
-// keepTo reports whether all gateways that ask keep to the stage. It needs u.mu.
-func (u *Uplink) keepTo(t *trial, now time.Time) bool {
-	u.alive(now)
+// gatewaysInSync reports whether all active gateways follow the current stage. The caller
+// holds u.mu.
+func (u *Uplink) gatewaysInSync(t *activeRollout, now time.Time) bool {
+	u.countGateways(now)
 	for name := range u.gateways {
-		if held, ok := t.held[name]; !ok || held != t.record.Stage {
+		if held, ok := t.heldStages[name]; !ok || held != t.record.Stage {
 			return false
 		}
 	}
 	return len(u.gateways) > 0
 }
 
-// longest is how long an answer of a service may take. It needs u.mu.
-func (u *Uplink) longest(service string) time.Duration {
+// maxAnswerTime returns the longest time-out of the routes to a service. The caller holds u.mu.
+func (u *Uplink) maxAnswerTime(service string) time.Duration {
 	longest := time.Duration(0)
 	if u.catalog == nil {
 		return longest
@@ -133,9 +134,9 @@
 	return longest
 }
 
-// takeStep has a step logged. One that is not is decided anew in the next tick.
-func (u *Uplink) takeStep(ctx context.Context, step protocol.StageRolloutMsg) {
-	limit, cancel := context.WithTimeout(ctx, callTime)
+// logStep commits a transition to the log. If that fails, the next tick decides again.
+func (u *Uplink) logStep(ctx context.Context, step protocol.StageRolloutMsg) {
+	limit, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if _, err := u.group.Propose(limit, protocol.Command{StageRollout: &step}); err != nil {
 		u.log.Warn().Err(err).Str("service", step.Service).Uint64("rollout", step.Number).Msg("step of a roll-out not logged")
@@ -145,24 +146,24 @@
 	case protocol.RolloutCompleted:
 		u.meters.completed.Inc(1)
 	case protocol.RolloutRolledBack:
-		u.meters.turnedBack.Inc(1)
+		u.meters.rolledBack.Inc(1)
 	}
 }
 
-// rolloutMeters count how roll-outs ended that this instance led.
+// rolloutMeters count the results of roll-outs that this instance led.
 type rolloutMeters struct {
 	completed  metrics.Counter
-	turnedBack metrics.Counter
+	rolledBack metrics.Counter
 }
 
 func newRolloutMeters(r metrics.Registry) rolloutMeters {
 	return rolloutMeters{
 		completed:  metrics.GetOrRegisterCounter("rollouts.completed", r),
-		turnedBack: metrics.GetOrRegisterCounter("rollouts.rolled_back", r),
+		rolledBack: metrics.GetOrRegisterCounter("rollouts.rolled_back", r),
 	}
 }
 
-// Progress tells how the roll-outs go. Only a leader knows it; others return none.
+// Progress returns the progress of the roll-outs. Only the leader knows it; others return none.
 func (u *Uplink) Progress(_ bool, reply *[]protocol.RolloutProgress) error {
 	term, ok := u.group.Vouches()
 	if !ok {
@@ -170,12 +171,12 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.enter(term)
-	u.renewRollouts()
+	u.enterTerm(term)
+	u.applyRollouts()
 	now := clock.Now()
-	for _, number := range slices.Sorted(maps.Keys(u.trials)) {
-		t := u.trials[number]
-		m := u.tick(t, now)
+	for _, number := range slices.Sorted(maps.Keys(u.activeRollouts)) {
+		t := u.activeRollouts[number]
+		m := u.tickMsg(t, now)
 		*reply = append(*reply, protocol.RolloutProgress{
 			Rollout:    t.record,
 			LeftMS:     (t.record.Limit() - m.Elapsed).Milliseconds(),
--- a/transport/control/tenure.go
+++ b/transport/control/tenure.go
@@ -10,15 +10,15 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// tenure is this instance's right to carry out the duties in a term. The loops of all
-// duties act by it.
+// tenure is this instance's right to carry out the duties in a term. It is shared by the loops
+// of all duties.
 type tenure struct {
-	mu     sync.Mutex // mu guards all below, also while the log is asked, so that one loop alone takes the duties.
-	term   uint64
-	since  time.Time // since is when this instance began to lead in the term.
-	held   bool      // held says that the log names this instance as the holder of the term.
-	former string    // former is the holder before.
-	fenced bool      // fenced says that the term's token was refused.
+	mu           sync.Mutex // mu guards the fields below. It is also held during the commit, so that only one loop claims the duties.
+	term         uint64
+	leadsSince   time.Time // leadsSince is when this instance began to lead in the term.
+	recorded     bool      // recorded is set once the log names this instance as the holder for the term.
+	formerHolder string    // formerHolder is the previous holder.
+	fenced       bool      // fenced is set if the platform refused the term's token.
 }
 
 // current returns the term.
@@ -28,8 +28,8 @@
 	return t.term
 }
 
-// mayAct reports whether this instance holds the duties: it leads, its lease
-// runs, the log names it as the holder, and the former holder's lease is over.
+// mayAct reports whether this instance may carry out the duties: it leads with a valid lease,
+// the log names it as the holder, and the former holder's lease has expired.
 func (d *Duties) mayAct(ctx context.Context) bool {
 	term, ok := d.group.Vouches()
 	if !ok {
@@ -40,18 +40,19 @@
 	defer t.mu.Unlock()
 	now := clock.Now()
 	if term != t.term {
-		t.term, t.since, t.held, t.fenced = term, now, false, false
+		t.term, t.leadsSince, t.recorded, t.fenced = term, now, false, false
 	}
-	if t.fenced || (!t.held && !d.hold(ctx, t)) {
+	if t.fenced || (!t.recorded && !d.recordHolder(ctx, t)) {
 		return false
 	}
-	return t.former == "" || t.former == d.holder || now.Sub(t.since) >= d.limits.Lease
+	return t.formerHolder == "" || t.formerHolder == d.holder || now.Sub(t.leadsSince) >= d.config.Lease
 }
 
-// hold has the log name this instance as the holder. Nobody acts before, so the
-// one named before is the last that may have acted. It needs t.mu.
-func (d *Duties) hold(ctx context.Context, t *tenure) bool {
-	limit, cancel := context.WithTimeout(ctx, callTime)
+// recordHolder commits this instance as the holder of the duties. No instance acts before
+// that, so the previously committed one is the last that may have acted. The caller holds
+// t.mu.
+func (d *Duties) recordHolder(ctx context.Context, t *tenure) bool {
+	limit, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	result, err := d.group.Propose(limit, protocol.Command{Hold: &protocol.DutyHolderMsg{Holder: d.holder, Token: t.term}})
 	if err != nil || result.Hold == nil || result.Hold.Token != t.term {
@@ -61,23 +62,24 @@
 	if err != nil || tally.Tally == nil {
 		return false
 	}
-	d.uplink.Recall(t.term, d.limits.UsageWindow, tally.Tally.Rows)
-	d.recalled.Store(t.term)
-	t.held, t.former = true, result.Hold.Former
-	d.log.Info().Uint64("token", t.term).Str("former", t.former).Msg("duties held")
+	d.uplink.RestoreCounts(t.term, d.config.UsageWindow, tally.Tally.Rows)
+	d.restoredTerm.Store(t.term)
+	t.recorded, t.formerHolder = true, result.Hold.Former
+	d.log.Info().Uint64("token", t.term).Str("former", t.formerHolder).Msg("duties held")
 	return true
 }
 
-// duty returns the token to act with, if this instance still may, right now.
-func (d *Duties) duty() (Duty, bool) {
+// currentDuty returns the holder and fencing token to act with, if this instance may still act.
+func (d *Duties) currentDuty() (Duty, bool) {
 	term, ok := d.group.Vouches()
 	d.tenure.mu.Lock()
 	defer d.tenure.mu.Unlock()
 	return Duty{Holder: d.holder, Token: term}, ok && term == d.tenure.term && !d.tenure.fenced
 }
 
-// refused notes an error of a call that carried a token.
-func (d *Duties) refused(duty Duty, err error) {
+// checkFenced checks whether a call failed because its fencing token was refused, and stops
+// the duties of the term in that case.
+func (d *Duties) checkFenced(duty Duty, err error) {
 	if !errors.Is(err, ErrFenced) {
 		return
 	}
--- a/transport/control/uplink.go
+++ b/transport/control/uplink.go
@@ -20,111 +20,111 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// gatewayKept is how long a gateway counts that does not ask any more.
-const gatewayKept = 3 * time.Second
+// gatewayTTL is how long a gateway counts after its last request.
+const gatewayTTL = 3 * time.Second
 
 // Uplink answers the gateways. Its methods are called by net/rpc.
 type Uplink struct {
-	group Group
-	peers func() (leader string, all []string)
-	parse func(number uint64, data []byte) (*protocol.Catalog, error)
-	quota time.Duration        // quota is the window in which quotas are bounded.
-	alone time.Duration        // alone is for how long a gateway that is not heard goes on serving.
-	quiet func() time.Duration // quiet is for how long nothing was granted before this instance led.
-	began time.Time
-	clock *usage.Clock
-	log   zerolog.Logger
-	// incarnation is drawn at each start. Versions of loads, and the requests that this
-	// instance placed, go by it, so that those of others and of other starts differ.
+	group        Group
+	peers        func() (leader string, all []string)
+	parse        func(number uint64, data []byte) (*protocol.Catalog, error)
+	quotaWindow  time.Duration        // quotaWindow is the window over which quotas are bounded.
+	gatewayGrace time.Duration        // gatewayGrace is how long a gateway without contact to the control role continues to serve.
+	logIdleTime  func() time.Duration // logIdleTime returns how long nothing was granted before this instance led.
+	startedAt    time.Time
+	clock        *usage.Clock
+	log          zerolog.Logger
+	// incarnation is random for each start. It qualifies versions of loads and the numbers of
+	// requests that this instance placed, to tell them from those of others and of other starts.
 	incarnation uint64
 
-	accepted atomic.Pointer[document] // accepted is the newest document, as it was accepted.
-	arrived  chan struct{}            // arrived receives that there is one.
-	prepare  sync.Mutex               // prepare is held while a document is made ready; it is taken before mu.
-	readied  atomic.Uint64            // readied is the number of the one that was made ready last.
-	logged   atomic.Pointer[logged]   // logged are the roll-outs of the log.
-	exposure Exposure                 // exposure bounds what a version on trial gets.
-	topology *topology.Topology       // topology tells the regions of the domains.
-	meters   rolloutMeters
-
-	quarantined atomic.Pointer[protocol.QuarantineLog] // quarantined is the quarantine of the log.
-
-	relay    atomic.Pointer[Relay]         // relay answers gateways while this instance does not lead; nil for none.
-	domainOf func(peers []string) []string // domainOf tells the domains of control instances.
-
-	passing sync.Mutex               // passing guards passed, and is taken alone.
-	passed  *backpressure.LimitCache // passed holds the limits of servers that gateways report while there is no leader.
-
-	mu      sync.Mutex // mu guards all below.
-	number  uint64
-	packed  []byte // packed is the document.
-	catalog *protocol.Catalog
-	term    uint64 // term is the one that the rest belongs to.
-	entered time.Time
-	earlier int // earlier is how many gateways a leader before counted, as they tell.
-	listing
-	news     chan struct{} // news is closed and replaced when a list was read.
-	gateways map[string]*gateway
-	quotas   *quota.Coordinator
-	ledger   *usage.Ledger
-	marks    *usage.Watermarks // marks are up to when the gateways have told their counts.
-	view     *place.View
-	places   *place.PromptScheduler
-	readings *place.Readings
-	loads    *place.Loads
-	vector   place.LoadVector // vector is the loads as they were told last.
-	relays   map[string]*relayRecord
-	placed   place.Placements // placed are the places that this instance and its relays gave.
-	common   common
-	rolled   uint64            // rolled is the change of the roll-outs that the view follows.
-	trials   map[uint64]*trial // trials are the roll-outs that run, by number.
-	keeper   *quarantine.Coordinator
-	book     *backpressure.PermitAllocator // book are the servers that limit their requests.
-	starts   place.Incarnations            // starts are the newest ones of the servers, over all terms.
-	unnamed  map[versionOf]time.Time       // unnamed are versions that nothing names, by when they were listed first.
+	accepted         atomic.Pointer[acceptedDocument] // accepted is the newest accepted document, in its original encoding.
+	documentAccepted chan struct{}                    // documentAccepted signals that there is a new one.
+	prepareMu        sync.Mutex                       // prepareMu is held while a document is prepared. It is acquired before mu.
+	preparedNumber   atomic.Uint64                    // preparedNumber is the number of the last document prepared.
+	loggedRollouts   atomic.Pointer[loggedRollouts]   // loggedRollouts are the roll-outs in the log.
+	exposure         Exposure                         // exposure bounds the requests sent to versions on trial.
+	topology         *topology.Topology               // topology maps failure domains to regions.
+	meters           rolloutMeters
+
+	quarantineLog atomic.Pointer[protocol.QuarantineLog] // quarantineLog is the quarantine in the log.
+
+	relay    atomic.Pointer[Relay]         // relay answers gateways while this instance does not lead; nil if there is none.
+	domainOf func(peers []string) []string // domainOf returns the domains of control instances.
+
+	sharedMu     sync.Mutex               // sharedMu guards sharedLimits and is not held together with other locks.
+	sharedLimits *backpressure.LimitCache // sharedLimits holds the servers' limits that gateways report while there is no leader.
+
+	mu               sync.Mutex // mu guards the fields below.
+	number           uint64
+	packed           []byte // packed is the compressed document.
+	catalog          *protocol.Catalog
+	term             uint64 // term is the term of the state below.
+	enteredAt        time.Time
+	reportedGateways int // reportedGateways is how many gateways an earlier leader counted, according to the gateways.
+	serverList
+	listChanged        chan struct{} // listChanged is closed and replaced when the list changes.
+	gateways           map[string]*gatewayReport
+	quotas             *quota.Coordinator
+	ledger             *usage.Ledger
+	watermarks         *usage.Watermarks // watermarks are the times up to which the gateways have reported their counts.
+	view               *place.View
+	places             *place.PromptScheduler
+	readings           *place.Readings
+	loads              *place.Loads
+	vector             place.LoadVector // vector holds the loads as last sent.
+	relays             map[string]*relayRecord
+	placed             place.Placements // placed are the placements made by this instance and its relays.
+	common             commonReply
+	appliedRollouts    uint64                    // appliedRollouts is the version of the roll-outs that the view is based on.
+	activeRollouts     map[uint64]*activeRollout // activeRollouts are the running roll-outs, by number.
+	quarantine         *quarantine.Coordinator
+	permits            *backpressure.PermitAllocator // permits holds the servers with rate limits.
+	serverIncarnations place.Incarnations            // serverIncarnations are the newest incarnations of the servers, over all terms.
+	unannounced        map[serviceVersion]time.Time  // unannounced maps versions without an order to when they were first listed.
 }
 
-// common is the part of the answers that is the same for all gateways.
-type common struct {
-	at       time.Time
-	distrust map[string][]byte // distrust is by the gateways' domain.
-	short    []string
-	lanes    []protocol.ServiceLanes
-	gateways int // gateways are how many asked lately.
+// commonReply is the part of the answers that is the same for all gateways.
+type commonReply struct {
+	computedAt time.Time
+	distrusted map[string][]byte // distrusted is by the gateways' domain.
+	short      []string
+	lanes      []protocol.ServiceLanes
+	gateways   int // gateways is the number of active gateways.
 }
 
-// commonKept is how old that may be: with hundreds of gateways it is made for
-// several at once. What is added up over all gateways would cost each answer the
-// more, the more of them there are.
-const commonKept = 10 * time.Millisecond
-
-// gateway is the last report of a gateway.
-type gateway struct {
-	at       time.Time
-	domain   string
-	pressure []protocol.Pressure
-	ahead    time.Duration // ahead is by how much its clock is before this instance's.
+// commonTTL is how long a commonReply is used. It adds up the reports of all gateways, so with
+// hundreds of them computing it for each answer would make each answer more expensive the more
+// gateways there are.
+const commonTTL = 10 * time.Millisecond
+
+// gatewayReport is the last report of a gateway.
+type gatewayReport struct {
+	lastSeen    time.Time
+	domain      string
+	pressure    []protocol.Pressure
+	clockOffset time.Duration // clockOffset is by how much its clock is ahead of this instance's.
 }
 
-// UplinkOption changes a new uplink.
+// UplinkOption configures a new uplink.
 type UplinkOption func(*Uplink)
 
-// WithLogger sets the logger; without it nothing is logged.
+// WithLogger sets the logger; by default nothing is logged.
 func WithLogger(l zerolog.Logger) UplinkOption { return func(u *Uplink) { u.log = l } }
 
-// WithExposure sets what a version on trial may get; without it, nothing.
+// WithExposure bounds the requests sent to versions on trial; by default they get none.
 func WithExposure(e Exposure) UplinkOption { return func(u *Uplink) { u.exposure = e } }
 
-// WithTopology sets where the failure domains lie; without it they all are near.
+// WithTopology sets the regions of the failure domains; by default all domains are near each other.
 func WithTopology(t *topology.Topology) UplinkOption { return func(u *Uplink) { u.topology = t } }
 
-// WithDomains sets what tells the failure domains of control instances by their peer
-// addresses. Gateways ask the near ones, where they do not ask the leader.
+// WithDomains sets the func that maps the peer addresses of control instances to their failure
+// domains. Gateways that do not use the leader use a nearby instance.
 func WithDomains(domainOf func(peers []string) []string) UplinkOption {
 	return func(u *Uplink) { u.domainOf = domainOf }
 }
 
-// domains returns the failure domains of control instances, where gateways need them.
+// domains returns the failure domains of control instances, if they are configured.
 func (u *Uplink) domains(peers []string) []string {
 	if u.domainOf == nil {
 		return nil
@@ -132,91 +132,91 @@
 	return u.domainOf(peers)
 }
 
-// WithRegistry sets the registry of the meters; without it nothing is counted.
+// WithRegistry sets the registry of the metrics; by default nothing is counted.
 func WithRegistry(r metrics.Registry) UplinkOption {
 	return func(u *Uplink) {
 		u.meters = newRolloutMeters(r)
-		metrics.NewRegisteredFunctionalGauge("places", r, u.placesUnderWay)
+		metrics.NewRegisteredFunctionalGauge("places", r, u.placementsInProgress)
 	}
 }
 
-// unlogged is for how long a leader may have gone on after what it logged last, while
-// gateways ran anything: the pause between two logged states of the counts, the wait
-// for the next look, and the end of its lease.
-const unlogged = tallyEvery + dutyTick + 200*time.Millisecond
+// maxUnloggedTime is how long a leader may have been active after its last logged command while
+// the gateways were serving: the interval at which the counts are logged, the duty interval,
+// and the rest of its lease.
+const maxUnloggedTime = usageLogInterval + dutyInterval + 200*time.Millisecond
 
-// WithLogIdleTime sets what tells how long ago the latest command had been logged when
-// this instance began to lead. Quotas then begin with what their rates gave since,
-// less what may not have been logged. It needs leaders that log the counts of usage.
+// WithLogIdleTime sets the func that returns how long before this instance began to lead the
+// last command was logged. Quotas then start with what their rates accrued since, less what
+// may have been used without being logged. It requires leaders that log usage counts.
 func WithLogIdleTime(quiet func() time.Duration) UplinkOption {
-	return func(u *Uplink) { u.quiet = func() time.Duration { return quiet() - unlogged } }
+	return func(u *Uplink) { u.logIdleTime = func() time.Duration { return quiet() - maxUnloggedTime } }
 }
 
-// WithGatewayGrace sets for how long a gateway goes on serving that does not hear from the
-// control role. Without it, usage waits only for gateways that were heard in the
+// WithGatewayGrace sets how long a gateway without contact to the control role continues to
+// serve. By default, usage reports wait only for gateways that were in contact during the
 // window.
-func WithGatewayGrace(d time.Duration) UplinkOption { return func(u *Uplink) { u.alone = d } }
+func WithGatewayGrace(d time.Duration) UplinkOption { return func(u *Uplink) { u.gatewayGrace = d } }
 
-// NewUplink returns the receiver to register under "Uplink". The func peers
-// tells the peer addresses of the leader, as far as one is known that can answer,
-// and of all control instances; parse translates a document.
+// NewUplink returns the receiver to register under "Uplink". The func peers returns the peer
+// addresses of the leader, if a reachable one is known, and of all control instances; parse
+// decodes a document.
 func NewUplink(g Group, peers func() (string, []string), parse func(uint64, []byte) (*protocol.Catalog, error), quotaWindow time.Duration, opts ...UplinkOption) *Uplink {
 	now := clock.Now()
 	u := &Uplink{
-		incarnation: rand.Uint64(),
-		news:        make(chan struct{}),
-		arrived:     make(chan struct{}, 1),
-		group:       g,
-		peers:       peers,
-		parse:       parse,
-		quota:       quotaWindow,
-		began:       now,
-		clock:       usage.NewClock(now),
-		log:         zerolog.Nop(),
-		meters:      newRolloutMeters(metrics.NewRegistry()),
-		quiet:       func() time.Duration { return 0 },
+		incarnation:      rand.Uint64(),
+		listChanged:      make(chan struct{}),
+		documentAccepted: make(chan struct{}, 1),
+		group:            g,
+		peers:            peers,
+		parse:            parse,
+		quotaWindow:      quotaWindow,
+		startedAt:        now,
+		clock:            usage.NewClock(now),
+		log:              zerolog.Nop(),
+		meters:           newRolloutMeters(metrics.NewRegistry()),
+		logIdleTime:      func() time.Duration { return 0 },
 	}
 	for _, opt := range opts {
 		opt(u)
 	}
-	u.passed = backpressure.NewLimitCache(u.incarnation)
-	u.logged.Store(&logged{})
-	u.quarantined.Store(&protocol.QuarantineLog{})
+	u.sharedLimits = backpressure.NewLimitCache(u.incarnation)
+	u.loggedRollouts.Store(&loggedRollouts{})
+	u.quarantineLog.Store(&protocol.QuarantineLog{})
 	u.reset(0)
 	return u
 }
 
-// reset forgets what belongs to a term. It needs u.mu.
+// reset discards the state of a term. The caller holds u.mu.
 func (u *Uplink) reset(term uint64) {
-	u.term, u.entered, u.earlier = term, clock.Now(), 0
-	u.gateways = map[string]*gateway{}
-	u.quotas = quota.NewCoordinator(u.quota, quota.WithGrantPause(u.quiet()))
+	u.term, u.enteredAt, u.reportedGateways = term, clock.Now(), 0
+	u.gateways = map[string]*gatewayReport{}
+	u.quotas = quota.NewCoordinator(u.quotaWindow, quota.WithGrantPause(u.logIdleTime()))
 	u.ledger = usage.NewLedger()
-	u.marks = usage.NewWatermarks(u.alone)
-	u.listed, u.servers, u.history, u.due = false, nil, history{}, u.entered.Add(listEvery+listSlack)
-	u.loads, u.order, u.common = place.NewLoads(), nil, common{}
+	u.watermarks = usage.NewWatermarks(u.gatewayGrace)
+	u.listed, u.servers, u.history, u.staleAt = false, nil, history{}, u.enteredAt.Add(minListInterval+listGrace)
+	u.loads, u.serverOrder, u.common = place.NewLoads(), nil, commonReply{}
 	u.vector.Reset(nil)
 	u.relays, u.placed = map[string]*relayRecord{}, place.Placements{}
 	u.view, u.places = nil, place.NewPromptScheduler(u.loads, place.WithTopology(u.topology))
 	u.readings = place.NewReadings()
-	u.keeper = quarantine.NewCoordinator()
-	u.book = backpressure.NewPermitAllocator()
-	u.rolled, u.trials, u.unnamed = 0, nil, map[versionOf]time.Time{}
+	u.quarantine = quarantine.NewCoordinator()
+	u.permits = backpressure.NewPermitAllocator()
+	u.appliedRollouts, u.activeRollouts, u.unannounced = 0, nil, map[serviceVersion]time.Time{}
 	if u.catalog != nil {
 		u.quotas.Configure(u.catalog.Workspaces, clock.Now())
 	}
 }
 
-// enter makes sure that what is held belongs to a term. It needs u.mu.
-func (u *Uplink) enter(term uint64) {
+// enterTerm ensures that the state belongs to a term. The caller holds u.mu.
+func (u *Uplink) enterTerm(term uint64) {
 	if u.term != term {
 		u.reset(term)
 	}
 }
 
-// Catalog returns the catalog that holds, or nil.
+// Catalog returns the catalog in force, or nil.
 func (u *Uplink) Catalog() *protocol.Catalog {
-	u.ready()
+	u.prepareDocument()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.catalog
@@ -232,56 +232,58 @@
 		term, ok = u.group.Vouches()
 	}
 	if !ok {
-		return u.relayed(m, reply)
+		return u.relaySync(m, reply)
 	}
-	u.ready()
+	u.prepareDocument()
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := clock.Now()
-	u.enter(term)
-	if u.sharesOut(&m, reply, now) {
+	u.enterTerm(term)
+	if u.sendToRelays(&m, reply, now) {
 		return nil
 	}
-	u.identify(&m)
+	u.resolveNames(&m)
 	u.loads.SetReport(m.Gateway, place.GatewayReport{Domain: m.Domain, Running: m.Running, Distrusts: m.Distrusts})
-	u.takeReadings(u.incarnation, m.Readings, now)
-	u.placesDone(m.Done, term)
+	u.addReadings(u.incarnation, m.Readings, now)
+	u.recordDone(m.Done, term)
 	reply.Term = term
 	reply.Number = u.number
 	if u.number > m.Number {
 		reply.Document = u.packed
 	}
-	u.answerOwn(&m, reply, now)
-	u.answerChanges(m.Rollouts, reply)
-	tellQuarantine(u.quarantined.Load(), u.keeper.Watched(), m.QuarantineChange(), m.Watched, reply)
-	u.tellServers(&m, reply)
-	reply.ListLate = now.After(u.due)
-	u.renewCommon(now)
+	u.handleReport(&m, reply, now)
+	u.fillRollouts(m.Rollouts, reply)
+	fillQuarantine(u.quarantineLog.Load(), u.quarantine.Watched(), m.QuarantineChange(), m.Watched, reply)
+	u.fillServers(&m, reply)
+	reply.ListLate = now.After(u.staleAt)
+	u.refreshCommon(now)
 	reply.Short = u.common.short
-	if u.holds(&m) && !u.startless(&m) { // The rest is told by the order of identities.
+	if u.isCurrent(&m) && !u.wantsNamesOnly(&m) { // The rest is encoded by the order of the server IDs.
 		reply.Distrusted = u.distrusted(m.Domain)
-		tellLoads(&u.vector, u.mark(), m.Loads, reply)
+		fillLoads(&u.vector, u.loadVersion(), m.Loads, reply)
 		reply.Readings, reply.ReadingsAt = u.readings.Since(m.ReadingsAt)
 	}
-	reply.Limits = u.book.Change()
+	reply.Limits = u.permits.Change()
 	reply.Gateways = u.common.gateways
-	reply.Clock = u.clock.Now(now.Sub(u.began))
+	reply.Clock = u.clock.Now(now.Sub(u.startedAt))
 	reply.Lanes = u.common.lanes
-	// The lease may have run out meanwhile: then nothing of this may count.
+	// The lease may have expired meanwhile, in which case nothing of this answer may count.
 	still, ok := u.group.Vouches()
 	reply.Leads = ok && still == term
 	return nil
 }
 
-// placesUnderWay is how many requests this instance placed that have not ended, as it knows.
-func (u *Uplink) placesUnderWay() int64 {
+// placementsInProgress returns the number of requests that this instance placed and that have
+// not ended as far as it knows.
+func (u *Uplink) placementsInProgress() int64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return int64(u.places.InProgress())
 }
 
-// placesDone notes the ends of requests that this instance placed in a term. It needs u.mu.
-func (u *Uplink) placesDone(ends []protocol.PlaceDone, term uint64) {
+// recordDone records the completion of requests that this instance placed in a term. The caller
+// holds u.mu.
+func (u *Uplink) recordDone(ends []protocol.PlaceDone, term uint64) {
 	for _, d := range ends {
 		if d.Term == term && d.Placer == u.incarnation {
 			u.places.Done(place.DoneMsg{Number: d.Number, First: d.First, Took: d.Took})
@@ -289,38 +291,38 @@
 	}
 }
 
-// takeReadings notes what servers were given to read, as a gateway or a relay tells: from
-// is the incarnation of the instance that passes it on. It needs u.mu.
-func (u *Uplink) takeReadings(from uint64, rows []protocol.Prefill, now time.Time) {
+// addReadings records prompts that servers have processed, as reported by a gateway or a relay;
+// from is the incarnation of the instance that forwards them. The caller holds u.mu.
+func (u *Uplink) addReadings(from uint64, rows []protocol.Prefill, now time.Time) {
 	for _, r := range rows {
 		u.readings.Add(from, r.Server, r.Links)
 		u.places.RecordPrefill(r.Server, r.Links, now)
 	}
 }
 
-// answerOwn takes the part of a gateway's question that is its own, whether it came from
-// the gateway or in a relay's batch, and answers it. It needs u.mu.
-func (u *Uplink) answerOwn(m *protocol.SyncMsg, reply *protocol.SyncReply, now time.Time) {
-	g := &gateway{at: now, domain: m.Domain, pressure: m.Pressure}
+// handleReport processes the part of a request that is the gateway's own, whether it came from
+// the gateway or in a relay's batch, and answers it. The caller holds u.mu.
+func (u *Uplink) handleReport(m *protocol.SyncMsg, reply *protocol.SyncReply, now time.Time) {
+	g := &gatewayReport{lastSeen: now, domain: m.Domain, pressure: m.Pressure}
 	if !m.Clock.IsZero() {
-		g.ahead = m.Clock.Sub(u.clock.Own(now.Sub(u.began)))
+		g.clockOffset = m.Clock.Sub(u.clock.Own(now.Sub(u.startedAt)))
 	}
 	u.gateways[m.Gateway] = g
-	u.earlier = max(u.earlier, m.Gateways)
+	u.reportedGateways = max(u.reportedGateways, m.Gateways)
 	u.ledger.Take(m.Gateway, m.Life, m.Usage)
 	if m.Term == u.term {
-		u.marks.Take(m.Gateway, m.Counted, u.clock.Now(now.Sub(u.began)))
+		u.watermarks.Take(m.Gateway, m.Counted, u.clock.Now(now.Sub(u.startedAt)))
 	}
-	u.answerTrials(m, reply, now)
-	u.keeper.AddObservations(m.Gateway, m.Observations, u.leaves, now)
+	u.handleTrials(m, reply, now)
+	u.quarantine.AddObservations(m.Gateway, m.Observations, u.isLeaving, now)
 	for _, want := range m.Wants {
 		reply.Grants = append(reply.Grants, u.quotas.Grant(want, now))
 	}
 }
 
-// tellLoads puts the loads of all servers into an answer, or what changed since those that
-// the asker holds, where that is known and shorter. The mark now names those of v.
-func tellLoads(v *place.LoadVector, now, held protocol.LoadVersion, reply *protocol.SyncReply) {
+// fillLoads adds the loads of all servers to an answer, or only the changes since the version
+// that the recipient holds, if they are known and shorter. The version now is that of v.
+func fillLoads(v *place.LoadVector, now, held protocol.LoadVersion, reply *protocol.SyncReply) {
 	reply.Loaded = now
 	changes, ok := []byte(nil), false
 	if held.Incarnation == now.Incarnation {
@@ -333,20 +335,19 @@
 	reply.Loads = bytes.Clone(v.Values())
 }
 
-// Place finds a server for a long prompt, in the knowledge of those of all
-// gateways.
+// Place selects a server for a long prompt, based on the prompts of all gateways.
 func (u *Uplink) Place(m protocol.PlaceMsg, reply *protocol.PlaceReply) error {
 	term, ok := u.group.Vouches()
 	if !ok {
-		return u.relayedPlace(&m, reply)
+		return u.relayPlace(&m, reply)
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.enter(term)
+	u.enterTerm(term)
 	if u.view == nil {
 		return nil
 	}
-	placed, ok := u.places.Place(u.view, prompt(&m), clock.Now())
+	placed, ok := u.places.Place(u.view, toPromptMsg(&m), clock.Now())
 	if ok {
 		u.readings.Add(u.incarnation, placed.Server, placed.NewLinks)
 		*reply = placeReply(&placed, term, u.incarnation)
@@ -354,14 +355,14 @@
 	return nil
 }
 
-// placeReply returns the answer to a gateway for whose long prompt a server was found, by
-// the placer of an incarnation.
+// placeReply returns the answer to a gateway for a placed prompt; placer is the incarnation of
+// the instance that placed it.
 func placeReply(p *place.Placed, term, placer uint64) protocol.PlaceReply {
 	return protocol.PlaceReply{Server: p.Server, Holder: p.Holder, Term: term, Number: p.Number, Placer: placer}
 }
 
-// prompt returns a gateway's question for a place as the ledger takes it.
-func prompt(m *protocol.PlaceMsg) place.PromptMsg {
+// toPromptMsg converts a gateway's request to that of the scheduler.
+func toPromptMsg(m *protocol.PlaceMsg) place.PromptMsg {
 	return place.PromptMsg{
 		Service: m.Service,
 		Prompt:  m.Prompt,
@@ -378,72 +379,72 @@
 	}
 }
 
-// agreed returns the time of day that most instances agree on: the middle one of
-// the gateways' clocks and this instance's. It needs u.mu.
-func (u *Uplink) agreed(now time.Time) time.Time {
+// updateClock updates and returns the wall-clock time that most instances agree on: the median
+// of the gateways' clocks and this instance's. The caller holds u.mu.
+func (u *Uplink) updateClock(now time.Time) time.Time {
 	ahead := make([]time.Duration, 1, len(u.gateways)+1) // The first is this instance's own.
 	for _, g := range u.gateways {
-		ahead = append(ahead, g.ahead)
+		ahead = append(ahead, g.clockOffset)
 	}
-	since := now.Sub(u.began)
+	since := now.Sub(u.startedAt)
 	u.clock.Agreed(u.clock.Own(since).Add(usage.Median(ahead)), since)
 	return u.clock.Now(since)
 }
 
-// Clock returns the time of day that most instances agree on.
+// Clock returns the wall-clock time that most instances agree on.
 func (u *Uplink) Clock() time.Time {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.alive(clock.Now())
-	return u.agreed(clock.Now())
+	u.countGateways(clock.Now())
+	return u.updateClock(clock.Now())
 }
 
-// renewCommon makes the common part of the answers anew if it is too old. It
-// needs u.mu.
-func (u *Uplink) renewCommon(now time.Time) {
-	if u.common.distrust != nil && now.Sub(u.common.at) <= commonKept {
+// refreshCommon recomputes the common part of the answers if it has expired. The caller holds
+// u.mu.
+func (u *Uplink) refreshCommon(now time.Time) {
+	if u.common.distrusted != nil && now.Sub(u.common.computedAt) <= commonTTL {
 		return
 	}
-	u.common = common{
-		at:       now,
-		gateways: u.alive(now),
-		distrust: map[string][]byte{},
-		short:    u.quotas.Short(now),
-		lanes:    u.lanes(),
+	u.common = commonReply{
+		computedAt: now,
+		gateways:   u.countGateways(now),
+		distrusted: map[string][]byte{},
+		short:      u.quotas.Short(now),
+		lanes:      u.mergedLanes(),
 	}
-	u.vector.Set(u.loads.Pack(u.order))
-	u.agreed(now)
+	u.vector.Set(u.loads.Pack(u.serverOrder))
+	u.updateClock(now)
 }
 
-// mark returns the mark of the loads that answers tell now. It needs u.mu.
-func (u *Uplink) mark() protocol.LoadVersion {
+// loadVersion returns the version of the loads that answers contain. The caller holds u.mu.
+func (u *Uplink) loadVersion() protocol.LoadVersion {
 	return protocol.LoadVersion{Incarnation: u.incarnation, Version: u.vector.Version()}
 }
 
-// distrusted returns the listed servers that the gateways of a domain are to pass
-// over. It needs u.mu.
+// distrusted returns the listed servers that the gateways of a domain should avoid. The caller
+// holds u.mu.
 func (u *Uplink) distrusted(domain string) []byte {
-	packed, ok := u.common.distrust[domain]
+	packed, ok := u.common.distrusted[domain]
 	if !ok {
-		packed = u.loads.PackDistrust(u.order, domain)
-		u.common.distrust[domain] = packed
+		packed = u.loads.PackDistrust(u.serverOrder, domain)
+		u.common.distrusted[domain] = packed
 	}
 	return packed
 }
 
-// alive counts the gateways that asked lately, as many at least, at the beginning of
-// a term, as the leader before counted: they divide by it what all may do together,
-// and a tenth of them would each take ten times its part. It needs u.mu.
-func (u *Uplink) alive(now time.Time) int {
+// countGateways returns the number of active gateways, and at the beginning of a term at least
+// the number that the former leader counted. Gateways divide shared budgets by it: with only a
+// tenth of them known, each would take ten times its share. The caller holds u.mu.
+func (u *Uplink) countGateways(now time.Time) int {
 	for name, g := range u.gateways {
-		if now.Sub(g.at) > gatewayKept {
+		if now.Sub(g.lastSeen) > gatewayTTL {
 			delete(u.gateways, name)
 			u.loads.Drop(name)
 		}
 	}
 	u.dropRelays(now)
-	if now.Sub(u.entered) <= gatewayKept {
-		return max(len(u.gateways), u.earlier)
+	if now.Sub(u.enteredAt) <= gatewayTTL {
+		return max(len(u.gateways), u.reportedGateways)
 	}
 	return len(u.gateways)
 }
--- a/transport/control/versions.go
+++ b/transport/control/versions.go
@@ -9,47 +9,47 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// versionOf is a version of a service.
-type versionOf struct{ service, version string }
+// serviceVersion is a version of a service.
+type serviceVersion struct{ service, version string }
 
-// announced returns a list without the servers whose version nothing names yet. The
-// servers of a roll-out may be listed before its order is logged: the operator sends
-// it again where a control instance does not answer. In a soak such an order came 1.1 s
-// behind the servers, and 76 requests reached a bad version before its trial. Where a
-// service has no other servers that take requests, those are told at once. It needs
-// u.mu.
-func (u *Uplink) announced(list []protocol.Instance, now time.Time) []protocol.Instance {
-	l := u.logged.Load()
-	serves := map[string]bool{} // serves are services with a server of a version that is known.
-	unknown := map[versionOf]bool{}
+// filterUnannounced returns the list without servers of versions that no order has named yet.
+// The servers of a roll-out may be listed before its order is logged, because the operator
+// retries the order while a control instance does not answer. In a soak run an order was logged
+// 1.1 s after the servers were listed, and 76 requests reached a bad version before its trial.
+// If a service has no other servers that accept requests, they are returned immediately. The
+// caller holds u.mu.
+func (u *Uplink) filterUnannounced(list []protocol.Instance, now time.Time) []protocol.Instance {
+	l := u.loggedRollouts.Load()
+	serves := map[string]bool{} // serves contains the services with an available server of a known version.
+	unknown := map[serviceVersion]bool{}
 	for i := range list {
 		in := &list[i]
 		if l.Knows(in.Service, in.Version) {
 			serves[in.Service] = serves[in.Service] || !in.Leaving
 			continue
 		}
-		v := versionOf{in.Service, in.Version}
-		if _, ok := u.unnamed[v]; !ok {
-			u.unnamed[v] = now
+		v := serviceVersion{in.Service, in.Version}
+		if _, ok := u.unannounced[v]; !ok {
+			u.unannounced[v] = now
 			u.log.Warn().Str("service", v.service).Str("version", v.version).Dur("wait", u.exposure.Unannounced).Msg("servers of a version that nothing names")
 		}
-		unknown[v] = now.Sub(u.unnamed[v]) < u.exposure.Unannounced
+		unknown[v] = now.Sub(u.unannounced[v]) < u.exposure.Unannounced
 	}
 	if len(unknown) == 0 {
 		return list
 	}
 	return slices.DeleteFunc(slices.Clone(list), func(in protocol.Instance) bool {
-		return unknown[versionOf{in.Service, in.Version}] && serves[in.Service]
+		return unknown[serviceVersion{in.Service, in.Version}] && serves[in.Service]
 	})
 }
 
-// newVersions returns the versions that are to be logged as known: those of services
-// that are seen for the first time, and those that no order followed.
-func (u *Uplink) newVersions(term uint64, now time.Time) []protocol.VersionsMsg {
+// versionsToLog returns the versions to log as known: those of newly seen services, and those
+// for which no order arrived in time.
+func (u *Uplink) versionsToLog(term uint64, now time.Time) []protocol.VersionsMsg {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.enter(term)
-	l := u.logged.Load()
+	u.enterTerm(term)
+	l := u.loggedRollouts.Load()
 	versions := map[string][]string{}
 	for i := range u.servers {
 		in := &u.servers[i]
@@ -58,7 +58,7 @@
 			versions[in.Service] = append(versions[in.Service], in.Version)
 		}
 	}
-	for v, since := range u.unnamed {
+	for v, since := range u.unannounced {
 		if now.Sub(since) < u.exposure.Unannounced {
 			versions[v.service] = slices.DeleteFunc(versions[v.service], func(version string) bool { return version == v.version })
 		}
@@ -72,9 +72,9 @@
 	return msgs
 }
 
-// logVersions has versions logged. Those that are not are tried again in the next tick.
+// logVersions commits known versions to the log. If that fails, the next tick retries.
 func (u *Uplink) logVersions(ctx context.Context, m protocol.VersionsMsg) {
-	limit, cancel := context.WithTimeout(ctx, callTime)
+	limit, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := u.group.Propose(limit, protocol.Command{Versions: &m})
 	u.log.Info().Err(err).Str("service", m.Service).Strs("versions", m.Versions).Msg("versions known")
