--- a/cmd/weldctl/status.go
+++ b/cmd/weldctl/status.go
@@ -95,7 +95,7 @@
 	switch {
 	case r == nil:
 		return "-"
-	case r.Cut:
+	case r.Overdue:
 		return fmt.Sprintf("%d gateways, cut off from the leader", r.Gateways)
 	}
 	return fmt.Sprintf("%d gateways", r.Gateways)
