--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -32,9 +32,9 @@
 // Until returns the duration until t, a time of this clock.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Steady converts a time of this clock to one with a monotonic reading, as the deadlines
+// Monotonic converts a time of this clock to one with a monotonic reading, as the deadlines
 // of connections need.
-func Steady(t time.Time) time.Time { return time.Now().Add(Until(t)) }
+func Monotonic(t time.Time) time.Time { return time.Now().Add(Until(t)) }
 
 // Skip advances the clock by d and leaves the monotonic clock as it is, as a suspension
 // does. It is for tests.
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -21,7 +21,7 @@
 	if d := Until(end); d <= 0 || d > time.Minute {
 		t.Errorf("Until is %v for a time one minute ahead", d)
 	}
-	if d := time.Until(Steady(end)); d <= 0 || d > time.Minute {
+	if d := time.Until(Monotonic(end)); d <= 0 || d > time.Minute {
 		t.Errorf("time.Until is %v for the converted time one minute ahead", d)
 	}
 }
--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -85,7 +85,7 @@
 // connect returns a connection to a server over which the request may be sent, or the reason
 // why there is none.
 func (x *exchange) connect(server *place.Server) (*backend.Conn, *protocol.Refusal) {
-	conn, err := x.g.pool.Get(server.ID, server.Address, clock.Steady(x.deadline))
+	conn, err := x.g.pool.Get(server.ID, server.Address, clock.Monotonic(x.deadline))
 	if errors.Is(err, backend.ErrTooManyConnections) {
 		return nil, x.refuseNoConnection()
 	}
@@ -191,7 +191,7 @@
 		Weights:      x.continuationWeights(),
 		LastEvent:    x.events.last,
 	})
-	early, err := t.conn.Exchange(x.out, x.resp, clock.Steady(x.deadline).Add(time.Second))
+	early, err := t.conn.Exchange(x.out, x.resp, clock.Monotonic(x.deadline).Add(time.Second))
 	t.earlyAnswer = early
 	for skipped := 0; err == nil; skipped++ {
 		t.reply = x.g.dialect.Reply(&x.resp.Header)
--- a/transport/forward/exchange.go
+++ b/transport/forward/exchange.go
@@ -198,7 +198,7 @@
 		limit = min(limit, x.call.Remaining)
 	}
 	x.deadline = x.start.Add(limit)
-	x.answer.SetDeadline(clock.Steady(x.deadline))
+	x.answer.SetDeadline(clock.Monotonic(x.deadline))
 	x.ctx, x.cancel = context.WithTimeout(x.callerCtx, x.timeLeft())
 }
 
