--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits, for no longer than a context lasts.
+// Package pause provides sleeps that end with a context.
 package pause
 
 import (
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// For waits for a time, or until ctx ends if that is earlier. It reports false
-// where ctx ended.
+// For waits for d, or until ctx ends if that is earlier. It returns false if ctx
+// ended.
 func For(ctx context.Context, d time.Duration) bool { return Until(ctx, d, nil) }
 
-// Until waits like [For], and no longer than until cut delivers. A nil cut never
-// does.
-func Until(ctx context.Context, d time.Duration, cut <-chan struct{}) bool {
+// Until waits like [For] and also returns, with true, as soon as wake can be received
+// from. A nil wake never ends the wait.
+func Until(ctx context.Context, d time.Duration, wake <-chan struct{}) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -20,7 +20,7 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-cut:
+	case <-wake:
 	case <-ctx.Done():
 		return false
 	}
