--- a/internal/tcp/probe.go
+++ b/internal/tcp/probe.go
@@ -7,30 +7,31 @@
 	"time"
 )
 
-// Presence is what a connect tells of the process at an address.
+// Presence is what a connection attempt shows about the process at an address.
 type Presence uint8
 
-// The answers to a connect.
+// The outcomes of a connection attempt.
 const (
-	// PresenceUnknown is after no answer, as of an instance without power or behind a cut.
+	// PresenceUnknown: no answer, for instance because the instance lost power or the network
+	// is partitioned.
 	PresenceUnknown Presence = iota
-	// PresenceUp is after a connection that was accepted.
+	// PresenceUp: the connection was accepted.
 	PresenceUp
-	// PresenceEnded is after one that was refused: the instance is there, and no process
-	// listens at the port.
+	// PresenceEnded: the connection was refused. The instance is reachable, but no process
+	// listens on the port.
 	PresenceEnded
 )
 
 var presenceNames = [...]string{"unknown", "up", "ended"}
 
-// String returns the presence's name.
 func (p Presence) String() string { return presenceNames[p] }
 
-// Probe connects to an address within a limit, sends nothing and returns what that shows.
+// Probe tries to connect to an address within a limit, without sending data, and returns
+// the outcome.
 func Probe(address string, limit time.Duration) Presence {
 	conn, err := net.DialTimeout("tcp", address, limit)
 	if err == nil {
-		_ = conn.Close() // Nothing was sent over it.
+		_ = conn.Close() // No data was sent.
 		return PresenceUp
 	}
 	if errors.Is(err, syscall.ECONNREFUSED) {
@@ -39,8 +40,8 @@
 	return PresenceUnknown
 }
 
-// EndedByPeer reports whether an error of a connection is that the other side ended it:
-// not a time-out, and not that it was closed here.
+// EndedByPeer reports whether a connection failed because the peer closed or reset it: any
+// error except a time-out and a local close.
 func EndedByPeer(err error) bool {
 	var timeout net.Error
 	return !errors.Is(err, net.ErrClosed) && (!errors.As(err, &timeout) || !timeout.Timeout())
--- a/internal/tcp/probe_test.go
+++ b/internal/tcp/probe_test.go
@@ -9,7 +9,7 @@
 	"github.com/weldstream/weldstream/internal/tcp"
 )
 
-// listen listens at a port of the kernel's choice.
+// listen listens on a port chosen by the kernel.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -20,48 +20,48 @@
 	return ln
 }
 
-// TestProbe checks what a connect tells of a process that listens, and of one that does
-// not any more.
+// TestProbe checks the outcome for a listening process, for one that has stopped listening
+// and for an invalid address.
 func TestProbe(t *testing.T) {
 	ln := listen(t)
 	address := ln.Addr().String()
 	if got := tcp.Probe(address, time.Second); got != tcp.PresenceUp {
-		t.Errorf("a process that listens is %v", got)
+		t.Errorf("Probe of a listening process returned %v", got)
 	}
 	_ = ln.Close()
 	if got := tcp.Probe(address, time.Second); got != tcp.PresenceEnded {
-		t.Errorf("one that listens no more is %v", got)
+		t.Errorf("Probe after the listener closed returned %v", got)
 	}
 	if got := tcp.Probe("no address", time.Second); got != tcp.PresenceUnknown {
-		t.Errorf("an address that is none is %v", got)
+		t.Errorf("Probe of an invalid address returned %v", got)
 	}
 }
 
-// TestEndedByPeer checks which ends of a connection are the other side's.
+// TestEndedByPeer checks which errors of a connection count as ended by the peer.
 func TestEndedByPeer(t *testing.T) {
 	for name, c := range map[string]struct {
-		end  func(own, other net.Conn)
+		end  func(local, peer net.Conn)
 		want bool
 	}{
-		"closed there":  {func(_, other net.Conn) { _ = other.Close() }, true},
-		"reset there":   {func(_, other net.Conn) { _ = other.(*net.TCPConn).SetLinger(0); _ = other.Close() }, true},
-		"closed here":   {func(own, _ net.Conn) { _ = own.Close() }, false},
-		"silent so far": {func(own, _ net.Conn) { _ = own.SetReadDeadline(time.Unix(1, 0)) }, false},
+		"closed by the peer": {func(_, peer net.Conn) { _ = peer.Close() }, true},
+		"reset by the peer":  {func(_, peer net.Conn) { _ = peer.(*net.TCPConn).SetLinger(0); _ = peer.Close() }, true},
+		"closed locally":     {func(local, _ net.Conn) { _ = local.Close() }, false},
+		"read timed out":     {func(local, _ net.Conn) { _ = local.SetReadDeadline(time.Unix(1, 0)) }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln := listen(t)
-			own, err := net.Dial("tcp", ln.Addr().String())
+			local, err := net.Dial("tcp", ln.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer own.Close()
-			other, err := ln.Accept()
+			defer local.Close()
+			peer, err := ln.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer other.Close()
-			c.end(own, other)
-			_, err = io.ReadFull(own, make([]byte, 1))
+			defer peer.Close()
+			c.end(local, peer)
+			_, err = io.ReadFull(local, make([]byte, 1))
 			if got := tcp.EndedByPeer(err); got != c.want {
 				t.Errorf("%v: got %v", err, got)
 			}
--- a/internal/tcp/tcp.go
+++ b/internal/tcp/tcp.go
@@ -1,11 +1,12 @@
-// Package tcp opens connections that do not hang when the other side, or the way to
-// it, falls silent.
+// Package tcp opens connections that do not hang when the peer or the network path to it
+// stops responding.
 //
-// A connection whose packets are lost sends no reset. By default the kernel repeats
-// what was not acknowledged for a quarter of an hour, and a connection that rests sends
-// nothing at all. Connections of this package end after a bound: where
-// bytes are not acknowledged for so long, and where one that rests does not answer the
-// kernel's probes. A process that stands still is no reason: its kernel acknowledges.
+// A connection whose packets are lost receives no reset. By default the kernel retransmits
+// unacknowledged data for a quarter of an hour, and an idle connection sends nothing at
+// all. Connections of this package fail within a bound: when sent data stays
+// unacknowledged for that long, and when an idle connection does not answer the kernel's
+// keep-alive probes. A peer process that is stopped does not fail the connection, because
+// its kernel still acknowledges.
 package tcp
 
 import (
@@ -16,37 +17,39 @@
 )
 
 const (
-	// restProbed is how long a connection rests before the kernel probes it, and the
-	// pause between two probes; the kernel counts in whole seconds.
-	restProbed = time.Second
-	// probes that are not answered end a connection where there is no other bound.
-	probes = 2
+	// keepAliveInterval is how long a connection is idle before the kernel probes it, and
+	// the interval between two probes; the kernel counts in whole seconds.
+	keepAliveInterval = time.Second
+	// keepAliveProbes is the number of unanswered probes after which the kernel drops a
+	// connection that has no user timeout.
+	keepAliveProbes = 2
 )
 
-// Dial connects to an address within a limit. The connection ends when the other side
-// has been silent for a time, in which several packets in a row must be lost.
-func Dial(address string, limit, silent time.Duration) (net.Conn, error) {
+// Dial connects to an address within a limit. The connection fails when the peer has
+// acknowledged nothing for ackTimeout, which should be long enough that several packets in
+// a row must be lost.
+func Dial(address string, limit, ackTimeout time.Duration) (net.Conn, error) {
 	conn, err := net.DialTimeout("tcp", address, limit)
 	if err != nil {
 		return nil, err
 	}
-	if err := Bound(conn, silent); err != nil {
-		_ = conn.Close() // The caller gets the error that made it of no use.
+	if err := Bound(conn, ackTimeout); err != nil {
+		_ = conn.Close() // The caller gets the first error.
 		return nil, err
 	}
 	return conn, nil
 }
 
-// Bound has a connection that was accepted end like those of [Dial]. Others than TCP
-// connections are left as they are.
-func Bound(conn net.Conn, silent time.Duration) error {
+// Bound sets the time-outs of [Dial] on an accepted connection. Connections other than TCP
+// stay unchanged.
+func Bound(conn net.Conn, ackTimeout time.Duration) error {
 	c, ok := conn.(*net.TCPConn)
 	if !ok {
 		return nil
 	}
-	alive := net.KeepAliveConfig{Enable: true, Idle: restProbed, Interval: restProbed, Count: probes}
-	if err := c.SetKeepAliveConfig(alive); err != nil {
-		return eris.Wrap(err, "probe connection")
+	keepAlive := net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes}
+	if err := c.SetKeepAliveConfig(keepAlive); err != nil {
+		return eris.Wrap(err, "enable TCP keep-alive")
 	}
-	return setUserTimeout(c, silent)
+	return setUserTimeout(c, ackTimeout)
 }
--- a/internal/tcp/timeout_linux.go
+++ b/internal/tcp/timeout_linux.go
@@ -8,19 +8,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// setUserTimeout bounds how long sent bytes may stay without an acknowledgement; the
-// kernel counts in milliseconds.
-func setUserTimeout(c *net.TCPConn, silent time.Duration) error {
+// setUserTimeout sets TCP_USER_TIMEOUT, which limits how long sent data may stay
+// unacknowledged; the kernel counts in milliseconds.
+func setUserTimeout(c *net.TCPConn, ackTimeout time.Duration) error {
 	raw, err := c.SyscallConn()
 	if err != nil {
-		return eris.Wrap(err, "bound silence")
+		return eris.Wrap(err, "set TCP user timeout")
 	}
-	var set error
+	var setErr error
 	err = raw.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silent.Milliseconds()))
+		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 	})
 	if err == nil {
-		err = set
+		err = setErr
 	}
-	return eris.Wrap(err, "bound silence")
+	return eris.Wrap(err, "set TCP user timeout")
 }
--- a/internal/tcp/timeout_other.go
+++ b/internal/tcp/timeout_other.go
@@ -7,5 +7,6 @@
 	"time"
 )
 
-// setUserTimeout does nothing where the kernel knows no such bound; the probes remain.
+// setUserTimeout does nothing: TCP_USER_TIMEOUT exists only on Linux. Keep-alive probes still
+// detect a dead peer here.
 func setUserTimeout(*net.TCPConn, time.Duration) error { return nil }
