--- a/internal/tcp/tcp.go
+++ b/internal/tcp/tcp.go
@@ -33,16 +33,16 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := Bound(conn, ackTimeout); err != nil {
+	if err := SetTimeouts(conn, ackTimeout); err != nil {
 		_ = conn.Close() // The caller gets the first error.
 		return nil, err
 	}
 	return conn, nil
 }
 
-// Bound sets the time-outs of [Dial] on an accepted connection. Connections other than TCP
+// SetTimeouts sets the time-outs of [Dial] on an accepted connection. Connections other than TCP
 // stay unchanged.
-func Bound(conn net.Conn, ackTimeout time.Duration) error {
+func SetTimeouts(conn net.Conn, ackTimeout time.Duration) error {
 	c, ok := conn.(*net.TCPConn)
 	if !ok {
 		return nil
--- a/internal/tcp/tcp_linux_test.go
+++ b/internal/tcp/tcp_linux_test.go
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = accepted.Close() })
-	if err := tcp.Bound(accepted, ackTimeout); err != nil {
+	if err := tcp.SetTimeouts(accepted, ackTimeout); err != nil {
 		t.Fatal(err)
 	}
 	for end, conn := range map[string]net.Conn{"dialed": dialed, "accepted": accepted} {
@@ -69,7 +69,7 @@
 func TestNonTCPConnIsIgnored(t *testing.T) {
 	near, far := net.Pipe()
 	t.Cleanup(func() { _, _ = near.Close(), far.Close() })
-	if err := tcp.Bound(near, time.Second); err != nil {
+	if err := tcp.SetTimeouts(near, time.Second); err != nil {
 		t.Error(err)
 	}
 }
--- a/transport/links.go
+++ b/transport/links.go
@@ -117,7 +117,7 @@
 
 func (l *Links) serveConn(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	if err := tcp.Bound(conn, silentPeer); err != nil {
+	if err := tcp.SetTimeouts(conn, silentPeer); err != nil {
 		l.log.Warn().Str("from", conn.RemoteAddr().String()).Err(err).Msg("peer refused")
 		return
 	}
