--- a/transport/links.go
+++ b/transport/links.go
@@ -118,7 +118,7 @@
 
 func (l *Links) serveConn(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	if err := tcp.Bound(conn, peerAckTimeout); err != nil {
+	if err := tcp.SetTimeouts(conn, peerAckTimeout); err != nil {
 		l.log.Warn().Str("from", conn.RemoteAddr().String()).Err(err).Msg("peer refused")
 		return
 	}
