--- a/transport/control/operator.go
+++ b/transport/control/operator.go
@@ -76,7 +76,7 @@
 func (o *Operator) begin(ctx context.Context, c *fasthttp.RequestCtx) {
 	var order RolloutOrder
 	if err := json.Unmarshal(c.PostBody(), &order); err != nil {
-		writeRefusal(c, protocol.NewRefusal(fasthttp.StatusBadRequest, protocol.CodeBadRequest, "cannot decode the roll-out order: %v", err))
+		writeRefusal(c, protocol.NewRefusal(fasthttp.StatusBadRequest, protocol.CodeBadRequest, "the body is not an order: %v", err))
 		return
 	}
 	r, err := o.orders.Begin(ctx, order.Service, order.Version, time.Duration(order.LimitMS)*time.Millisecond)
@@ -111,7 +111,7 @@
 	case errors.Is(err, ErrNoRollout):
 		return protocol.NewRefusal(fasthttp.StatusNotFound, protocol.CodeNotFound, "%v", err)
 	}
-	r := protocol.NewRefusal(fasthttp.StatusServiceUnavailable, protocol.CodeNoQuorum, "%v: the order may or may not have been accepted; retry it unchanged", err)
+	r := protocol.NewRefusal(fasthttp.StatusServiceUnavailable, protocol.CodeNoQuorum, "%v: the order may hold or not; send the same again", err)
 	return r.WithVerdict(protocol.MayHaveRun).WithRetryAfter(uncertainRetryAfter)
 }
 
--- a/transport/control/orders.go
+++ b/transport/control/orders.go
@@ -13,13 +13,13 @@
 // can be sent again.
 var (
 	// ErrInvalidOrder is returned for an order that is not valid.
-	ErrInvalidOrder = eris.New("invalid roll-out order")
+	ErrInvalidOrder = eris.New("the order cannot be carried out")
 	// ErrUnknownService is returned for a service that is not in the configuration.
-	ErrUnknownService = eris.New("the service is not in the configuration")
+	ErrUnknownService = eris.New("the configuration has no such service")
 	// ErrRolloutInProgress is returned while another roll-out of the service is running.
-	ErrRolloutInProgress = eris.New("another roll-out of the service is running")
+	ErrRolloutInProgress = eris.New("another roll-out of the service runs")
 	// ErrNoRollout is returned if the service has no roll-out, or no running one.
-	ErrNoRollout = eris.New("no such roll-out")
+	ErrNoRollout = eris.New("there is no such roll-out")
 )
 
 // RolloutStore is the part of the replicated log that roll-out orders use.
@@ -59,7 +59,7 @@
 	case version == "":
 		return protocol.Rollout{}, eris.Wrap(ErrInvalidOrder, "the version is missing")
 	case limit < time.Millisecond || limit > maxRolloutLimit:
-		return protocol.Rollout{}, eris.Wrapf(ErrInvalidOrder, "the limit of %v is not between 1ms and %v", limit, maxRolloutLimit)
+		return protocol.Rollout{}, eris.Wrapf(ErrInvalidOrder, "the limit of %v is not from 1ms to %v", limit, maxRolloutLimit)
 	}
 	if err := o.checkService(ctx, service); err != nil {
 		return protocol.Rollout{}, err
@@ -121,7 +121,7 @@
 		return r, err
 	}
 	if r.Stage.Final() {
-		return r, eris.Wrapf(ErrNoRollout, "the last roll-out of service %q is %s", service, r.Stage)
+		return r, eris.Wrapf(ErrNoRollout, "the last one of service %q is %s", service, r.Stage)
 	}
 	return o.store.StageRollout(ctx, protocol.StageRolloutMsg{Service: service, Number: r.Number, Stage: protocol.RolloutRolledBack, Reason: "an operator turned it back"})
 }
