--- a/transport/control/copies.go
+++ b/transport/control/copies.go
@@ -156,7 +156,7 @@
 
 // errDocumentBehind is returned if the leader confirmed a document newer than the one that
 // the relay holds.
-var errDocumentBehind = eris.New("the relay does not hold the document that the leader confirmed")
+var errDocumentBehind = eris.New("the document that the leader vouches for is not held")
 
 // fillReply builds the answer to a gateway's request as the leader would have, from the
 // leader's answer to its batch. The document is the newest that this instance holds.
--- a/transport/control/relay.go
+++ b/transport/control/relay.go
@@ -365,7 +365,7 @@
 
 // errSuperseded is returned for an answer of another term than that of a later batch that
 // was answered first.
-var errSuperseded = eris.New("another leader answered a later batch first")
+var errSuperseded = eris.New("another leader has answered meanwhile")
 
 // applyReply applies the leader's answer to the relay's state and sums. If a later batch was
 // answered first, only the document, sums and readings are applied: the rest is older than
