--- a/e2e/caller_test.go
+++ b/e2e/caller_test.go
@@ -14,20 +14,20 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// ask is a caller's request.
-type ask struct {
+// request describes a caller's HTTP request.
+type request struct {
 	path    string
 	body    any
 	headers map[string]string
-	key     string // key is the workspace's; empty uses the tests' own.
+	key     string // key is the workspace's API key; empty means workspaceKey.
 }
 
-// completion asks for tokens after a prompt.
-func completion(model, prompt string, tokens int, stream bool) ask {
-	return ask{path: "/v1/completions", body: map[string]any{"model": model, "prompt": prompt, "max_tokens": tokens, "stream": stream}}
+// completion returns a completion request for the given number of tokens.
+func completion(model, prompt string, tokens int, stream bool) request {
+	return request{path: "/v1/completions", body: map[string]any{"model": model, "prompt": prompt, "max_tokens": tokens, "stream": stream}}
 }
 
-func (a ask) with(name, value string) ask {
+func (a request) with(name, value string) request {
 	headers := map[string]string{name: value}
 	for k, v := range a.headers {
 		headers[k] = v
@@ -36,12 +36,12 @@
 	return a
 }
 
-// once marks the ask as not repeatable, under a key that was first issued now.
-func (a ask) once(key string) ask {
+// atMostOnce marks the request as not repeatable and gives it an idempotency key issued now.
+func (a request) atMostOnce(key string) request {
 	return a.with(protocol.HeaderKey, key).with(protocol.HeaderRepeatable, "false").with(protocol.HeaderIssuedAt, time.Now().Format(time.RFC3339Nano))
 }
 
-// stream is an answer that is being read.
+// stream reads a streamed answer.
 type stream struct {
 	t      testing.TB
 	resp   *http.Response
@@ -53,16 +53,16 @@
 	done   bool
 }
 
-func (d *daemon) open(a ask) *stream {
+func (d *daemon) openStream(a request) *stream {
 	d.c.t.Helper()
-	s, err := d.tryOpen(a)
+	s, err := d.tryOpenStream(a)
 	if err != nil {
 		d.c.t.Fatal(err)
 	}
 	return s
 }
 
-func (d *daemon) tryOpen(a ask) (*stream, error) {
+func (d *daemon) tryOpenStream(a request) (*stream, error) {
 	data, ok := a.body.(string)
 	if !ok {
 		raw, err := json.Marshal(a.body)
@@ -93,7 +93,8 @@
 	return &stream{t: d.c.t, resp: resp, lines: bufio.NewReader(resp.Body), cancel: cancel}, nil
 }
 
-// next reads one event with text; it reports false at the end.
+// next reads the next event and appends its text. It returns false at the end of
+// the stream and on an error event.
 func (s *stream) next() bool {
 	for {
 		line, err := s.lines.ReadString('\n')
@@ -112,11 +113,11 @@
 			s.done = true
 			return false
 		}
-		return s.event(data)
+		return s.addEvent(data)
 	}
 }
 
-func (s *stream) event(data string) bool {
+func (s *stream) addEvent(data string) bool {
 	var e protocol.ErrorBody
 	if json.Unmarshal([]byte(data), &e) == nil && e.Error.Code != "" {
 		s.err = &e.Error
@@ -135,8 +136,9 @@
 	return true
 }
 
-// rest reads to the end and returns all of the text.
-func (s *stream) rest() string {
+// readRest reads to the end of the stream, closes it and returns the text of all
+// events read so far.
+func (s *stream) readRest() string {
 	for s.next() {
 	}
 	s.close()
@@ -148,7 +150,7 @@
 	s.resp.Body.Close()
 }
 
-// answer is a whole answer.
+// answer is an HTTP answer with its complete body.
 type answer struct {
 	status  int
 	verdict string
@@ -156,7 +158,7 @@
 	body    []byte
 }
 
-func (d *daemon) send(a ask) answer {
+func (d *daemon) send(a request) answer {
 	d.c.t.Helper()
 	ans, err := d.trySend(a)
 	if err != nil {
@@ -165,8 +167,8 @@
 	return ans
 }
 
-func (d *daemon) trySend(a ask) (answer, error) {
-	s, err := d.tryOpen(a)
+func (d *daemon) trySend(a request) (answer, error) {
+	s, err := d.tryOpenStream(a)
 	if err != nil {
 		return answer{}, err
 	}
--- a/e2e/capacity_test.go
+++ b/e2e/capacity_test.go
@@ -12,21 +12,21 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// The benchmarks here measure what an idle cluster costs each instance, at
-// several sizes; docs/CAPACITY.md works with their slopes. "make capacity" runs
-// them.
+// The benchmarks in this file measure each instance's use of CPU, memory and
+// network at several cluster sizes. docs/CAPACITY.md uses the slopes. Run them
+// with "make capacity".
 
 const (
-	clockTicks = 100 // of /proc, a second
-	watchFor   = 6 * time.Second
+	clockTicks = 100 // clock ticks per second in /proc
+	idleWindow = 6 * time.Second
 )
 
-// usage is what an instance has used since its start.
+// usage is an instance's resource use: totals since its start, and current memory.
 type usage struct {
-	cpu   time.Duration
-	rss   int64 // bytes
-	peers int64 // bytes to and from other instances
-	polls int64 // bytes to and from platform and servers, for control
+	cpu       time.Duration
+	rss       int64 // bytes
+	peerBytes int64 // bytes to and from other instances
+	pollBytes int64 // control-plane bytes to and from the platform and the backend servers
 }
 
 func (d *daemon) usage() usage {
@@ -43,26 +43,26 @@
 	u.rss = pages * int64(os.Getpagesize())
 	var m map[string]struct{ Value int64 }
 	d.adminGet("/metrics", &m)
-	u.peers = m["peers.bytes.sent"].Value + m["peers.bytes.received"].Value
-	u.polls = m["polls.bytes.sent"].Value + m["polls.bytes.received"].Value
+	u.peerBytes = m["peers.bytes.sent"].Value + m["peers.bytes.received"].Value
+	u.pollBytes = m["polls.bytes.sent"].Value + m["polls.bytes.received"].Value
 	return u
 }
 
-// watch reports the mean over all instances of what each uses, idle.
-func (c *cluster) watch(b *testing.B) {
+// measureIdle reports the mean resource use per instance over idleWindow.
+func (c *cluster) measureIdle(b *testing.B) {
 	var before []usage
 	for _, d := range c.daemons {
 		before = append(before, d.usage())
 	}
 	began := time.Now()
-	time.Sleep(watchFor) // The span that is measured.
+	time.Sleep(idleWindow) // The measurement window.
 	took := time.Since(began).Seconds()
 	var cpu, peers, polls, rss float64
 	for i, d := range c.daemons {
 		u := d.usage()
 		cpu += (u.cpu - before[i].cpu).Seconds()
-		peers += float64(u.peers - before[i].peers)
-		polls += float64(u.polls - before[i].polls)
+		peers += float64(u.peerBytes - before[i].peerBytes)
+		polls += float64(u.pollBytes - before[i].pollBytes)
 		rss += float64(u.rss)
 	}
 	n := float64(len(c.daemons))
@@ -73,36 +73,37 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkIdleByInstances varies the instances, with four servers.
+// BenchmarkIdleByInstances varies the number of instances, with four backend servers.
 func BenchmarkIdleByInstances(b *testing.B) {
 	for _, n := range []int{3, 9, 18, 32} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := newCluster(b, clusterSpec{daemons: n, replicas: 3, engines: 4})
 			c.apply(1, configText())
 			for b.Loop() {
-				c.watch(b)
+				c.measureIdle(b)
 			}
 		})
 	}
 }
 
-// BenchmarkIdleByServers varies the servers, with three instances. One stand-in
-// answers under many identities.
+// BenchmarkIdleByServers varies the number of backend servers, with three
+// instances. Each stand-in is listed under many IDs.
 func BenchmarkIdleByServers(b *testing.B) {
 	for _, n := range []int{8, 64, 200, 600} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := newCluster(b, clusterSpec{daemons: 3, engines: 8, more: n - 8})
+			c := newCluster(b, clusterSpec{daemons: 3, engines: 8, extraEngineIDs: n - 8})
 			c.apply(1, configText())
-			eventually(b, "all servers have reported", func() bool { return c.reported() == n })
+			eventually(b, "all servers have reported", func() bool { return c.reportedServers() == n })
 			for b.Loop() {
-				c.watch(b)
+				c.measureIdle(b)
 			}
 		})
 	}
 }
 
-// reported counts the servers whose load the first instance has read.
-func (c *cluster) reported() int {
+// reportedServers counts the backend servers whose load report the first
+// instance has read.
+func (c *cluster) reportedServers() int {
 	var v struct {
 		Servers []struct {
 			Report protocol.LoadReport
@@ -118,32 +119,32 @@
 	return n
 }
 
-// BenchmarkStreams holds many streams open through one instance and reports
-// what each adds.
+// BenchmarkStreams keeps many streams open through one instance and reports the
+// instance's resource use.
 func BenchmarkStreams(b *testing.B) {
 	for _, n := range []int{0, 50, 116, 232} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := newCluster(b, clusterSpec{daemons: 1, engines: 4, engine: []string{"-token-time", "57ms", "-batch-time", "0s", "-max-batch", "100"}})
+			c := newCluster(b, clusterSpec{daemons: 1, engines: 4, engineFlags: []string{"-token-time", "57ms", "-batch-time", "0s", "-max-batch", "100"}})
 			c.apply(1, configText())
 			for i := range n {
-				s := c.daemons[0].open(completion("docket-summary", fmt.Sprint("held ", i), 20000, true))
+				s := c.daemons[0].openStream(completion("docket-summary", fmt.Sprint("held ", i), 20000, true))
 				go func() {
 					for s.next() {
 					}
 				}()
 				b.Cleanup(s.close)
 			}
-			before := c.tokens()
+			before := c.relayedTokens()
 			began := time.Now()
 			for b.Loop() {
-				c.watch(b)
+				c.measureIdle(b)
 			}
-			b.ReportMetric(float64(c.tokens()-before)/time.Since(began).Seconds(), "tokens/s")
+			b.ReportMetric(float64(c.relayedTokens()-before)/time.Since(began).Seconds(), "tokens/s")
 		})
 	}
 }
 
-func (c *cluster) tokens() int64 {
+func (c *cluster) relayedTokens() int64 {
 	var m map[string]json.RawMessage
 	c.daemons[0].adminGet("/metrics", &m)
 	var row struct{ Count int64 }
--- a/e2e/cluster_test.go
+++ b/e2e/cluster_test.go
@@ -29,7 +29,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// standinProcess is a stand-in with its two addresses.
+// standinProcess is a running stand-in with its service and control addresses.
 type standinProcess struct {
 	*process
 	id      string
@@ -90,46 +90,46 @@
 	}
 }
 
-// daemon is a weldstreamd process with its addresses.
+// daemon is a weldstreamd process with its addresses and settings.
 type daemon struct {
 	*process
-	c         *cluster
-	name      string
-	domain    string
-	caller    string
-	peer      string
-	admin     string
-	data      string
-	extra     string
-	direct    atomic.Value // direct is the peer address itself, a string.
-	advertise string       // advertise is what stands before it, if anything does.
+	c             *cluster
+	name          string
+	domain        string
+	caller        string
+	peer          string
+	admin         string
+	data          string
+	extraSettings string
+	listenPeer    atomic.Value // listenPeer is the peer address that the process listens on, a string.
+	advertise     string       // advertise is the address of the proxy in front of listenPeer, if there is one.
 }
 
-// cluster is everything that a test runs.
+// cluster holds all processes that a test runs.
 type cluster struct {
-	t        testing.TB
-	dir      string
-	platform *standinProcess
-	engines  []*standinProcess
-	services []*standinProcess
-	listed   []protocol.Instance
-	daemons  []*daemon
-	replicas []string
-	blind    bool // blind says that the daemon to be started reads the platform's list once.
-	deaf     bool // deaf says that the daemon to be started reads no notices.
+	t            testing.TB
+	dir          string
+	platform     *standinProcess
+	engines      []*standinProcess
+	services     []*standinProcess
+	listed       []protocol.Instance
+	daemons      []*daemon
+	replicas     []string
+	listReadOnce bool // listReadOnce makes the next daemon read the platform's list only at its start.
+	noNotices    bool // noNotices makes the next daemon read no notices from the platform.
 }
 
-// clusterSpec says what to start.
+// clusterSpec describes the cluster that a test starts.
 type clusterSpec struct {
-	daemons  int
-	replicas int // replicas is how many daemons have a disk; 0 means 1, or 3 of 3 and more.
-	engines  int
-	services int
-	engine   []string // engine are further flags of the engines.
-	more     int      // more are further identities of the engines, listed from the start.
-	blind    bool     // blind lets only the first daemon read the platform's list again after its start.
-	deaf     bool     // deaf lets only the first daemon read the platform's notices.
-	settings string   // settings are further lines of every daemon's settings.
+	daemons         int
+	replicas        int // replicas is the number of daemons that are Raft replicas; 0 means 1, or 3 if there are at least 3 daemons.
+	engines         int
+	services        int
+	engineFlags     []string // engineFlags are additional command-line flags of the engines.
+	extraEngineIDs  int      // extraEngineIDs is the number of additional IDs under which the engines are listed from the start.
+	oneListReader   bool     // oneListReader lets only the first daemon read the platform's list after its start.
+	oneNoticeReader bool     // oneNoticeReader lets only the first daemon read the platform's notices.
+	settings        string   // settings are additional lines in every daemon's settings file.
 }
 
 func newCluster(t testing.TB, spec clusterSpec) *cluster {
@@ -137,9 +137,9 @@
 	c := &cluster{t: t, dir: t.TempDir()}
 	c.platform = startStandin(t, "platform", "platform")
 	for i := range spec.engines {
-		c.addEngine(i, spec.engine)
+		c.addEngine(i, spec.engineFlags)
 	}
-	for i := range spec.more {
+	for i := range spec.extraEngineIDs {
 		row := c.listed[i%spec.engines]
 		row.ID = fmt.Sprintf("more-%d", i)
 		c.listed = append(c.listed, row)
@@ -149,7 +149,7 @@
 		c.services = append(c.services, s)
 		c.listed = append(c.listed, protocol.Instance{ID: s.id, Kind: protocol.InstanceService, Service: "gantry", Address: s.address, Domain: domain(i)})
 	}
-	c.list()
+	c.publishInstances()
 	if spec.replicas == 0 {
 		spec.replicas = 1 + 2*min(1, spec.daemons/3)
 	}
@@ -158,7 +158,7 @@
 		c.replicas = append(c.replicas, fmt.Sprintf("entry-%d", i+1))
 	}
 	for i := range spec.daemons {
-		c.deaf, c.blind = spec.deaf && i > 0, spec.blind && i > 0
+		c.noNotices, c.listReadOnce = spec.oneNoticeReader && i > 0, spec.oneListReader && i > 0
 		c.startDaemon(fmt.Sprintf("entry-%d", i+1), domain(i), spec.settings)
 	}
 	return c
@@ -174,8 +174,8 @@
 	return e
 }
 
-// list tells the platform what there is.
-func (c *cluster) list() {
+// publishInstances sets the platform's list of instances.
+func (c *cluster) publishInstances() {
 	post(c.t, c.platform.control, "/setup", standin.PlatformSetup{Instances: c.listed})
 }
 
@@ -189,33 +189,33 @@
 	return path
 }
 
-// startDaemon starts an instance that first meets those that run already.
+// startDaemon starts an instance whose peers are the instances already running.
 func (c *cluster) startDaemon(name, domain, extra string) *daemon {
 	c.t.Helper()
-	d := &daemon{c: c, name: name, domain: domain, extra: extra, data: filepath.Join(c.dir, name)}
+	d := &daemon{c: c, name: name, domain: domain, extraSettings: extra, data: filepath.Join(c.dir, name)}
 	d.launch()
 	c.daemons = append(c.daemons, d)
 	return d
 }
 
-// launch starts the daemon's process, at its start and at each restart.
+// launch starts the daemon's process; it is also used for restarts.
 func (d *daemon) launch() {
 	d.c.t.Helper()
 	d.process = start(d.c.t, d.name, "weldstreamd", "-settings", d.c.write(d.name+".yaml", d.settings()))
 	eventually(d.c.t, d.name+" serves", func() bool {
 		if !d.alive() {
-			d.c.t.Fatalf("%s ended with %d:\n%s", d.name, d.code, d.err.String())
+			d.c.t.Fatalf("%s exited with code %d:\n%s", d.name, d.code, d.err.String())
 		}
-		return d.addresses()
+		return d.readAddresses()
 	})
 }
 
-func (d *daemon) addresses() bool {
+func (d *daemon) readAddresses() bool {
 	for line := range strings.Lines(d.err.String()) {
 		var row struct{ Message, Caller, Peer, Admin string }
 		if json.Unmarshal([]byte(line), &row) == nil && row.Message == "serving" {
 			d.caller, d.peer, d.admin = row.Caller, row.Peer, row.Admin
-			d.direct.Store(row.Peer)
+			d.listenPeer.Store(row.Peer)
 			if d.advertise != "" {
 				d.peer = d.advertise
 			}
@@ -245,14 +245,14 @@
 		text += "peer_advertise: " + d.advertise + "\n"
 	}
 	poll := "100ms"
-	if d.c.blind {
+	if d.c.listReadOnce {
 		poll = "1m"
 	}
 	text += fmt.Sprintf("platform:\n  address: %s\n  poll: %s\n", d.c.platform.address, poll)
-	if d.c.deaf {
+	if d.c.noNotices {
 		text += "  notice_poll: 10m\n"
 	}
-	return text + d.extra
+	return text + d.extraSettings
 }
 
 const testConfig = `
@@ -274,7 +274,7 @@
 
 func configText() string { return fmt.Sprintf(testConfig, digestOf(workspaceKey)) }
 
-// ctl runs the command-line tool against an instance and returns exit code and output.
+// ctl runs weldctl against the instance and returns its exit code and output.
 func (d *daemon) ctl(args ...string) (int, string) {
 	d.c.t.Helper()
 	args = append([]string{args[0], "-admin", d.admin, "-token-file", d.c.write("token", operatorToken)}, args[1:]...)
@@ -283,14 +283,14 @@
 	return code, p.out.String() + p.err.String()
 }
 
-// apply has the test configuration accepted and waits until it is in force
-// everywhere.
+// apply applies a configuration and waits until it is in force on every
+// instance.
 func (c *cluster) apply(number int, text string) {
 	c.t.Helper()
 	c.awaitMembers()
 	code, out := c.daemons[0].ctl("apply", "-number", fmt.Sprint(number), "-wait", "30s", c.write("config.yaml", text))
 	if code != 0 {
-		c.t.Fatalf("apply: exit %d: %s", code, out)
+		c.t.Fatalf("weldctl apply exited with code %d: %s", code, out)
 	}
 	for _, d := range c.daemons {
 		if d.alive() {
@@ -299,7 +299,7 @@
 	}
 }
 
-// awaitMembers waits until every live daemon sees all of them.
+// awaitMembers waits until every live daemon sees all live daemons as members.
 func (c *cluster) awaitMembers() {
 	c.t.Helper()
 	for _, d := range c.daemons {
@@ -313,12 +313,12 @@
 					seen++
 				}
 			}
-			return seen >= c.living()
+			return seen >= c.aliveCount()
 		})
 	}
 }
 
-func (c *cluster) living() int {
+func (c *cluster) aliveCount() int {
 	n := 0
 	for _, d := range c.daemons {
 		if d.alive() {
@@ -340,7 +340,7 @@
 	})
 }
 
-// admin reads JSON from an instance's admin address.
+// adminGet reads JSON from the instance's admin address.
 func (d *daemon) adminGet(path string, dst any) {
 	d.c.t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+d.admin+path, nil)
@@ -364,7 +364,7 @@
 	return v
 }
 
-// dumpView is the part of a dump that tests look at.
+// dumpView holds the fields of /dump that the tests check.
 type dumpView struct {
 	Ready   bool
 	Number  uint64
@@ -388,7 +388,7 @@
 	return v
 }
 
-// readyStatus returns the status of /readyz, or 0 when nobody answers.
+// readyStatus returns the HTTP status of /readyz, or 0 if the request fails.
 func (d *daemon) readyStatus() int {
 	resp, err := http.Get("http://" + d.caller + "/readyz")
 	if err != nil {
@@ -398,7 +398,7 @@
 	return resp.StatusCode
 }
 
-// adminPost posts JSON to an instance's admin address.
+// adminPost posts JSON to the instance's admin address.
 func (d *daemon) adminPost(path string, v any) (*http.Response, error) {
 	data, err := json.Marshal(v)
 	if err != nil {
--- a/e2e/history_test.go
+++ b/e2e/history_test.go
@@ -18,8 +18,8 @@
 	"github.com/weldstream/weldstream/transport"
 )
 
-// An operation on the accepted configuration: an apply of a number with one of
-// several contents, or a read that a quorum confirms.
+// configInput is an operation on the accepted configuration: an apply of a
+// number with one of several contents, or a read confirmed by a quorum.
 type configInput struct {
 	read    bool
 	number  uint64
@@ -30,7 +30,7 @@
 	accepted bool
 	number   uint64
 	digest   protocol.Digest
-	unknown  bool // unknown says that no answer came: it may have happened, now or later.
+	unknown  bool // unknown is set if there was no answer: the operation may have taken effect, or may later.
 }
 
 type configState struct {
@@ -38,8 +38,8 @@
 	digest protocol.Digest
 }
 
-// configModel is what the brief promises, in one thread: number n+1 on top of
-// n, a resend succeeds, reads see the latest.
+// configModel is the sequential specification: number n+1 is accepted after n,
+// a resend of the current configuration succeeds, and reads return the latest.
 var configModel = porcupine.Model{
 	Init: func() any { return configState{} },
 	Step: func(st, in, out any) (bool, any) {
@@ -56,16 +56,16 @@
 	},
 }
 
-// historian records what clients did and saw.
-type historian struct {
+// historyRecorder records the clients' operations and their results.
+type historyRecorder struct {
 	mu    sync.Mutex
 	began time.Time
 	ops   []porcupine.Operation
 }
 
-// record runs an operation and keeps it, unless it turns out to be none: do
-// reports false then.
-func (h *historian) record(client int, in configInput, do func() (configOutput, bool)) (configOutput, bool) {
+// record runs an operation and records it, unless do reports false: then nothing
+// was executed, or there is no result to check.
+func (h *historyRecorder) record(client int, in configInput, do func() (configOutput, bool)) (configOutput, bool) {
 	call := time.Since(h.began).Nanoseconds()
 	out, made := do()
 	back := time.Since(h.began).Nanoseconds()
@@ -80,14 +80,14 @@
 	return out, made
 }
 
-// TestHistoryIsLinearizable lets clients race applies and confirmed reads
-// through all replicas while the leader is killed, frozen and started again,
-// and has porcupine judge the history.
+// TestHistoryIsLinearizable runs concurrent applies and confirmed reads through
+// all replicas while leaders are killed and restarted, or suspended and resumed,
+// and checks the history with porcupine.
 func TestHistoryIsLinearizable(t *testing.T) {
 	c := newCluster(t, clusterSpec{daemons: 3, engines: 1})
 	c.awaitMembers()
 	c.leader()
-	h := &historian{began: time.Now()}
+	h := &historyRecorder{began: time.Now()}
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	for client := range 5 {
@@ -117,16 +117,17 @@
 	result := porcupine.CheckOperationsTimeout(configModel, h.ops, time.Minute)
 	t.Logf("%d operations: %v", len(h.ops), result)
 	if result != porcupine.Ok {
-		t.Errorf("the history of %d operations is %v", len(h.ops), result)
+		t.Errorf("porcupine result for the history of %d operations: %v", len(h.ops), result)
 		for _, op := range h.ops {
 			t.Logf("%d: %+v = %+v from %d to %d", op.ClientId, op.Input, op.Output, op.Call, op.Return)
 		}
 	}
 }
 
-// TestUnknownIsBounded checks that a history with many applies that got no answer is
-// judged at once: as linearizable where it is, and as not where an unanswered apply
-// would have to take effect after a later number was seen.
+// TestUnknownIsBounded checks that boundUnknown keeps the check fast for histories
+// with many unanswered applies, and its result correct: a linearizable history
+// passes, and one in which an unanswered apply would have to take effect after a
+// later number was seen fails.
 func TestUnknownIsBounded(t *testing.T) {
 	content := func(i int) string { return fmt.Sprint("content ", i) }
 	apply := func(client int, n uint64, c string, call, back int64, out configOutput) porcupine.Operation {
@@ -136,35 +137,35 @@
 		return porcupine.Operation{Input: configInput{read: true}, Call: at, Return: at + 1, Output: configOutput{number: n, digest: protocol.DigestOf([]byte(c))}}
 	}
 	const numbers = 40
-	h := &historian{}
+	h := &historyRecorder{}
 	for n := range uint64(numbers) { // Each number is set by one of three applies, none of which got an answer.
 		at := int64(n) * 10
 		for i := range 3 {
 			h.ops = append(h.ops, apply(1+i, n+1, content(i), at, math.MaxInt64, configOutput{unknown: true}))
 		}
-		if (n+1)%4 == 0 { // The numbers between are seen by nobody.
+		if (n+1)%4 == 0 { // No operation sees the numbers in between.
 			h.ops = append(h.ops, read(n+1, content(int(n)%3), at+5))
 		}
 	}
 	whole := slices.Clone(h.ops)
 	h.boundUnknown()
 	if got := porcupine.CheckOperationsTimeout(configModel, h.ops, time.Minute); got != porcupine.Ok {
-		t.Errorf("a history that is linearizable is judged %v", got)
+		t.Errorf("porcupine result for a linearizable history: %v", got)
 	}
 	h.ops = append(whole, read(numbers-4, content((numbers-5)%3), numbers*10))
 	h.boundUnknown()
 	if got := porcupine.CheckOperationsTimeout(configModel, h.ops, time.Minute); got != porcupine.Illegal {
-		t.Errorf("a read of an older number behind a newer one is judged %v", got)
+		t.Errorf("porcupine result for a read of an older number after a newer one: %v", got)
 	}
 }
 
-// boundUnknown bounds the applies without an answer by what others saw: left open to
-// the end, each of them would double the work of the check, which then gives up on
-// histories of a few hundred operations. An apply of number n takes effect, if it
-// does, before the first operation that saw n or a higher number returned; and it
-// may as well not have been made if nobody saw such a number, if it was called after
-// that, if another content won, or if another one like it was called before.
-func (h *historian) boundUnknown() {
+// boundUnknown limits the interval of unanswered applies by what other operations
+// saw. With an open end, each of them would double the cost of the check, which then
+// times out on histories of a few hundred operations. An apply of number n can only
+// take effect before the first operation that saw n or a higher number returned. It
+// can be dropped if no operation saw such a number, if it was called after that
+// operation returned, if another content won, or if an equal apply was called before.
+func (h *historyRecorder) boundUnknown() {
 	winners := map[uint64]protocol.Digest{}
 	for _, op := range h.ops {
 		in, out := op.Input.(configInput), op.Output.(configOutput)
@@ -194,9 +195,9 @@
 	h.ops = bounded
 }
 
-// firstSeen returns when the first operation that saw a number, or a higher one,
-// returned; ok is false where none did.
-func (h *historian) firstSeen(number uint64) (at int64, ok bool) {
+// firstSeen returns the earliest return time of the operations that saw the number
+// or a higher one. ok is false if there is none.
+func (h *historyRecorder) firstSeen(number uint64) (at int64, ok bool) {
 	for _, op := range h.ops {
 		in, out := op.Input.(configInput), op.Output.(configOutput)
 		saw := uint64(0)
@@ -214,14 +215,15 @@
 	return at, ok
 }
 
-func (h *historian) len() int {
+func (h *historyRecorder) len() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.ops)
 }
 
-// clientLoop applies the next number, or one that is taken, or reads.
-func (c *cluster) clientLoop(h *historian, client int, stop chan struct{}) {
+// clientLoop applies one of the next numbers, reapplies the current one, or reads,
+// at random, until stop is closed.
+func (c *cluster) clientLoop(h *historyRecorder, client int, stop chan struct{}) {
 	rnd := rand.New(rand.NewPCG(uint64(client), 3))
 	links := transport.NewLinks(fmt.Sprint("client-", client), []byte(clusterKey), time.Second, zerolog.Nop())
 	known := uint64(0)
@@ -231,21 +233,21 @@
 			return
 		default:
 		}
-		address := c.daemons[rnd.IntN(len(c.daemons))].direct.Load().(string)
+		address := c.daemons[rnd.IntN(len(c.daemons))].listenPeer.Load().(string)
 		in := configInput{read: rnd.IntN(3) == 0}
 		if !in.read {
 			in.number = max(1, known+uint64(rnd.IntN(3)))
 			in.content = fmt.Sprintf(`{"models":[{"name":"m","version":"%d"}]}`, rnd.IntN(3))
 		}
-		if out, asked := c.try(links, address, h, client, in); asked {
+		if out, asked := c.callReplica(links, address, h, client, in); asked {
 			known = max(known, out.number)
 		}
 	}
 }
 
-// try makes one call. A replica that does not lead says so, and that is no
-// operation; nor is a read without an answer.
-func (c *cluster) try(links *transport.Links, address string, h *historian, client int, in configInput) (configOutput, bool) {
+// callReplica makes one call. It is not recorded if the replica did not execute it,
+// for example because it is not the leader, or if it is a read without an answer.
+func (c *cluster) callReplica(links *transport.Links, address string, h *historyRecorder, client int, in configInput) (configOutput, bool) {
 	return h.record(client, in, func() (configOutput, bool) {
 		var reply transport.GroupReply
 		var err error
--- a/e2e/leaving_test.go
+++ b/e2e/leaving_test.go
@@ -7,23 +7,24 @@
 	"github.com/weldstream/weldstream/internal/standin"
 )
 
-// TestReclaimMovesStreams reclaims a whole failure domain while it streams.
-// Every answer arrives whole, and what moved was imported, not recomputed.
+// TestReclaimMovesStreams reclaims a whole failure domain while its engines
+// stream. Every answer arrives complete, and the moved requests are imported with
+// their KV cache instead of recomputed.
 func TestReclaimMovesStreams(t *testing.T) {
-	c := newCluster(t, clusterSpec{daemons: 2, engines: 6, engine: []string{"-token-time", "20ms"}})
+	c := newCluster(t, clusterSpec{daemons: 2, engines: 6, engineFlags: []string{"-token-time", "20ms"}})
 	c.apply(1, configText())
-	const tokens = 200 // So that none ends before the domain is reclaimed.
+	const tokens = 200 // Long enough that no stream ends before the domain is reclaimed.
 	var streams []*stream
 	for i := range 12 {
-		s := c.daemons[i%2].open(completion("docket-summary", fmt.Sprint("case ", i), tokens, true))
+		s := c.daemons[i%2].openStream(completion("docket-summary", fmt.Sprint("case ", i), tokens, true))
 		s.next()
 		streams = append(streams, s)
 	}
 	c.reclaim(standin.ReclaimOrder{Domain: "zone-a", InMS: 5000})
-	// The servers are there for as long as the notice says: until what they ended
-	// runs elsewhere, at the least. It may go by way of the domain's other server.
+	// The reclaimed engines stay up until their requests run elsewhere, within the
+	// notice period. A request may move by way of the domain's other engine.
 	imported, recomputed := 0, 0
-	eventually(t, "what ran in the domain goes on elsewhere", func() bool {
+	eventually(t, "the requests of the reclaimed domain run elsewhere", func() bool {
 		exported, elsewhere := 0, 0
 		imported, recomputed = 0, 0
 		for i, e := range c.engines {
@@ -42,38 +43,40 @@
 	c.engines[0].kill()
 	c.engines[3].kill()
 	for i, s := range streams {
-		if got, want := s.rest(), standin.AnswerText(fmt.Sprint("case ", i), tokens); got != want || !s.done {
+		if got, want := s.readRest(), standin.AnswerText(fmt.Sprint("case ", i), tokens); got != want || !s.done {
 			t.Errorf("answer %d: got %q (%+v), want %q", i, got, s.err, want)
 		}
 	}
 	for i, e := range c.engines {
 		if i%3 != 0 {
-			recomputed += e.engineStats().Recomputed // Those of before count twice, which is as wrong as once.
+			recomputed += e.engineStats().Recomputed // Tokens counted above count twice; any value above 0 fails the test.
 		}
 	}
 	if imported == 0 || recomputed > 0 {
-		t.Errorf("imported %d requests and recomputed %d tokens, want some and none", imported, recomputed)
+		t.Errorf("imported %d requests and recomputed %d tokens, want at least 1 and 0", imported, recomputed)
 	}
 }
 
-// TestReorderedChunks lets engines swap the chunks of every answer.
+// TestReorderedChunks has the engine send the chunks of an answer out of order.
+// The caller gets them in order.
 func TestReorderedChunks(t *testing.T) {
 	c := newCluster(t, clusterSpec{daemons: 1, engines: 1})
 	c.apply(1, configText())
 	c.engines[0].faults(standin.Faults{Reorder: true})
-	if got, want := c.daemons[0].open(completion("docket-summary", "swap", 21, true)).rest(), standin.AnswerText("swap", 21); got != want {
+	if got, want := c.daemons[0].openStream(completion("docket-summary", "swap", 21, true)).readRest(), standin.AnswerText("swap", 21); got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
 
-// TestNotRepeatableRunsOnce loses the answer of a call that must not be
-// repeated, and then one that was refused before it ran.
+// TestNotRepeatableRunsOnce drops the answer of a call that must not be repeated,
+// and then has a call refused before it runs. The first is reported as maybe run
+// and not repeated, the second as not run.
 func TestNotRepeatableRunsOnce(t *testing.T) {
 	c := newCluster(t, clusterSpec{daemons: 1, services: 2})
 	c.apply(1, configText())
 	call := func(key string) answer {
-		a := ask{path: "/services/gantry/charge", body: "ABCD-12"}
-		return c.daemons[0].send(a.once(key))
+		a := request{path: "/services/gantry/charge", body: "ABCD-12"}
+		return c.daemons[0].send(a.atMostOnce(key))
 	}
 	for _, s := range c.services {
 		s.faults(standin.Faults{DropAnswer: true})
@@ -97,19 +100,20 @@
 	}
 }
 
-// TestJoinedIsKnownEverywhere adds an engine to the platform's list, which one
-// of four instances reads: the others learn of it from that one, and keep it.
+// TestJoinedIsKnownEverywhere adds an engine to the platform's list, which only
+// one of four instances reads. The others learn of the engine from that instance
+// and send requests to it.
 func TestJoinedIsKnownEverywhere(t *testing.T) {
-	c := newCluster(t, clusterSpec{daemons: 4, engines: 1, blind: true})
+	c := newCluster(t, clusterSpec{daemons: 4, engines: 1, oneListReader: true})
 	c.apply(1, configText())
 	c.addEngine(1, nil)
-	c.list()
+	c.publishInstances()
 	for _, d := range c.daemons {
-		eventually(t, d.name+" knows the new engine", func() bool { return d.held() == "engine-1 engine-2" })
+		eventually(t, d.name+" knows the new engine", func() bool { return d.remainingServers() == "engine-1 engine-2" })
 	}
 	c.engines[0].kill()
 	for _, d := range c.daemons {
-		eventually(t, d.name+" sends to the new engine", func() bool { // Its first report may be on the way.
+		eventually(t, d.name+" sends to the new engine", func() bool { // Its first load report may not have arrived yet.
 			got := d.send(completion("docket-summary", "through "+d.name, 5, false))
 			return got.status == 200 && got.text(t) == standin.AnswerText("through "+d.name, 5)
 		})
--- a/e2e/measure_test.go
+++ b/e2e/measure_test.go
@@ -15,11 +15,11 @@
 	"github.com/weldstream/weldstream/transport"
 )
 
-// The benchmarks here measure the real processes. They are not part of the
-// tests; "make measure" runs them.
+// The benchmarks in this file measure real processes. They are not part of the
+// tests; run them with "make measure".
 
-// spread reports median, least and most of some durations, in milliseconds.
-func spread(b *testing.B, name string, times []time.Duration) {
+// reportSpread reports the median, minimum and maximum of times in milliseconds.
+func reportSpread(b *testing.B, name string, times []time.Duration) {
 	slices.Sort(times)
 	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 	b.ReportMetric(ms(times[len(times)/2]), name+"-median-ms")
@@ -27,8 +27,8 @@
 	b.ReportMetric(ms(times[len(times)-1]), name+"-most-ms")
 }
 
-// BenchmarkClaims commits claims from many askers at once on three replicas,
-// with group commit and with one claim a sync.
+// BenchmarkClaims commits claims from concurrent clients on three replicas, with
+// group commit and with one claim per fsync.
 func BenchmarkClaims(b *testing.B) {
 	for _, bc := range []struct {
 		name  string
@@ -62,7 +62,7 @@
 					Owner:    protocol.Owner{Instance: "measure", Request: fmt.Sprint(i)},
 					Limits:   protocol.ClaimLimits{WindowMS: 3600000, SkewMS: 60000, Count: 1 << 20},
 				}}
-				err := links.Call(leader.direct.Load().(string), "Group.Propose", cmd, &reply, 10*time.Second)
+				err := links.Call(leader.listenPeer.Load().(string), "Group.Propose", cmd, &reply, 10*time.Second)
 				if err != nil || reply.Result.Claim == nil || reply.Result.Claim.State != protocol.ClaimGranted {
 					b.Errorf("claim: %v %+v", err, reply)
 				}
@@ -92,7 +92,7 @@
 	var times []time.Duration
 	for i := range b.N {
 		number := i + 2
-		if err := c.daemons[i%9].applyDirect(number, numbered(number)); err != nil {
+		if err := c.daemons[i%9].applyDirect(number, numberedConfig(number)); err != nil {
 			b.Fatal(err)
 		}
 		began := time.Now()
@@ -102,12 +102,12 @@
 		}
 		times = append(times, time.Since(began))
 	}
-	spread(b, "in-force", times)
+	reportSpread(b, "in-force", times)
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkLeaderless measures the time from the kill of the leader until
-// another one commits.
+// BenchmarkLeaderless measures the time from killing the leader until a new
+// leader commits.
 func BenchmarkLeaderless(b *testing.B) {
 	c := newCluster(b, clusterSpec{daemons: 3, engines: 1})
 	c.apply(1, configText())
@@ -117,7 +117,7 @@
 		next := c.survivor(old)
 		began := time.Now()
 		old.kill()
-		if err := next.applyDirect(i+2, numbered(i+2)); err != nil {
+		if err := next.applyDirect(i+2, numberedConfig(i+2)); err != nil {
 			b.Fatal(err)
 		}
 		times = append(times, time.Since(began))
@@ -125,19 +125,19 @@
 		c.awaitNumber(uint64(i + 2))
 		c.awaitMembers()
 	}
-	spread(b, "kill-to-commit", times)
+	reportSpread(b, "kill-to-commit", times)
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkRestart measures the restart of three instances after 700 changes,
-// with snapshots and without, until the last is ready.
+// BenchmarkRestart measures the restart of three instances after 700
+// configuration changes, with and without snapshots, until all are ready.
 func BenchmarkRestart(b *testing.B) {
 	for _, entries := range []int{64, 1000000} {
 		b.Run(fmt.Sprintf("snapshot-entries=%d", entries), func(b *testing.B) {
 			c := newCluster(b, clusterSpec{daemons: 3, engines: 1, settings: fmt.Sprintf("replica: {snapshot_entries: %d}\n", entries)})
 			c.apply(1, configText())
 			for n := 2; n <= manyChanges; n++ {
-				if err := c.daemons[n%3].applyDirect(n, numbered(n)); err != nil {
+				if err := c.daemons[n%3].applyDirect(n, numberedConfig(n)); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -155,15 +155,15 @@
 				}
 				times = append(times, time.Since(began))
 			}
-			spread(b, "restart", times)
+			reportSpread(b, "restart", times)
 			b.ReportMetric(0, "ns/op")
 		})
 	}
 }
 
-// BenchmarkReclaim counts the tokens that engines compute again for an answer
-// that loses its server halfway: by an announced reclaim (KV cache imported), by
-// a kill (resumed behind the prefix), and by a kill of the instance too
+// BenchmarkReclaim counts the tokens that engines recompute for an answer that
+// loses its server halfway: by an announced reclaim (KV cache imported), by a kill
+// (resumed after the prefix), and by a kill of the server and the instance
 // (generated again from the prompt).
 func BenchmarkReclaim(b *testing.B) {
 	const prompt, tokens = 400, 100
@@ -180,14 +180,14 @@
 }
 
 func measureReclaim(b *testing.B, way string, words, tokens int) int {
-	c := newCluster(b, clusterSpec{daemons: 2, engines: 2, engine: []string{"-token-time", "10ms"}})
+	c := newCluster(b, clusterSpec{daemons: 2, engines: 2, engineFlags: []string{"-token-time", "10ms"}})
 	c.apply(1, configText())
 	prompt := ""
 	for i := range words {
 		prompt += fmt.Sprintf("word%d ", i)
 	}
 	a := completion("docket-summary", prompt, tokens, true).with(protocol.HeaderKey, "measured")
-	s := c.daemons[1].open(a)
+	s := c.daemons[1].openStream(a)
 	for range tokens / 2 {
 		s.next()
 	}
@@ -201,15 +201,15 @@
 		e.kill()
 		c.daemons[1].kill()
 	}
-	text := s.rest()
+	text := s.readRest()
 	delivered := tokens / 2
 	if !s.done {
 		rest := c.daemons[0].resume(a, s)
-		text += rest.rest()
+		text += rest.readRest()
 		_, _ = fmt.Sscan(s.lastID, &delivered)
 	}
 	if text != standin.AnswerText(prompt, tokens) {
-		b.Fatal("the answer is not whole")
+		b.Fatal("the answer differs from the expected text")
 	}
 	again := 0
 	for _, o := range c.engines {
@@ -218,7 +218,7 @@
 		}
 	}
 	if way == "from-the-prompt" {
-		again = words + delivered // The prompt, and every token that the caller had.
+		again = words + delivered // The prompt, and every token that the caller had received.
 	}
 	return again
 }
--- a/e2e/once_test.go
+++ b/e2e/once_test.go
@@ -12,9 +12,9 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// deafAddress returns an address where a connection is neither taken nor
-// refused: its queue is full.
-func deafAddress(t *testing.T) string {
+// unacceptingAddress returns an address at which connections are neither accepted
+// nor refused, because the listener's backlog is full.
+func unacceptingAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -35,31 +35,31 @@
 	for {
 		conn, err := net.DialTimeout("tcp", address, 300*time.Millisecond)
 		if err != nil {
-			return address // The queue is full: this one hung.
+			return address // The backlog is full: this attempt timed out.
 		}
 		t.Cleanup(func() { conn.Close() })
 	}
 }
 
-// TestKilledBetweenClaimAndDispatch kills an instance that has a claim and has
-// not sent the request yet. Nobody can know that, so a resend is told that it
-// may have run, and it does not run.
+// TestKilledBetweenClaimAndDispatch kills an instance after it claimed a request
+// and before it sent it to a server. The other instances cannot tell whether it
+// was sent, so a resend is not run and is reported as maybe run.
 func TestKilledBetweenClaimAndDispatch(t *testing.T) {
 	c := newCluster(t, clusterSpec{daemons: 4, replicas: 3, services: 1, settings: "timeouts: {dial: 20s, suspect: 500ms}\n"})
 	good := c.listed
-	c.listed = []protocol.Instance{{ID: "deaf", Kind: protocol.InstanceService, Service: "gantry", Address: deafAddress(t), Domain: "zone-a"}}
-	c.list()
+	c.listed = []protocol.Instance{{ID: "deaf", Kind: protocol.InstanceService, Service: "gantry", Address: unacceptingAddress(t), Domain: "zone-a"}}
+	c.publishInstances()
 	c.apply(1, configText())
 	d := c.daemons[3]
-	charge := ask{path: "/services/gantry/charge", body: "x"}.once("between")
+	charge := request{path: "/services/gantry/charge", body: "x"}.atMostOnce("between")
 	go func() { _, _ = d.trySend(charge) }()
-	eventually(t, "the claim is taken", func() bool { return c.leader().groupOf().Claims == 1 })
+	eventually(t, "the claim is taken", func() bool { return c.leader().groupStatus().Claims == 1 })
 	d.kill()
 	c.listed = good
-	c.list()
+	c.publishInstances()
 	other := c.daemons[0]
-	eventually(t, "the good replica is known", func() bool {
-		return other.send(ask{path: "/services/gantry/plate", body: ""}).status == 200
+	eventually(t, "the working replica is known", func() bool {
+		return other.send(request{path: "/services/gantry/plate", body: ""}).status == 200
 	})
 	a := other.send(charge)
 	if a.code(t) != protocol.CodeClaimLost || a.verdict != "may-have-run" {
@@ -70,28 +70,28 @@
 	}
 }
 
-// TestNotRepeatableStreamRunsOnce kills the engine in the middle of an answer
-// that must run at most once. It is not begun again; and a caller that hangs
-// up finds its answer by its key.
+// TestNotRepeatableStreamRunsOnce checks that a caller that disconnects finds its
+// answer by its key, and that a request that must run at most once is not
+// restarted when its engine is killed in mid-stream.
 func TestNotRepeatableStreamRunsOnce(t *testing.T) {
-	c := newCluster(t, clusterSpec{daemons: 3, engines: 2, engine: []string{"-token-time", "20ms"}})
+	c := newCluster(t, clusterSpec{daemons: 3, engines: 2, engineFlags: []string{"-token-time", "20ms"}})
 	c.apply(1, configText())
-	left := completion("notice", "left", 30, true).once("left")
-	s := c.daemons[0].open(left)
+	left := completion("notice", "left", 30, true).atMostOnce("left")
+	s := c.daemons[0].openStream(left)
 	s.next()
 	s.close()
-	again := c.daemons[1].open(left)
-	if got, want := again.rest(), standin.AnswerText("left", 30); got != want || !again.done {
+	again := c.daemons[1].openStream(left)
+	if got, want := again.readRest(), standin.AnswerText("left", 30); got != want || !again.done {
 		t.Errorf("the resend got %q (%+v), want %q", got, again.err, want)
 	}
-	killed := c.daemons[0].open(completion("notice", "killed", 100, true).once("killed"))
+	killed := c.daemons[0].openStream(completion("notice", "killed", 100, true).atMostOnce("killed"))
 	killed.next()
 	c.engineOf("killed").kill()
-	killed.rest()
+	killed.readRest()
 	if killed.done || killed.err == nil || killed.err.Verdict != protocol.MayHaveRun {
 		t.Errorf("the killed answer ended with %+v", killed.err)
 	}
-	resend := c.daemons[2].send(completion("notice", "killed", 100, true).once("killed"))
+	resend := c.daemons[2].send(completion("notice", "killed", 100, true).atMostOnce("killed"))
 	if resend.verdict == "ran" || resend.verdict == "not-run" && resend.code(t) != protocol.CodeKeyReused {
 		t.Errorf("a resend of the killed request got %d %s %s", resend.status, resend.verdict, resend.body)
 	}
@@ -105,39 +105,40 @@
 		}
 	}
 	if runs["left"] > 1 || runs["killed"] > 0 {
-		t.Errorf("runs at the engines that are left: %v", runs)
+		t.Errorf("runs on the remaining engines: %v", runs)
 	}
 }
 
-// TestLateAnswer freezes an engine until its attempt is given up, and wakes it
-// again. What it still sends reaches nobody.
+// TestLateAnswer suspends an engine until its attempt times out, and resumes it.
+// The chunks that it then sends do not reach the caller.
 func TestLateAnswer(t *testing.T) {
-	c := newCluster(t, clusterSpec{daemons: 1, engines: 2, engine: []string{"-token-time", "20ms"}, settings: "timeouts: {chunk_gap: 400ms}\n"})
+	c := newCluster(t, clusterSpec{daemons: 1, engines: 2, engineFlags: []string{"-token-time", "20ms"}, settings: "timeouts: {chunk_gap: 400ms}\n"})
 	c.apply(1, configText())
-	s := c.daemons[0].open(completion("docket-summary", "late", 60, true))
+	s := c.daemons[0].openStream(completion("docket-summary", "late", 60, true))
 	s.next()
 	frozen := c.engineOf("late")
 	frozen.signal(syscall.SIGSTOP)
 	for s.text.Len() < len(standin.AnswerText("late", 30)) && s.next() {
 	}
 	frozen.signal(syscall.SIGCONT)
-	if got, want := s.rest(), standin.AnswerText("late", 60); got != want || !s.done {
+	if got, want := s.readRest(), standin.AnswerText("late", 60); got != want || !s.done {
 		t.Errorf("got %q (%+v), want %q", got, s.err, want)
 	}
 }
 
-// TestRefusedResend resends a call that ran, and must run at most once, to an
-// instance that has no room and to one that is stopping. Neither asked the
-// claims, so neither may say that the request was not run.
+// TestRefusedResend resends a call that already ran and must run at most once,
+// first while the instance is at its stream limit and then while it is stopping.
+// It refuses the resend without looking up the claim, so it must not report the
+// request as not run.
 func TestRefusedResend(t *testing.T) {
 	c := newCluster(t, clusterSpec{daemons: 1, engines: 1, services: 1, settings: "limits: {streams: 1}\n"})
 	c.apply(1, configText())
 	d := c.daemons[0]
-	charge := ask{path: "/services/gantry/charge", body: "{}"}.once("charge-1")
+	charge := request{path: "/services/gantry/charge", body: "{}"}.atMostOnce("charge-1")
 	if got := d.send(charge); got.status != 200 {
 		t.Fatalf("the first send got %d: %s", got.status, got.body)
 	}
-	s := d.open(completion("docket-summary", "long", 4000, true))
+	s := d.openStream(completion("docket-summary", "long", 4000, true))
 	defer s.close()
 	s.next()
 	check := func(what string, got answer) {
@@ -146,37 +147,37 @@
 			t.Errorf("%s: the resend got %d, verdict %s: %s", what, got.status, got.verdict, got.body)
 		}
 	}
-	check("no room", d.send(charge))
+	check("at the stream limit", d.send(charge))
 	fresh := completion("docket-summary", "fresh", 4, false)
 	if got := d.send(fresh); got.verdict != protocol.NotRun.String() {
 		t.Errorf("a request without a key that was refused has the verdict %s", got.verdict)
 	}
 	d.signal(syscall.SIGTERM)
-	eventually(t, "new requests are refused as leaving", func() bool {
+	eventually(t, "new requests are refused because the instance is leaving", func() bool {
 		got, err := d.trySend(fresh)
 		return err == nil && got.status == 503 && got.code(t) == protocol.CodeLeaving
 	})
 	check("stopping", d.send(charge))
 }
 
-// TestResumeBehindTheEnd resumes answers behind an event that they never had: one
-// that runs for it, and one that is kept. Neither is answered as if it were whole.
-func TestResumeBehindTheEnd(t *testing.T) {
+// TestResumePastTheEnd resumes a new answer and a kept one after an event ID that
+// neither has. Both resumes fail instead of returning an empty, complete answer.
+func TestResumePastTheEnd(t *testing.T) {
 	c := newCluster(t, clusterSpec{daemons: 1, engines: 1})
 	c.apply(1, configText())
 	d := c.daemons[0]
-	kept := completion("notice", "kept", 5, true).once("kept")
-	if s := d.open(kept); s.rest() != standin.AnswerText("kept", 5) || !s.done {
+	kept := completion("notice", "kept", 5, true).atMostOnce("kept")
+	if s := d.openStream(kept); s.readRest() != standin.AnswerText("kept", 5) || !s.done {
 		t.Fatalf("the first send ended with %+v", s.err)
 	}
 	fresh := completion("docket-summary", "fresh", 5, true).with(protocol.HeaderKey, "fresh")
-	for name, a := range map[string]ask{"kept": kept, "fresh": fresh} {
+	for name, a := range map[string]request{"kept": kept, "fresh": fresh} {
 		got := d.send(a.with(protocol.HeaderLastEvent, "999999"))
 		if got.status != 400 || got.code(t) != protocol.CodeNoEvent || got.verdict == protocol.NotRun.String() {
 			t.Errorf("%s: got %d, verdict %s: %s", name, got.status, got.verdict, got.body)
 		}
 	}
-	if s := d.open(kept.with(protocol.HeaderLastEvent, "5")); s.rest() != "" || !s.done {
+	if s := d.openStream(kept.with(protocol.HeaderLastEvent, "5")); s.readRest() != "" || !s.done {
 		t.Errorf("resumed at the end: %q, %+v", s.text.String(), s.err)
 	}
 }
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -18,54 +18,54 @@
 	c.apply(1, configText())
 	for _, d := range c.daemons {
 		prompt := "State of Louisiana versus " + d.name
-		s := d.open(completion("docket-summary", prompt, 20, true))
-		if got, want := s.rest(), standin.AnswerText(prompt, 20); got != want || !s.done {
+		s := d.openStream(completion("docket-summary", prompt, 20, true))
+		if got, want := s.readRest(), standin.AnswerText(prompt, 20); got != want || !s.done {
 			t.Errorf("%s streamed %q, want %q", d.name, got, want)
 		}
 		whole := d.send(completion("arraignment-draft", prompt, 7, false))
 		if got, want := whole.text(t), standin.AnswerText(prompt, 7); got != want || whole.verdict != "ran" {
 			t.Errorf("%s answered %q (%s), want %q", d.name, got, whole.verdict, want)
 		}
-		chat := ask{path: "/v1/chat/completions", body: map[string]any{
+		chat := request{path: "/v1/chat/completions", body: map[string]any{
 			"model": "docket-summary", "max_tokens": 5, "stream": true,
 			"messages": []map[string]string{{"role": "system", "content": "short"}, {"role": "user", "content": prompt}},
 		}}
-		if got, want := d.open(chat).rest(), standin.AnswerText(standin.ChatPrompt("short", prompt), 5); got != want {
+		if got, want := d.openStream(chat).readRest(), standin.AnswerText(standin.ChatPrompt("short", prompt), 5); got != want {
 			t.Errorf("%s chatted %q, want %q", d.name, got, want)
 		}
-		svc := d.send(ask{path: "/services/gantry/plate?id=7", body: "ABCD-12"})
+		svc := d.send(request{path: "/services/gantry/plate?id=7", body: "ABCD-12"})
 		if svc.status != 200 || !strings.Contains(string(svc.body), `"path":"/plate?id=7"`) {
 			t.Errorf("%s: service answered %d %s", d.name, svc.status, svc.body)
 		}
 	}
-	c.refusals()
+	c.checkRefusals()
 }
 
-// refusals checks that each refusal has its status, code and verdict.
-func (c *cluster) refusals() {
+// checkRefusals checks status, code and verdict of invalid requests.
+func (c *cluster) checkRefusals() {
 	d := c.daemons[0]
 	good := completion("docket-summary", "x", 1, false)
 	wrongKey := good
 	wrongKey.key = "wrong"
 	for _, tt := range []struct {
-		name   string
-		ask    ask
-		status int
-		code   protocol.Code
+		name    string
+		request request
+		status  int
+		code    protocol.Code
 	}{
 		{"no such key", wrongKey, 401, protocol.CodeUnauthorized},
 		{"unknown model", completion("nothing", "x", 1, false), 404, protocol.CodeUnknownModel},
-		{"malformed JSON", ask{path: "/v1/completions", body: `{"model": `}, 400, protocol.CodeBadRequest},
-		{"no prompt", ask{path: "/v1/completions", body: `{"model": "docket-summary"}`}, 400, protocol.CodeBadRequest},
-		{"two answers", ask{path: "/v1/completions", body: `{"model": "docket-summary", "prompt": "x", "n": 2}`}, 400, protocol.CodeBadRequest},
-		{"too large", ask{path: "/v1/completions", body: strings.Repeat("x", 5000)}, 413, protocol.CodeTooLarge},
+		{"malformed JSON", request{path: "/v1/completions", body: `{"model": `}, 400, protocol.CodeBadRequest},
+		{"no prompt", request{path: "/v1/completions", body: `{"model": "docket-summary"}`}, 400, protocol.CodeBadRequest},
+		{"two answers", request{path: "/v1/completions", body: `{"model": "docket-summary", "prompt": "x", "n": 2}`}, 400, protocol.CodeBadRequest},
+		{"too large", request{path: "/v1/completions", body: strings.Repeat("x", 5000)}, 413, protocol.CodeTooLarge},
 		{"bad deadline", good.with(protocol.HeaderDeadline, "soon"), 400, protocol.CodeBadRequest},
 		{"bad priority", good.with(protocol.HeaderPriority, "urgent"), 400, protocol.CodeBadRequest},
 		{"bad mark", good.with(protocol.HeaderRepeatable, "maybe"), 400, protocol.CodeBadRequest},
-		{"unknown service", ask{path: "/services/none/x", body: ""}, 404, protocol.CodeUnknownService},
-		{"unknown path", ask{path: "/v2/x", body: ""}, 404, protocol.CodeNotFound},
+		{"unknown service", request{path: "/services/none/x", body: ""}, 404, protocol.CodeUnknownService},
+		{"unknown path", request{path: "/v2/x", body: ""}, 404, protocol.CodeNotFound},
 	} {
-		a := d.send(tt.ask)
+		a := d.send(tt.request)
 		if a.status != tt.status || a.code(c.t) != tt.code || a.verdict != "not-run" {
 			c.t.Errorf("%s: got %d %s %s", tt.name, a.status, a.verdict, a.body)
 		}
@@ -73,21 +73,22 @@
 }
 
 // TestEngineKilledInMidStream kills the engine that streams an answer. The
-// caller gets the whole answer all the same.
+// caller still gets the complete answer.
 func TestEngineKilledInMidStream(t *testing.T) {
-	c := newCluster(t, clusterSpec{daemons: 1, engines: 3, engine: []string{"-token-time", "20ms"}})
+	c := newCluster(t, clusterSpec{daemons: 1, engines: 3, engineFlags: []string{"-token-time", "20ms"}})
 	c.apply(1, configText())
-	s := c.daemons[0].open(completion("docket-summary", "kill", 40, true))
+	s := c.daemons[0].openStream(completion("docket-summary", "kill", 40, true))
 	for range 5 {
 		s.next()
 	}
 	c.engineOf("kill").kill()
-	if got, want := s.rest(), standin.AnswerText("kill", 40); got != want || !s.done {
+	if got, want := s.readRest(), standin.AnswerText("kill", 40); got != want || !s.done {
 		t.Errorf("got %q (%+v), want %q", got, s.err, want)
 	}
 }
 
-// engineOf returns the engine that runs the one request in progress.
+// engineOf returns the engine that runs the only request in progress; what names
+// the request in the failure message.
 func (c *cluster) engineOf(what string) *standinProcess {
 	c.t.Helper()
 	var found *standinProcess
@@ -102,15 +103,15 @@
 	return found
 }
 
-// TestHangUp shows that a caller that leaves ends its request at the engine:
-// in mid-stream, and while it waits for its first token.
-func TestHangUp(t *testing.T) {
-	c := newCluster(t, clusterSpec{daemons: 1, engines: 1, engine: []string{"-max-batch", "1", "-token-time", "20ms"}, settings: "timeouts: {first_byte: 5m, chunk_gap: 5m}\n"})
+// TestCallerDisconnects checks that a request is canceled at the engine when its
+// caller disconnects, in mid-stream or before the first token.
+func TestCallerDisconnects(t *testing.T) {
+	c := newCluster(t, clusterSpec{daemons: 1, engines: 1, engineFlags: []string{"-max-batch", "1", "-token-time", "20ms"}, settings: "timeouts: {first_byte: 5m, chunk_gap: 5m}\n"})
 	c.apply(1, configText())
 	d, e := c.daemons[0], c.engines[0]
-	streaming := d.open(completion("docket-summary", "long", 5000, true))
+	streaming := d.openStream(completion("docket-summary", "long", 5000, true))
 	streaming.next()
-	queued := rawAsk(t, d, "queued")
+	queued := rawRequest(t, d, "queued")
 	eventually(t, "the second request waits", func() bool { return e.engineStats().Waiting == 1 })
 	queued.Close()
 	eventually(t, "the queued request is canceled", func() bool { return e.engineStats().Canceled == 1 })
@@ -119,14 +120,14 @@
 	eventually(t, "no request is left", func() bool { return len(d.dump().Streams) == 0 })
 }
 
-// rawAsk sends a streamed request over a bare connection, which the test can
-// close while nothing was answered.
-func rawAsk(t *testing.T, d *daemon, prompt string) net.Conn {
+// rawRequest sends a streaming request over a plain TCP connection, which the test
+// can close before there is an answer.
+func rawRequest(t *testing.T, d *daemon, prompt string) net.Conn {
 	t.Helper()
-	return rawAskFor(t, d, prompt, 5000)
+	return rawRequestTokens(t, d, prompt, 5000)
 }
 
-func rawAskFor(t *testing.T, d *daemon, prompt string, tokens int) net.Conn {
+func rawRequestTokens(t *testing.T, d *daemon, prompt string, tokens int) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", d.caller)
 	if err != nil {
@@ -140,13 +141,13 @@
 	return conn
 }
 
-// TestSlowReader lets a caller stop reading. It is cut off after the stall
-// time, and others are served meanwhile.
+// TestSlowReader has a caller stop reading. It is disconnected after the
+// write_stall timeout, and other callers are served meanwhile.
 func TestSlowReader(t *testing.T) {
-	c := newCluster(t, clusterSpec{daemons: 1, engines: 1, engine: []string{"-token-time", "20us", "-batch-time", "1us"}, settings: "timeouts: {write_stall: 500ms}\n"})
+	c := newCluster(t, clusterSpec{daemons: 1, engines: 1, engineFlags: []string{"-token-time", "20us", "-batch-time", "1us"}, settings: "timeouts: {write_stall: 500ms}\n"})
 	c.apply(1, configText())
 	d := c.daemons[0]
-	conn := rawAskFor(t, d, "slow", 100000) // More than the sockets' buffers hold.
+	conn := rawRequestTokens(t, d, "slow", 100000) // More than the socket buffers hold.
 	defer conn.Close()
 	if err := conn.(*net.TCPConn).SetReadBuffer(4096); err != nil {
 		t.Fatal(err)
@@ -157,23 +158,23 @@
 	for i := range 3 {
 		prompt := fmt.Sprint("quick ", i)
 		if got, want := d.send(completion("docket-summary", prompt, 10, false)).text(t), standin.AnswerText(prompt, 10); got != want {
-			t.Errorf("beside a slow reader: got %q, want %q", got, want)
+			t.Errorf("with a slow reader connected: got %q, want %q", got, want)
 		}
 	}
-	eventually(t, "the slow reader is cut off", func() bool { return len(d.dump().Streams) == 0 })
+	eventually(t, "the slow reader is disconnected", func() bool { return len(d.dump().Streams) == 0 })
 }
 
-// TestPlannedStop ends an instance by SIGTERM in mid-stream: it reports
-// unready, cuts nothing and exits with 0.
+// TestPlannedStop sends SIGTERM to an instance in mid-stream. It reports not
+// ready, completes the stream and exits with code 0.
 func TestPlannedStop(t *testing.T) {
-	c := newCluster(t, clusterSpec{daemons: 2, engines: 2, engine: []string{"-token-time", "20ms"}})
+	c := newCluster(t, clusterSpec{daemons: 2, engines: 2, engineFlags: []string{"-token-time", "20ms"}})
 	c.apply(1, configText())
 	d := c.daemons[0]
-	s := d.open(completion("docket-summary", "planned", 120, true))
+	s := d.openStream(completion("docket-summary", "planned", 120, true))
 	s.next()
 	d.signal(syscall.SIGTERM)
-	eventually(t, "the instance is unready", func() bool { return d.readyStatus() != 200 })
-	if got, want := s.rest(), standin.AnswerText("planned", 120); got != want || !s.done {
+	eventually(t, "the instance is not ready", func() bool { return d.readyStatus() != 200 })
+	if got, want := s.readRest(), standin.AnswerText("planned", 120); got != want || !s.done {
 		t.Errorf("got %q (%+v), want %q", got, s.err, want)
 	}
 	if code := d.wait(); code != 0 {
@@ -181,7 +182,8 @@
 	}
 }
 
-// TestDumpOnSignal asks a process for its state by SIGQUIT.
+// TestDumpOnSignal checks that SIGQUIT makes a daemon write its state to its log
+// and keep running.
 func TestDumpOnSignal(t *testing.T) {
 	c := newCluster(t, clusterSpec{daemons: 1, engines: 1})
 	c.apply(1, configText())
@@ -189,11 +191,12 @@
 	d.signal(syscall.SIGQUIT)
 	eventually(t, "the dump is written", func() bool { return strings.Contains(d.err.String(), `"servers": [`) })
 	if !d.alive() {
-		t.Error("the process ended on SIGQUIT")
+		t.Error("the process exited on SIGQUIT")
 	}
 }
 
-// TestBadSettings ends the start with 2 and one line for each fault.
+// TestBadSettings checks that invalid settings end the start with exit code 2 and
+// one line per error.
 func TestBadSettings(t *testing.T) {
 	c := &cluster{t: t, dir: t.TempDir()}
 	file := c.write("bad.yaml", "name: a\ndomain: z\ncaller: localhost:80\npeer: 127.0.0.1:1\nadmin: 127.0.0.1:2\ncolor: red\ntimeouts:\n  dial: 1h\ncluster: {key_file: k, operator_sha256: [ab]}\nplatform: {address: 127.0.0.1:3}\n")
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -1,5 +1,7 @@
-// Package e2e drives the real processes: daemons, stand-ins and the command
-// line. Ports are chosen by the kernel; every wait is for a condition.
+// Package e2e runs end-to-end tests and benchmarks against real processes:
+// daemons, stand-ins for the platform and the backend servers, and the
+// command-line tool. The kernel chooses the ports, and tests wait for
+// conditions instead of sleeping.
 package e2e
 
 import (
@@ -18,9 +20,9 @@
 	"time"
 )
 
-// patience bounds every wait for a condition. It is no assertion on time: a
-// condition that holds ends the wait at once.
-const patience = 40 * time.Second
+// waitTimeout bounds every wait for a condition. It does not assert a duration:
+// a wait ends as soon as its condition holds.
+const waitTimeout = 40 * time.Second
 
 var binDir string
 
@@ -38,7 +40,7 @@
 	flag.Parse()
 	args := []string{"build", "-o", dir}
 	if flag.Lookup("test.bench").Value.String() == "" {
-		args = append(args, "-race") // Tests look for races; measurements do not carry them.
+		args = append(args, "-race") // Tests detect data races; benchmarks run without that overhead.
 	}
 	build := exec.Command("go", append(args, "../cmd/...")...)
 	build.Stderr = os.Stderr
@@ -50,7 +52,7 @@
 	return m.Run()
 }
 
-// logBuffer keeps what a process wrote and tells waiters of new lines.
+// logBuffer collects the lines that a process writes to an output stream.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -72,7 +74,7 @@
 	return b.buf.String()
 }
 
-// process is one program that a test started.
+// process is a child process started by a test.
 type process struct {
 	t      testing.TB
 	name   string
@@ -110,7 +112,7 @@
 		p.signal(syscall.SIGCONT)
 		p.kill()
 		if strings.Contains(p.err.String(), "DATA RACE") {
-			t.Errorf("%s raced:\n%s", name, raceReports(p.err.String()))
+			t.Errorf("data race in %s:\n%s", name, raceReports(p.err.String()))
 		}
 		if t.Failed() && os.Getenv("E2E_LOGS") != "" {
 			t.Logf("%s wrote:\n%s%s", name, p.out.String(), p.err.String())
@@ -119,8 +121,8 @@
 	return p
 }
 
-// raceReports cuts the race detector's reports out of what a process wrote:
-// among its other lines they would be lost in a shortened output.
+// raceReports extracts the race detector's reports from a process's output.
+// Among the other lines, they would be lost when the test output is truncated.
 func raceReports(text string) string {
 	const bar = "==================\n"
 	var reports strings.Builder
@@ -134,19 +136,19 @@
 
 func (p *process) signal(sig syscall.Signal) { _ = p.cmd.Process.Signal(sig) }
 
-// kill ends the process at once and waits for its end.
+// kill sends SIGKILL and waits until the process has exited.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.exited
 }
 
-// wait waits for the process to end by itself and returns its exit code.
+// wait waits until the process exits by itself and returns its exit code.
 func (p *process) wait() int {
 	p.t.Helper()
 	select {
 	case <-p.exited:
-	case <-time.After(patience):
-		p.t.Fatalf("%s did not end; it wrote:\n%s", p.name, p.err.String())
+	case <-time.After(waitTimeout):
+		p.t.Fatalf("%s did not exit in time; its stderr:\n%s", p.name, p.err.String())
 	}
 	return p.code
 }
@@ -160,21 +162,21 @@
 	}
 }
 
-// eventually waits until cond holds.
+// eventually polls cond until it holds, and fails the test after waitTimeout.
 func eventually(t testing.TB, what string, cond func() bool) {
 	t.Helper()
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
 	for !cond() {
 		if time.Now().After(end) {
-			t.Fatalf("still not so: %s", what)
+			t.Fatalf("timed out waiting for condition: %s", what)
 		}
 		<-tick.C
 	}
 }
 
-// field returns the value of name=value in a line, up to a space.
+// field returns the value of the first name=value pair in a line, up to the next space.
 func field(line, name string) string {
 	_, rest, ok := strings.Cut(line, name+"=")
 	if !ok {
--- a/e2e/quarantine_test.go
+++ b/e2e/quarantine_test.go
@@ -7,15 +7,17 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// crashWord is in the prompts that end the engine which begins to run them.
+// crashWord is the text in a prompt that crashes an engine when it starts the
+// request.
 const crashWord = "the page that no engine reads"
 
-// TestRequestThatEndsEngines sends a prompt that ends each engine which begins to run it: it
-// costs as many engines as one request has attempts. Once the instances have heard of it
-// they send it to none any more; the engines that are left serve all else.
-func TestRequestThatEndsEngines(t *testing.T) {
+// TestRequestThatCrashesEngines sends a prompt that crashes every engine that starts
+// it. It may crash no more engines than a request has attempts. After that, all
+// instances quarantine the request and refuse it, and the remaining engines serve other
+// requests.
+func TestRequestThatCrashesEngines(t *testing.T) {
 	const engines, attempts = 7, 4
-	c := newCluster(t, clusterSpec{daemons: 3, engines: engines, engine: []string{"-crash-word", crashWord}})
+	c := newCluster(t, clusterSpec{daemons: 3, engines: engines, engineFlags: []string{"-crash-word", crashWord}})
 	c.apply(1, configText())
 	bad, fine := completion("docket-summary", crashWord, 4, true), completion("docket-summary", "another page", 4, true)
 	for _, d := range c.daemons {
@@ -23,15 +25,15 @@
 			t.Fatalf("%s answered %d: %s", d.name, got.status, got.body)
 		}
 	}
-	held := func(a answer) bool {
+	isQuarantined := func(a answer) bool {
 		return a.status == 503 && a.verdict == protocol.NotRun.String() && strings.Contains(string(a.body), string(protocol.CodeQuarantined))
 	}
 	if got := c.daemons[0].send(bad); got.status != 502 || got.verdict != protocol.MayHaveRun.String() {
 		t.Errorf("the first send was answered %d, %s: %s", got.status, got.verdict, got.body)
 	}
 	for _, d := range c.daemons {
-		eventually(t, d.name+" hears of it", func() bool { return strings.Contains(d.err.String(), `"message":"quarantine"`) })
-		if got := d.send(bad); !held(got) {
+		eventually(t, d.name+" quarantines the request", func() bool { return strings.Contains(d.err.String(), `"message":"quarantine"`) })
+		if got := d.send(bad); !isQuarantined(got) {
 			t.Errorf("%s answered %d, %s: %s", d.name, got.status, got.verdict, got.body)
 		}
 		if got := d.send(fine); got.status != 200 {
@@ -45,6 +47,6 @@
 		}
 	}
 	if left < engines-attempts {
-		t.Errorf("%d of %d engines are left", left, engines)
+		t.Errorf("only %d of %d engines are still running", left, engines)
 	}
 }
--- a/e2e/relay_test.go
+++ b/e2e/relay_test.go
@@ -8,59 +8,60 @@
 	"testing"
 )
 
-// relay stands before an instance's peer address. It can swallow what goes
-// from one instance to another while the connections stay open, as a cut in
-// the network does.
-type relay struct {
+// peerProxy is a TCP proxy in front of an instance's peer address. It can drop the
+// traffic from one instance to another while the connections stay open, as in a
+// network partition.
+type peerProxy struct {
 	t      testing.TB
 	ln     net.Listener
-	owner  string // owner is the instance behind the relay.
+	owner  string // owner is the instance behind the proxy.
 	target func() string
 	net    *network
 }
 
-// network holds which directions are cut, for all relays of a test.
+// network holds the blocked directions, for all proxies of a test.
 type network struct {
-	mu    sync.Mutex
-	names []string
-	cuts  map[string]bool // cuts holds "from>to".
+	mu      sync.Mutex
+	names   []string
+	blocked map[string]bool // blocked has keys of the form "from>to".
 }
 
-func (n *network) cut(from, to string, on bool) {
+func (n *network) block(from, to string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cuts[from+">"+to] = on
+	n.blocked[from+">"+to] = on
 }
 
-// isolate cuts an instance off from all others, both ways.
+// isolate blocks or unblocks the traffic between an instance and all others, in
+// both directions.
 func (n *network) isolate(name string, on bool) {
 	for _, other := range n.names {
 		if other != name {
-			n.cut(name, other, on)
-			n.cut(other, name, on)
+			n.block(name, other, on)
+			n.block(other, name, on)
 		}
 	}
 }
 
-func (n *network) isCut(from, to string) bool {
+func (n *network) isBlocked(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cuts[from+">"+to]
+	return n.blocked[from+">"+to]
 }
 
-func (n *network) relay(t testing.TB, owner string, target func() string) *relay {
+func (n *network) proxy(t testing.TB, owner string, target func() string) *peerProxy {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &relay{t: t, ln: ln, owner: owner, target: target, net: n}
+	r := &peerProxy{t: t, ln: ln, owner: owner, target: target, net: n}
 	t.Cleanup(func() { ln.Close() })
 	go r.run()
 	return r
 }
 
-func (r *relay) run() {
+func (r *peerProxy) run() {
 	for {
 		conn, err := r.ln.Accept()
 		if err != nil {
@@ -70,33 +71,33 @@
 	}
 }
 
-// serve learns from the greeting who connects, and then passes on what is not
-// cut.
-func (r *relay) serve(in net.Conn) {
+// serve identifies the connecting instance by its greeting, and then forwards the
+// traffic of directions that are not blocked.
+func (r *peerProxy) serve(in net.Conn) {
 	defer in.Close()
 	out, err := net.Dial("tcp", r.target())
 	if err != nil {
 		return
 	}
 	defer out.Close()
-	greeting, from := r.greeting(in)
+	greeting, from := r.readGreeting(in)
 	if from == "" {
 		return
 	}
-	if !r.net.isCut(from, r.owner) {
+	if !r.net.isBlocked(from, r.owner) {
 		if _, err := out.Write(greeting); err != nil {
 			return
 		}
 	}
 	go func() {
-		r.pass(in, out, r.owner, from)
+		r.forward(in, out, r.owner, from)
 		in.Close()
 	}()
-	r.pass(out, in, from, r.owner)
+	r.forward(out, in, from, r.owner)
 }
 
-// greeting reads until it is known who connects.
-func (r *relay) greeting(in net.Conn) (greeting []byte, from string) {
+// readGreeting reads until the bytes contain the name of the connecting instance.
+func (r *peerProxy) readGreeting(in net.Conn) (greeting []byte, from string) {
 	buf := make([]byte, 4096)
 	for {
 		n, err := in.Read(buf)
@@ -110,7 +111,7 @@
 	}
 }
 
-func (r *relay) source(greeting []byte) string {
+func (r *peerProxy) source(greeting []byte) string {
 	for _, name := range r.net.names {
 		if bytes.Contains(greeting, []byte(name)) {
 			return name
@@ -119,15 +120,15 @@
 	return ""
 }
 
-// pass copies bytes and swallows those of a cut direction.
-func (r *relay) pass(dst io.Writer, src io.Reader, from, to string) {
+// forward copies bytes and drops them while their direction is blocked.
+func (r *peerProxy) forward(dst io.Writer, src io.Reader, from, to string) {
 	buf := make([]byte, 64<<10)
 	for {
 		n, err := src.Read(buf)
 		if err != nil {
 			return
 		}
-		if r.net.isCut(from, to) {
+		if r.net.isBlocked(from, to) {
 			continue
 		}
 		if _, err := dst.Write(buf[:n]); err != nil {
--- a/e2e/restart_test.go
+++ b/e2e/restart_test.go
@@ -9,8 +9,8 @@
 	"github.com/weldstream/weldstream/transport"
 )
 
-// applyDirect has a configuration accepted without the command-line tool,
-// whose start would be most of the time of hundreds of them.
+// applyDirect applies a configuration through the admin API instead of weldctl,
+// whose start-up would dominate the time of hundreds of applies.
 func (d *daemon) applyDirect(number int, text string) error {
 	body := transport.ApplyRequest{Number: uint64(number), Files: []state.ConfigFile{{Path: "config.yaml", Data: text}}}
 	resp, err := d.adminPost("/v1/config", body)
@@ -26,13 +26,13 @@
 
 const manyChanges = 700
 
-// TestRestartAfterManyChanges applies 700 configurations, kills all instances
-// and starts them again. The last one is in force, and none before it is seen.
+// TestRestartAfterManyChanges applies 700 configurations and restarts all
+// instances. Once an instance is ready, the last configuration is in force.
 func TestRestartAfterManyChanges(t *testing.T) {
 	c := newCluster(t, clusterSpec{daemons: 3, engines: 1, settings: "replica: {snapshot_entries: 256}\n"})
 	c.apply(1, configText())
 	for n := 2; n <= manyChanges; n++ {
-		if err := c.daemons[n%3].applyDirect(n, numbered(n)); err != nil {
+		if err := c.daemons[n%3].applyDirect(n, numberedConfig(n)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -50,14 +50,15 @@
 	}
 }
 
-// TestFreshInstanceIsConfirmed starts an instance that can reach only an
-// instance with an older configuration, and no quorum. It must not get ready.
+// TestFreshInstanceIsConfirmed starts a new instance that reaches no quorum, only
+// an instance with an older configuration. It must not become ready until a
+// quorum confirms the configuration.
 func TestFreshInstanceIsConfirmed(t *testing.T) {
-	c, n := newCutCluster(t)
+	c, n := newPartitionCluster(t)
 	old := c.daemons[2]
 	n.isolate(old.name, true)
 	next := c.leader(old)
-	if code, out := next.applyOn(2, numbered(2)); code != 0 {
+	if code, out := next.applyOn(2, numberedConfig(2)); code != 0 {
 		t.Fatalf("apply: %d %s", code, out)
 	}
 	for _, d := range c.daemons {
--- a/e2e/speed_test.go
+++ b/e2e/speed_test.go
@@ -19,9 +19,10 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// quickEngine is an engine whose answers cost it next to nothing, so that what
-// is measured is the relay: the events are rendered once, and written as fast
-// as they are taken, or one each pace with the time in its text.
+// quickEngine is an engine whose answers cost almost no CPU time, so that the
+// benchmarks measure the instances. Its events are encoded once and written as
+// fast as they are read; or, if pace is set, one event per pace, with the time of
+// the write in its text.
 type quickEngine struct {
 	address string
 	events  [][]byte
@@ -71,7 +72,7 @@
 	_, _ = w.Write([]byte("data: [DONE]\n\n"))
 }
 
-// paced writes an event each pace, with the time at which it did.
+// paced writes one event per pace, with the time of the write in its text.
 func (q *quickEngine) paced(w http.ResponseWriter, r *http.Request, out *http.ResponseController) {
 	tick := time.NewTicker(q.pace)
 	defer tick.Stop()
@@ -89,9 +90,9 @@
 	_, _ = w.Write([]byte("data: [DONE]\n\n"))
 }
 
-// quickRead opens a stream over a connection of its own and reads it to its
-// end, giving each line to see.
-func quickRead(address, model string, i int, see func(line []byte)) error {
+// quickRead opens a stream over a new connection, reads it to the end and calls
+// onLine for each line.
+func quickRead(address, model string, i int, onLine func(line []byte)) error {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return err
@@ -116,13 +117,12 @@
 		if bytes.HasPrefix(line, []byte("data: [DONE]")) {
 			return nil
 		}
-		see(line)
+		onLine(line)
 	}
 }
 
-// BenchmarkRelay relays answers as fast as they go, through one instance and
-// through several at once, and reports the tokens a second and what a token
-// costs the instances.
+// BenchmarkRelay relays answers at full speed through one or several instances,
+// and reports tokens per second and the instances' CPU time per token.
 func BenchmarkRelay(b *testing.B) {
 	for _, n := range []int{1, 2, 4} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -163,16 +163,16 @@
 	}
 }
 
-// speedCluster starts instances before a quick engine.
+// speedCluster starts instances with a quickEngine as their only engine.
 func speedCluster(b *testing.B, daemons int, q *quickEngine) *cluster {
 	c := newCluster(b, clusterSpec{daemons: daemons, replicas: 1})
 	c.listed = append(c.listed, protocol.Instance{ID: "quick", Kind: protocol.InstanceEngine, Address: q.address, Domain: domain(0), Class: "gpu-small"})
-	c.list()
+	c.publishInstances()
 	c.apply(1, configText())
 	return c
 }
 
-// cpu adds up the processor time of all instances.
+// cpu returns the total CPU time of all instances.
 func (c *cluster) cpu() time.Duration {
 	var sum time.Duration
 	for _, d := range c.daemons {
@@ -181,10 +181,10 @@
 	return sum
 }
 
-// BenchmarkAdded compares the time of a token from the engine's write to the
-// caller's read, directly and through an instance, at the letter's streams an
-// instance and their pace: all in step, as one engine's are, and spread over the
-// pace, as those of many engines are.
+// BenchmarkAdded measures the latency of a token from the engine's write to the
+// caller's read, directly and through an instance, at the required number of
+// streams per instance and their token interval. The streams either send in step,
+// like those of one engine, or spread over the interval, like those of many engines.
 func BenchmarkAdded(b *testing.B) {
 	const streams, tokens, pace = 116, 100, 57 * time.Millisecond
 	for _, way := range []string{"direct/in-step", "instance/in-step", "direct/spread", "instance/spread"} {
@@ -202,7 +202,7 @@
 				for i := range streams {
 					wg.Go(func() {
 						if strings.HasSuffix(way, "spread") {
-							time.Sleep(time.Duration(i) * pace / streams) // Not a wait for anything: the phase.
+							time.Sleep(time.Duration(i) * pace / streams) // Shifts the stream's phase.
 						}
 						err := quickRead(address, model, i, func(line []byte) {
 							parts := bytes.Split(line, []byte("@"))
