--- a/transport/control/duties.go
+++ b/transport/control/duties.go
@@ -84,7 +84,7 @@
 		}
 		if (err != nil) != failing {
 			failing = err != nil
-			d.log.Warn().Err(err).Bool("failing", failing).Msg("the platform's list")
+			d.log.Warn().Err(err).Bool("failing", failing).Msg("platform list read status changed")
 		}
 		wait := d.listInterval(calls)
 		d.uplink.RecordListRead(term, err == nil, wait)
@@ -173,7 +173,7 @@
 	limit, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if _, err := d.group.Propose(limit, protocol.Command{Tally: &protocol.TallyMsg{Rows: rows}}); err != nil {
-		d.log.Warn().Err(err).Int("rows", len(rows)).Msg("counts not logged")
+		d.log.Warn().Err(err).Int("rows", len(rows)).Msg("cannot append usage counts to the replicated log")
 	}
 }
 
@@ -191,6 +191,6 @@
 		if result.Base.Servers == 0 {
 			continue
 		}
-		d.log.Info().Str("service", m.Service).Int("servers", result.Base.Servers).Msg("first number of servers settled")
+		d.log.Info().Str("service", m.Service).Int("servers", result.Base.Servers).Msg("initial number of servers committed")
 	}
 }
--- a/transport/control/limits.go
+++ b/transport/control/limits.go
@@ -73,7 +73,7 @@
 		return
 	}
 	if err := r.caller.Call(leader, "Uplink.Limits", m, reply, limitsTimeout); err != nil {
-		r.uplink.log.Debug().Err(err).Str("leader", leader).Msg("no answer on the servers' limits for a gateway")
+		r.uplink.log.Debug().Err(err).Str("leader", leader).Msg("cannot forward a request for server limits to the leader")
 		*reply = protocol.LimitsReply{}
 		return
 	}
--- a/transport/control/list.go
+++ b/transport/control/list.go
@@ -85,7 +85,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if term < u.term {
-		u.log.Warn().Uint64("term", term).Uint64("now", u.term).Msg("list of an earlier term left out")
+		u.log.Warn().Uint64("term", term).Uint64("now", u.term).Msg("discarded a server list of an earlier term")
 		return
 	}
 	u.enterTerm(term)
--- a/transport/control/quarantine.go
+++ b/transport/control/quarantine.go
@@ -45,17 +45,17 @@
 	limit, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if _, err := u.group.Propose(limit, protocol.Command{Quarantine: &m}); err != nil {
-		u.log.Warn().Err(err).Int("held", len(m.Hold)).Int("tried", len(m.Try)).Int("freed", len(m.Free)).Msg("change of the quarantine not logged")
+		u.log.Warn().Err(err).Int("held", len(m.Hold)).Int("tried", len(m.Try)).Int("freed", len(m.Free)).Msg("cannot append quarantine changes to the replicated log")
 		return
 	}
 	for _, h := range m.Hold {
-		u.log.Warn().Stringer("fingerprint", h.Fingerprint).Int("servers", h.Servers).Msg("request held: servers ended under it")
+		u.log.Warn().Stringer("fingerprint", h.Fingerprint).Int("servers", h.Servers).Msg("request quarantined: servers crashed while running it")
 	}
 	for _, r := range m.Try {
-		u.log.Info().Stringer("fingerprint", r.Fingerprint).Str("gateway", r.Gateway).Int("trials", r.Trials).Msg("held request may be tried")
+		u.log.Info().Stringer("fingerprint", r.Fingerprint).Str("gateway", r.Gateway).Int("trials", r.Trials).Msg("trial of a quarantined request allowed")
 	}
 	for _, f := range m.Free {
-		u.log.Info().Stringer("fingerprint", f).Msg("held request freed: it ended well")
+		u.log.Info().Stringer("fingerprint", f).Msg("quarantined request released after a successful run")
 	}
 }
 
--- a/transport/control/relay.go
+++ b/transport/control/relay.go
@@ -266,7 +266,7 @@
 	go func() {
 		var reply protocol.BatchReply
 		if err := r.caller.Call(leader, "Uplink.Batch", m, &reply, batchTimeout); err != nil {
-			r.uplink.log.Warn().Err(err).Str("leader", leader).Msg("a relay's batch got no answer")
+			r.uplink.log.Warn().Err(err).Str("leader", leader).Msg("relay: batch call to the leader failed")
 			answers <- nil
 			return
 		}
@@ -344,7 +344,7 @@
 		return
 	}
 	if err := r.applyReply(b, reply, took); err != nil {
-		r.uplink.log.Error().Err(err).Uint64("number", reply.Number).Msg("a relay cannot read the leader's answer")
+		r.uplink.log.Error().Err(err).Uint64("number", reply.Number).Msg("relay: cannot apply the leader's answer")
 		r.reject(b.pending, b.leader)
 		return
 	}
@@ -419,5 +419,5 @@
 	defer r.mu.Unlock()
 	r.overdue = true
 	r.meters.overdue.Inc(1)
-	r.uplink.log.Warn().Str("leader", leader).Int("gateways", len(r.gateways)).Msg("a relay's batch is overdue")
+	r.uplink.log.Warn().Str("leader", leader).Int("gateways", len(r.gateways)).Msg("relay: the leader's answer is overdue")
 }
--- a/transport/control/report.go
+++ b/transport/control/report.go
@@ -91,7 +91,7 @@
 	}
 	missing, whole := d.uplink.MissingGateways(window, d.config.UsageWindow)
 	if len(missing) > 0 && d.reports.firstWait(window) {
-		d.log.Info().Int64("window", window).Strs("gateways", missing).Msg("usage waits for the counts of gateways")
+		d.log.Info().Int64("window", window).Strs("gateways", missing).Msg("usage report waits for counts of gateways")
 	}
 	return whole
 }
@@ -104,7 +104,7 @@
 	counts := d.uplink.UsageTotals(window)
 	result, err := d.group.Propose(limit, protocol.Command{Settle: &protocol.SettleUsageMsg{Window: window, Counts: counts}})
 	if err != nil || result.Settle == nil {
-		d.log.Warn().Err(err).Int64("window", window).Msg("usage not settled")
+		d.log.Warn().Err(err).Int64("window", window).Msg("cannot settle usage counts in the replicated log")
 		return false
 	}
 	if result.Settle.Sent {
@@ -117,7 +117,7 @@
 	}
 	if err := d.source.Report(limit, duty, window, result.Settle.Counts); err != nil {
 		d.checkFenced(duty, err)
-		d.log.Warn().Err(err).Int64("window", window).Uint64("token", duty.Token).Msg("usage report not taken")
+		d.log.Warn().Err(err).Int64("window", window).Uint64("token", duty.Token).Msg("usage report failed")
 		return false
 	}
 	d.log.Info().Int64("window", window).Uint64("token", duty.Token).Interface("counts", result.Settle.Counts).Msg("usage reported")
--- a/transport/control/steps.go
+++ b/transport/control/steps.go
@@ -56,7 +56,7 @@
 		u.log.Info().Str("service", step.Service).Uint64("rollout", step.Number).Str("version", t.record.Version).Stringer("from", t.record.Stage).
 			Stringer("to", step.Stage).Str("reason", step.Reason).Dur("elapsed", m.Elapsed).Int64("new", m.Assessment.New).Int64("new_failed", m.Assessment.NewFailed).
 			Int64("old", m.Assessment.Old).Int64("old_failed", m.Assessment.OldFailed).Float64("failures", m.Assessment.Failures).Float64("slowness", m.Assessment.Slowness).
-			Int("slots", m.Slots).Float64("running", m.Running).Msg("roll-out goes on")
+			Int("slots", m.Slots).Float64("running", m.Running).Msg("roll-out advances")
 	}
 	return steps
 }
@@ -139,7 +139,7 @@
 	limit, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if _, err := u.group.Propose(limit, protocol.Command{StageRollout: &step}); err != nil {
-		u.log.Warn().Err(err).Str("service", step.Service).Uint64("rollout", step.Number).Msg("step of a roll-out not logged")
+		u.log.Warn().Err(err).Str("service", step.Service).Uint64("rollout", step.Number).Msg("cannot append a roll-out step to the replicated log")
 		return
 	}
 	switch step.Stage {
--- a/transport/control/tenure.go
+++ b/transport/control/tenure.go
@@ -65,7 +65,7 @@
 	d.uplink.RestoreCounts(t.term, d.config.UsageWindow, tally.Tally.Rows)
 	d.restoredTerm.Store(t.term)
 	t.recorded, t.formerHolder = true, result.Hold.Former
-	d.log.Info().Uint64("token", t.term).Str("former", t.formerHolder).Msg("duties held")
+	d.log.Info().Uint64("token", t.term).Str("former", t.formerHolder).Msg("duties acquired")
 	return true
 }
 
--- a/transport/control/versions.go
+++ b/transport/control/versions.go
@@ -31,7 +31,7 @@
 		v := serviceVersion{in.Service, in.Version}
 		if _, ok := u.unannounced[v]; !ok {
 			u.unannounced[v] = now
-			u.log.Warn().Str("service", v.service).Str("version", v.version).Dur("wait", u.exposure.Unannounced).Msg("servers of a version that nothing names")
+			u.log.Warn().Str("service", v.service).Str("version", v.version).Dur("wait", u.exposure.Unannounced).Msg("servers of a version without a roll-out order")
 		}
 		unknown[v] = now.Sub(u.unannounced[v]) < u.exposure.Unannounced
 	}
@@ -77,5 +77,5 @@
 	limit, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err := u.group.Propose(limit, protocol.Command{Versions: &m})
-	u.log.Info().Err(err).Str("service", m.Service).Strs("versions", m.Versions).Msg("versions known")
+	u.log.Info().Err(err).Str("service", m.Service).Strs("versions", m.Versions).Msg("recording known versions in the replicated log")
 }
