--- a/transport/uplink/uplink_test.go
+++ b/transport/uplink/uplink_test.go
@@ -172,7 +172,7 @@
 // followed as soon as it names itself. Other instances that name it are ignored for a while, as
 // they may not know yet that it is down. When its own claim was ignored as well, gateways had no
 // leader for a second after it fell silent: in 30 rounds of two such restarts they logged
-// "linked to the leader" 0.9 to 1.2 s after its "duties held".
+// "linked to the leader" 0.9 to 1.2 s after its "duties acquired".
 func TestRestartedLeaderIsFollowed(t *testing.T) {
 	c := &fakeCaller{answers: map[string]func(protocol.SyncMsg) (protocol.SyncReply, error){"a": leads, "b": follows("a")}}
 	g := &fakeGateway{}
