--- a/internal/yamlfile/yamlfile.go
+++ b/internal/yamlfile/yamlfile.go
@@ -1,12 +1,12 @@
-// Package yamlfile reads a YAML file strictly into a struct and reports every
-// fault with the file, the line and the field, so that an operator can mend
-// all of them at once.
+// Package yamlfile decodes a YAML file strictly into a struct and reports every
+// fault with its file, line and field, so that an operator can correct all of
+// them at once.
 //
 //	faults := yamlfile.Decode("fleet.yaml", data, &config)
 //
-// Three passes find faults. The first parses the text. The second walks the
-// parsed tree beside the struct's fields and finds unknown names. The third
-// decodes, and runs the struct's validate tags.
+// Faults are found in three passes. The first parses the text. The second
+// compares the syntax tree with the struct type and finds unknown fields. The
+// third decodes the data and applies the struct's validate tags.
 package yamlfile
 
 import (
@@ -25,15 +25,15 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Fault is one thing wrong with a file.
+// Fault is one error in a file.
 type Fault struct {
-	File  string // File is the path as it was given.
-	Line  int    // Line counts from 1; 0 means the file as a whole.
+	File  string // File is the path as given by the caller.
+	Line  int    // Line counts from 1; 0 stands for the whole file.
 	Field string // Field is the path of the field, such as "limits.body_bytes".
-	What  string // What is wrong, for a person.
+	What  string // What describes the fault to an operator.
 }
 
-// Error renders the fault on one line.
+// Error formats the fault on one line.
 func (f Fault) Error() string {
 	if f.Field == "" {
 		return fmt.Sprintf("%s:%d: %s", f.File, f.Line, f.What)
@@ -41,7 +41,7 @@
 	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Field, f.What)
 }
 
-// Document is a parsed file whose fields can be traced back to their lines.
+// Document is a parsed file that maps field paths to lines.
 type Document struct {
 	file string
 	root ast.Node
@@ -49,8 +49,9 @@
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// newValidator returns a validator that names fields as the YAML does and
-// knows this module's own rules: name, ipport and duration bounds.
+// newValidator returns a validator that reports fields by their YAML names and
+// supports the custom rules name, ipport, dmin and dmax. The last two bound a
+// duration.
 func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return yamlName(f) })
@@ -96,9 +97,9 @@
 	return name
 }
 
-// Decode reads data strictly into dst, a pointer to a struct, and returns the
-// faults in the order of their lines. The document is nil when the text could
-// not be parsed.
+// Decode decodes data strictly into dst, a pointer to a struct, and returns the
+// faults ordered by line. The document is nil if the text is not valid YAML or
+// holds more than one document.
 func Decode(file string, data []byte, dst any) (*Document, []Fault) {
 	parsed, err := parser.ParseBytes(data, 0)
 	if err != nil {
@@ -111,14 +112,14 @@
 	if len(parsed.Docs) == 1 {
 		doc.root = parsed.Docs[0].Body
 	}
-	if doc.empty() { // Decoding nothing would set every default to zero.
-		return doc, sorted(doc.validate(dst))
+	if doc.isEmpty() { // Decoding an empty document would reset every default to zero.
+		return doc, sortByLine(doc.validate(dst))
 	}
-	faults := doc.unknown(doc.root, reflect.TypeOf(dst).Elem(), "")
+	faults := doc.unknownFields(doc.root, reflect.TypeOf(dst).Elem(), "")
 	if err := yaml.Unmarshal(data, dst); err != nil {
-		return doc, sorted(append(faults, doc.typeFault(err)))
+		return doc, sortByLine(append(faults, doc.typeFault(err)))
 	}
-	return doc, sorted(append(faults, doc.validate(dst)...))
+	return doc, sortByLine(append(faults, doc.validate(dst)...))
 }
 
 func syntaxFault(file string, err error) Fault {
@@ -133,7 +134,7 @@
 	return Fault{File: file, Line: 1, What: strings.SplitN(err.Error(), "\n", 2)[0]}
 }
 
-func (d *Document) empty() bool {
+func (d *Document) isEmpty() bool {
 	if d.root == nil {
 		return true
 	}
@@ -141,7 +142,8 @@
 	return null
 }
 
-// typeFault names the field whose value could not be decoded.
+// typeFault returns the fault for a value that could not be decoded, with the
+// path of its field.
 func (d *Document) typeFault(err error) Fault {
 	f := syntaxFault(d.file, err)
 	var located yaml.Error
@@ -152,7 +154,7 @@
 	return f
 }
 
-// pathAt returns the path of the value at a place in the file, or "".
+// pathAt returns the path of the value at a line and column, or "".
 func (d *Document) pathAt(node ast.Node, line, column int, path string) string {
 	switch n := node.(type) {
 	case *ast.MappingNode:
@@ -162,7 +164,7 @@
 			}
 		}
 	case *ast.MappingValueNode:
-		return d.pathAt(n.Value, line, column, join(path, n.Key.GetToken().Value))
+		return d.pathAt(n.Value, line, column, joinPath(path, n.Key.GetToken().Value))
 	case *ast.SequenceNode:
 		for i, v := range n.Values {
 			if found := d.pathAt(v, line, column, fmt.Sprintf("%s[%d]", path, i)); found != "" {
@@ -176,8 +178,9 @@
 	return ""
 }
 
-// unknown walks node beside the type that it is decoded into.
-func (d *Document) unknown(node ast.Node, t reflect.Type, path string) []Fault {
+// unknownFields returns a fault for each field below node that t, the type it is
+// decoded into, does not have.
+func (d *Document) unknownFields(node ast.Node, t reflect.Type, path string) []Fault {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
@@ -199,12 +202,12 @@
 	var faults []Fault
 	for _, value := range values {
 		name := value.Key.GetToken().Value
-		field, ok := fieldNamed(t, name)
+		field, ok := fieldByYAMLName(t, name)
 		if !ok {
-			faults = append(faults, Fault{File: d.file, Line: value.Key.GetToken().Position.Line, Field: join(path, name), What: "unknown field"})
+			faults = append(faults, Fault{File: d.file, Line: value.Key.GetToken().Position.Line, Field: joinPath(path, name), What: "unknown field"})
 			continue
 		}
-		faults = append(faults, d.unknown(value.Value, field.Type, join(path, name))...)
+		faults = append(faults, d.unknownFields(value.Value, field.Type, joinPath(path, name))...)
 	}
 	return faults
 }
@@ -215,12 +218,12 @@
 	}
 	var faults []Fault
 	for i, item := range n.Values {
-		faults = append(faults, d.unknown(item, t.Elem(), fmt.Sprintf("%s[%d]", path, i))...)
+		faults = append(faults, d.unknownFields(item, t.Elem(), fmt.Sprintf("%s[%d]", path, i))...)
 	}
 	return faults
 }
 
-func fieldNamed(t reflect.Type, name string) (reflect.StructField, bool) {
+func fieldByYAMLName(t reflect.Type, name string) (reflect.StructField, bool) {
 	for i := range t.NumField() {
 		if f := t.Field(i); yamlName(f) == name && name != "" {
 			return f, true
@@ -229,7 +232,7 @@
 	return reflect.StructField{}, false
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
@@ -273,22 +276,22 @@
 	return fmt.Sprintf("breaks the rule %s %s", fe.Tag(), fe.Param())
 }
 
-// Fault returns a fault at the field with the given path. The line is that of
-// the field, or of its nearest parent when the field is absent.
+// Fault returns a fault at the field with the given path. Its line is that of
+// the field, or of the nearest parent present in the file.
 func (d *Document) Fault(path, what string) Fault {
-	return Fault{File: d.file, Line: d.line(path), Field: path, What: what}
+	return Fault{File: d.file, Line: d.lineOf(path), Field: path, What: what}
 }
 
-func (d *Document) line(path string) int {
-	for p := path; p != ""; p = parent(p) {
-		if node := d.find(p); node != nil {
+func (d *Document) lineOf(path string) int {
+	for p := path; p != ""; p = parentPath(p) {
+		if node := d.nodeAt(p); node != nil {
 			return node.GetToken().Position.Line
 		}
 	}
 	return 1
 }
 
-func (d *Document) find(path string) ast.Node {
+func (d *Document) nodeAt(path string) ast.Node {
 	if d.root == nil {
 		return nil
 	}
@@ -300,12 +303,13 @@
 	if err != nil || node == nil {
 		return nil
 	}
-	return firstToken(node)
+	return locationNode(node)
 }
 
-// firstToken returns the node that stands where a reader would look: the first
-// key of a mapping rather than its colon.
-func firstToken(node ast.Node) ast.Node {
+// locationNode returns the node whose position is reported for node. For a
+// mapping this is the first key, because the position of the mapping itself is
+// that of the colon.
+func locationNode(node ast.Node) ast.Node {
 	switch n := node.(type) {
 	case *ast.MappingNode:
 		if len(n.Values) > 0 {
@@ -317,7 +321,7 @@
 	return node
 }
 
-func parent(path string) string {
+func parentPath(path string) string {
 	i := strings.LastIndexAny(path, ".[")
 	if i < 0 {
 		return ""
@@ -325,7 +329,7 @@
 	return path[:i]
 }
 
-func sorted(faults []Fault) []Fault {
+func sortByLine(faults []Fault) []Fault {
 	sort.SliceStable(faults, func(i, j int) bool { return faults[i].Line < faults[j].Line })
 	return faults
 }
