--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -8,14 +8,14 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// prefixCache keeps the prompts seen last, up to a number of tokens. Two
-// prompts share what they have in common from the start, in whole blocks.
+// prefixCache is an LRU cache of prompts, bounded by a number of tokens. Two
+// prompts share their common prefix, in whole blocks.
 type prefixCache struct {
-	limit int
-	used  int
-	order *list.List // order has the prompt used last in front.
-	rows  map[string]*list.Element
-	event func(protocol.CacheEvent)
+	limit   int
+	used    int
+	recent  *list.List // recent holds the most recently used prompt first.
+	entries map[string]*list.Element
+	event   func(protocol.CacheEvent)
 }
 
 type cachedPrompt struct {
@@ -23,17 +23,17 @@
 	tokens int
 }
 
-// blockBytes is the size of a block of a prompt, the unit of sharing.
+// blockBytes is the size of a block, the unit in which prompts share a prefix.
 const blockBytes = 64
 
 func newPrefixCache(limit int, event func(protocol.CacheEvent)) *prefixCache {
-	return &prefixCache{limit: limit, order: list.New(), rows: map[string]*list.Element{}, event: event}
+	return &prefixCache{limit: limit, recent: list.New(), entries: map[string]*list.Element{}, event: event}
 }
 
 // lookup returns how many of a prompt's tokens are cached.
 func (c *prefixCache) lookup(prompt string, tokens int) int {
 	best := 0
-	for el := c.order.Front(); el != nil; el = el.Next() {
+	for el := c.recent.Front(); el != nil; el = el.Next() {
 		row := el.Value.(cachedPrompt)
 		best = max(best, commonBlocks(row.prompt, prompt))
 	}
@@ -43,8 +43,8 @@
 	return tokens * min(best, len(prompt)) / len(prompt)
 }
 
-// commonBlocks returns the length of the shared start, in whole blocks, or the
-// whole length for equal prompts.
+// commonBlocks returns the length in bytes of the common prefix, in whole blocks,
+// or the full length for equal prompts.
 func commonBlocks(a, b string) int {
 	if a == b {
 		return len(a)
@@ -57,22 +57,22 @@
 }
 
 func (c *prefixCache) add(prompt string, tokens int) {
-	if el, ok := c.rows[prompt]; ok {
-		c.order.MoveToFront(el)
+	if el, ok := c.entries[prompt]; ok {
+		c.recent.MoveToFront(el)
 		return
 	}
-	c.rows[prompt] = c.order.PushFront(cachedPrompt{prompt: prompt, tokens: tokens})
+	c.entries[prompt] = c.recent.PushFront(cachedPrompt{prompt: prompt, tokens: tokens})
 	c.used += tokens
 	c.event(protocol.CacheEvent{Prefix: xxhash.Sum64String(prompt), Tokens: tokens})
-	for c.used > c.limit && c.order.Len() > 1 {
+	for c.used > c.limit && c.recent.Len() > 1 {
 		c.evict()
 	}
 }
 
 func (c *prefixCache) evict() {
-	el := c.order.Back()
-	row := c.order.Remove(el).(cachedPrompt)
-	delete(c.rows, row.prompt)
+	el := c.recent.Back()
+	row := c.recent.Remove(el).(cachedPrompt)
+	delete(c.entries, row.prompt)
 	c.used -= row.tokens
 	c.event(protocol.CacheEvent{Prefix: xxhash.Sum64String(row.prompt), Tokens: row.tokens, Evicted: true})
 }
--- a/internal/standin/completions.go
+++ b/internal/standin/completions.go
@@ -14,28 +14,28 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// finishExported ends a stream whose request was exported.
+// finishExported is the finish reason of a stream whose request was exported.
 const finishExported = "exported"
 
-// defaultMaxTokens is generated when the request names no bound.
+// defaultMaxTokens is the number of tokens generated when the request sets no limit.
 const defaultMaxTokens = 16
 
 // job is one request in an engine.
 type job struct {
 	id           string
-	key          string // key is the caller's idempotency key.
-	continued    bool   // continued says that an earlier attempt began the answer.
+	key          string // key is the idempotency key of the caller.
+	continued    bool   // continued is true if an earlier attempt began the answer.
 	prompt       string
 	promptTokens int
 	priority     int
 	attempt      int
-	start        int // start is the token offset to go on from.
+	start        int // start is the token offset at which this attempt resumes.
 	imported     int // imported counts the tokens whose KV cache was fetched.
 	next         int
 	maxTokens    int
 	prefillLeft  int
 	ended        bool
-	out          chan jobToken
+	tokens       chan jobToken
 }
 
 type jobToken struct {
@@ -44,8 +44,8 @@
 	finish string
 }
 
-// completionBody is the part of the OpenAI body that the engine reads, with
-// the extensions for priority, resumption and KV import.
+// completionBody holds the fields of an OpenAI request that the engine reads, with
+// extensions for priority, resumption and KV import.
 type completionBody struct {
 	Model    string           `json:"model"`
 	Prompt   string           `json:"prompt"`
@@ -62,7 +62,7 @@
 	Content string `json:"content"`
 }
 
-// ChatPrompt returns the prompt that a chat's messages stand for, the input of
+// ChatPrompt returns the prompt built from the messages of a chat, the input of
 // [TokenText].
 func ChatPrompt(contents ...string) string { return strings.Join(contents, "\n") }
 
@@ -87,7 +87,7 @@
 	mux.HandleFunc("GET /cache_events", e.handleEvents)
 	mux.HandleFunc("POST /orders", e.handleOrder)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if e.faults.thaw(r.Context()) {
+		if e.faults.waitUnfrozen(r.Context()) {
 			mux.ServeHTTP(w, r)
 		}
 	})
@@ -140,12 +140,12 @@
 	if body.KVMove != nil {
 		j.imported = e.importKV(r.Context(), body.KVMove)
 	}
-	j.out = make(chan jobToken, j.maxTokens+2)
+	j.tokens = make(chan jobToken, j.maxTokens+2)
 	return j
 }
 
-// importKV fetches the KV cache of a request from another engine. On any
-// failure nothing is imported and the tokens are computed again.
+// importKV fetches the KV cache of a request from another engine and returns its
+// number of tokens. On any failure it returns 0 and the tokens are recomputed.
 func (e *Engine) importKV(ctx context.Context, m *protocol.KVMove) int {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
@@ -168,7 +168,7 @@
 	return x.Tokens
 }
 
-// stream writes the job's tokens as events, or one whole answer.
+// stream writes the tokens of a job as server-sent events.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, j *job, model string, chat bool) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
@@ -178,11 +178,11 @@
 	}
 	for {
 		select {
-		case tok, ok := <-j.out:
+		case tok, ok := <-j.tokens:
 			if !ok {
 				return
 			}
-			if !e.faults.thaw(r.Context()) || !out.token(r.Context(), tok) {
+			if !e.faults.waitUnfrozen(r.Context()) || !out.writeToken(r.Context(), tok) {
 				return
 			}
 		case <-r.Context().Done():
@@ -191,7 +191,7 @@
 	}
 }
 
-// eventWriter writes chunks in the OpenAI format, with usage on each.
+// eventWriter writes chunks in the OpenAI format, each with token usage.
 type eventWriter struct {
 	w      http.ResponseWriter
 	flush  *http.ResponseController
@@ -200,25 +200,25 @@
 	model  string
 	chat   bool
 	sent   int
-	held   *jobToken // held waits to be swapped with its successor.
+	held   *jobToken // held is sent after its successor; see Faults.Reorder.
 }
 
-func (o *eventWriter) token(ctx context.Context, tok jobToken) bool {
+func (o *eventWriter) writeToken(ctx context.Context, tok jobToken) bool {
 	if !pause.For(ctx, time.Duration(o.faults.DelayMS)*time.Millisecond) {
 		return false
 	}
 	if o.faults.DropAfter > 0 && o.sent >= o.faults.DropAfter {
-		hangUp()
+		abortConnection()
 	}
 	if o.faults.Reorder && o.held == nil && tok.finish == "" {
 		o.held = &tok
 		return true
 	}
-	ok := o.write(tok)
+	ok := o.writeChunk(tok)
 	if o.held != nil {
 		held := *o.held
 		o.held = nil
-		ok = ok && o.write(held)
+		ok = ok && o.writeChunk(held)
 	}
 	if ok && tok.finish != "" {
 		_, err := fmt.Fprint(o.w, "data: [DONE]\n\n")
@@ -227,7 +227,7 @@
 	return ok
 }
 
-func (o *eventWriter) write(tok jobToken) bool {
+func (o *eventWriter) writeChunk(tok jobToken) bool {
 	o.sent++
 	choice := protocol.ChunkChoice{}
 	if o.chat {
@@ -235,9 +235,9 @@
 	} else {
 		choice.Text = &tok.text
 	}
-	done := tok.offset
+	completed := tok.offset
 	if tok.text != "" {
-		done++
+		completed++
 	}
 	if tok.finish != "" {
 		choice.FinishReason = &tok.finish
@@ -247,7 +247,7 @@
 		Object:  "chunk",
 		Model:   o.model,
 		Choices: []protocol.ChunkChoice{choice},
-		Usage:   &protocol.Usage{PromptTokens: o.job.promptTokens, CompletionTokens: done, TotalTokens: o.job.promptTokens + done},
+		Usage:   &protocol.Usage{PromptTokens: o.job.promptTokens, CompletionTokens: completed, TotalTokens: o.job.promptTokens + completed},
 	}
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -305,7 +305,7 @@
 	if !readJSON(w, r, &o) {
 		return
 	}
-	if !e.order(o) {
+	if !e.applyOrder(o) {
 		writeJSON(w, http.StatusConflict, map[string]string{"error": "the fence is below the highest seen"})
 		return
 	}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -12,24 +12,24 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// EngineConfig sets up an engine stand-in.
+// EngineConfig configures an engine stand-in.
 type EngineConfig struct {
 	ID           string
 	Models       []string
 	Adapters     []string
-	TokenTime    time.Duration // TokenTime is between two tokens of a lone request.
-	BatchTime    time.Duration // BatchTime is added for each further request in the batch.
-	MaxBatch     int           // MaxBatch is how many requests run at once.
-	PrefillRate  int           // PrefillRate is how many prompt tokens one step computes.
-	CacheTokens  int           // CacheTokens bounds the prefix cache.
-	ReportLag    time.Duration // ReportLag is the age of a load report.
-	IgnoreFence  bool          // IgnoreFence accepts orders whatever their fence.
-	CrashWord    string        // CrashWord is in the prompts that end the engine as they begin to run; empty for none.
-	Crash        func()        // Crash ends the engine's process.
-	EventGapEach int           // EventGapEach loses each n-th cache event; 0 loses none.
+	TokenTime    time.Duration // TokenTime is the time per token with one request in the batch.
+	BatchTime    time.Duration // BatchTime is added per token for each further request in the batch.
+	MaxBatch     int           // MaxBatch is the maximum number of requests that run at once.
+	PrefillRate  int           // PrefillRate is the number of prompt tokens computed per step.
+	CacheTokens  int           // CacheTokens is the capacity of the prefix cache.
+	ReportLag    time.Duration // ReportLag is the interval at which the load report is updated, and so its maximum age.
+	IgnoreFence  bool          // IgnoreFence accepts orders with any fence.
+	CrashWord    string        // CrashWord makes the engine crash when a prompt that contains it starts to run; empty for none.
+	Crash        func()        // Crash ends the process of the engine.
+	EventGapEach int           // EventGapEach drops every n-th cache event; 0 drops none.
 }
 
-// EngineStats tell what really happened in an engine.
+// EngineStats counts what an engine actually did.
 type EngineStats struct {
 	Running    int            `json:"running"`
 	Waiting    int            `json:"waiting"`
@@ -40,23 +40,23 @@
 	Imported   int            `json:"imported"`
 	Tokens     int            `json:"tokens"`
 	Prefilled  int            `json:"prefilled"`
-	Recomputed int            `json:"recomputed"` // Recomputed counts prefilled tokens of later attempts.
-	Runs       map[string]int `json:"runs"`       // Runs counts starts per idempotency key, not continuations.
+	Recomputed int            `json:"recomputed"` // Recomputed counts tokens prefilled by later attempts.
+	Runs       map[string]int `json:"runs"`       // Runs counts starts per idempotency key, without continuations.
 	Orders     []OrderRecord  `json:"orders"`
 }
 
-// OrderRecord is an order with what became of it.
+// OrderRecord is an order and whether it was accepted.
 type OrderRecord struct {
 	protocol.Order
 	Accepted bool `json:"accepted"`
 }
 
-// Engine is a model engine stand-in. One goroutine steps the whole batch, as
-// engines do: each step gives every running request one token and takes longer
-// the more requests run.
+// Engine is a model engine stand-in. As in real engines, one loop advances the
+// whole batch: each step generates one token for every running request and takes
+// longer with more requests.
 type Engine struct {
 	cfg    EngineConfig
-	faults *faultBox
+	faults *faultState
 	ctx    context.Context
 
 	mu       sync.Mutex
@@ -74,7 +74,7 @@
 	stats    EngineStats
 }
 
-// export is a finished request whose KV cache can be fetched.
+// export is an ended request whose KV cache other engines can fetch.
 type export struct {
 	Prompt string `json:"prompt"`
 	Tokens int    `json:"tokens"`
@@ -84,7 +84,7 @@
 func NewEngine(cfg EngineConfig) *Engine {
 	e := &Engine{
 		cfg:      cfg,
-		faults:   newFaultBox(),
+		faults:   newFaultState(),
 		jobs:     map[string]*job{},
 		exports:  map[string]export{},
 		models:   slices.Clone(cfg.Models),
@@ -99,15 +99,15 @@
 // Serve runs the engine until ctx ends.
 func (e *Engine) Serve(ctx context.Context, l Listeners) error {
 	e.ctx = ctx
-	go e.loop(ctx)
+	go e.runSteps(ctx)
 	go e.reportLoop(ctx)
-	return l.serve(ctx, e.handler(), e.control())
+	return l.serve(ctx, e.handler(), e.controlHandler())
 }
 
-func (e *Engine) loop(ctx context.Context) {
+func (e *Engine) runSteps(ctx context.Context) {
 	for ctx.Err() == nil {
 		d := e.step()
-		if !pause.For(ctx, d) || !e.faults.thaw(ctx) {
+		if !pause.For(ctx, d) || !e.faults.waitUnfrozen(ctx) {
 			return
 		}
 	}
@@ -125,7 +125,7 @@
 	return e.cfg.TokenTime + time.Duration(max(0, len(e.running)-1))*e.cfg.BatchTime
 }
 
-// admit moves waiting requests into the batch, the highest priority first.
+// admit moves waiting requests into the batch, highest priority first.
 func (e *Engine) admit() {
 	slices.SortStableFunc(e.waiting, func(a, b *job) int { return b.priority - a.priority })
 	for len(e.waiting) > 0 && len(e.running) < e.cfg.MaxBatch {
@@ -143,12 +143,12 @@
 }
 
 func (e *Engine) prefill(j *job) {
-	have := max(e.cache.lookup(j.prompt, j.promptTokens), j.imported)
-	need := max(0, j.promptTokens+j.start-have)
-	j.prefillLeft = need
-	e.stats.Prefilled += need
+	available := max(e.cache.lookup(j.prompt, j.promptTokens), j.imported)
+	missing := max(0, j.promptTokens+j.start-available)
+	j.prefillLeft = missing
+	e.stats.Prefilled += missing
 	if j.attempt > 1 {
-		e.stats.Recomputed += need
+		e.stats.Recomputed += missing
 	}
 	e.cache.add(j.prompt, j.promptTokens)
 }
@@ -170,16 +170,16 @@
 	if j.next >= j.maxTokens {
 		token.finish = "length"
 		e.stats.Finished++
-		e.endLocked(j)
+		e.removeLocked(j)
 	}
-	j.out <- token
+	j.tokens <- token
 	if j.ended {
-		close(j.out)
+		close(j.tokens)
 	}
 }
 
-// endLocked takes a job off the engine's books. It needs e.mu.
-func (e *Engine) endLocked(j *job) {
+// removeLocked marks a job as ended and removes it from e.jobs. The caller holds e.mu.
+func (e *Engine) removeLocked(j *job) {
 	j.ended = true
 	delete(e.jobs, j.id)
 }
@@ -200,7 +200,7 @@
 	return true
 }
 
-// cancel ends a job whose caller is gone.
+// cancel ends a job whose caller has disconnected.
 func (e *Engine) cancel(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -208,11 +208,11 @@
 		return
 	}
 	e.stats.Canceled++
-	e.endLocked(j)
-	close(j.out)
+	e.removeLocked(j)
+	close(j.tokens)
 }
 
-// exportJob ends a running request and keeps its KV cache to be fetched.
+// exportJob ends a request and keeps its KV cache for other engines to fetch.
 func (e *Engine) exportJob(id string) (export, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -224,9 +224,9 @@
 	x := export{Prompt: j.prompt, Tokens: j.promptTokens + j.next}
 	e.exports[id] = x
 	e.stats.Exported++
-	e.endLocked(j)
-	j.out <- jobToken{offset: j.next, finish: finishExported}
-	close(j.out)
+	e.removeLocked(j)
+	j.tokens <- jobToken{offset: j.next, finish: finishExported}
+	close(j.tokens)
 	return x, true
 }
 
@@ -262,8 +262,8 @@
 	e.events = append(e.events, ev)
 }
 
-// order carries out a fenced order and reports whether it was accepted.
-func (e *Engine) order(o protocol.Order) bool {
+// applyOrder carries out a fenced order and reports whether it was accepted.
+func (e *Engine) applyOrder(o protocol.Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	ok := e.cfg.IgnoreFence || o.Fence >= e.fence
@@ -292,7 +292,7 @@
 	return append(list, name)
 }
 
-// Stats returns a copy of what really happened.
+// Stats returns a copy of the statistics.
 func (e *Engine) Stats() EngineStats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -306,7 +306,7 @@
 	return s
 }
 
-func (e *Engine) control() http.Handler {
+func (e *Engine) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /faults", e.faults.handleFaults)
 	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -12,38 +12,39 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// Platform is a stand-in of the cloud platform: a lagging list of instances,
-// reclaim notices, prices, and starts that are often refused. It starts no
-// process: a started instance is one of the spares that it was given.
+// Platform is a stand-in for the cloud platform. It serves a delayed list of
+// instances, reclaim notices and prices. It refuses starts on request and when no
+// spare matches. It starts no process: a started instance is one of the configured
+// spares.
 type Platform struct {
-	faults *faultBox
-
-	mu      sync.Mutex
-	now     []protocol.Instance
-	history []listVersion
-	spares  []protocol.Instance
-	notices []protocol.Notice
-	prices  []protocol.Price
-	started map[string]protocol.Instance // started are the instances by the order that bought them.
-	refuse  map[string]bool              // refuse holds what is refused, as "domain/class/market".
+	faults *faultState
+
+	mu        sync.Mutex
+	instances []protocol.Instance
+	history   []listVersion
+	spares    []protocol.Instance
+	notices   []protocol.Notice
+	prices    []protocol.Price
+	started   map[string]protocol.Instance // started maps start orders to their instances, so that a repeated order returns the same one.
+	refuse    map[string]bool              // refuse holds the starts to refuse, as "domain/class/market".
 }
 
-// listVersion is the list as it was from a time on.
+// listVersion is the list that was valid from a point in time.
 type listVersion struct {
 	at   time.Time
 	list []protocol.Instance
 }
 
-// PlatformSetup sets what the platform knows, over its control address.
+// PlatformSetup sets the state of the platform through its control address.
 type PlatformSetup struct {
 	Instances []protocol.Instance `json:"instances"`
 	Spares    []protocol.Instance `json:"spares"`
 	Prices    []protocol.Price    `json:"prices"`
-	Refuse    []string            `json:"refuse"` // Refuse holds "domain/class/market".
+	Refuse    []string            `json:"refuse"` // Refuse holds the starts to refuse, as "domain/class/market".
 }
 
-// ReclaimOrder makes the platform give notice of one instance or of a whole
-// failure domain.
+// ReclaimOrder makes the platform issue reclaim notices for one instance or for a
+// whole failure domain.
 type ReclaimOrder struct {
 	Instance string `json:"instance"`
 	Domain   string `json:"domain"`
@@ -52,7 +53,7 @@
 
 // NewPlatform returns a platform stand-in that is not serving yet.
 func NewPlatform() *Platform {
-	return &Platform{faults: newFaultBox(), refuse: map[string]bool{}, started: map[string]protocol.Instance{}}
+	return &Platform{faults: newFaultState(), refuse: map[string]bool{}, started: map[string]protocol.Instance{}}
 }
 
 // Serve runs the platform until ctx ends.
@@ -60,7 +61,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/instances", p.handleList)
 	mux.HandleFunc("POST /v1/instances", p.handleStart)
-	mux.HandleFunc("DELETE /v1/instances/{id}", p.handleGiveBack)
+	mux.HandleFunc("DELETE /v1/instances/{id}", p.handleRelease)
 	mux.HandleFunc("GET /v1/notices", p.handleNotices)
 	mux.HandleFunc("GET /v1/prices", p.handlePrices)
 	control := http.NewServeMux()
@@ -70,14 +71,15 @@
 	return l.serve(ctx, mux, control)
 }
 
-// change replaces the true list. It needs p.mu.
-func (p *Platform) change(list []protocol.Instance) {
-	p.now = list
+// setInstances replaces the current list and records it in the history. The caller
+// holds p.mu.
+func (p *Platform) setInstances(list []protocol.Instance) {
+	p.instances = list
 	p.history = append(p.history, listVersion{at: time.Now(), list: slices.Clone(list)})
 }
 
-// seen returns the list as old as the lag says.
-func (p *Platform) seen() []protocol.Instance {
+// listed returns the list as it was Faults.ListLagMS ago.
+func (p *Platform) listed() []protocol.Instance {
 	lag := time.Duration(p.faults.get().ListLagMS) * time.Millisecond
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -94,8 +96,8 @@
 }
 
 func (p *Platform) handleList(w http.ResponseWriter, r *http.Request) {
-	if p.faults.thaw(r.Context()) {
-		writeJSON(w, http.StatusOK, protocol.InstanceList{Instances: p.seen()})
+	if p.faults.waitUnfrozen(r.Context()) {
+		writeJSON(w, http.StatusOK, protocol.InstanceList{Instances: p.listed()})
 	}
 }
 
@@ -120,20 +122,20 @@
 	in := p.spares[i]
 	p.spares = slices.Delete(p.spares, i, i+1)
 	p.started[o.Order] = in
-	p.change(append(slices.Clone(p.now), in))
+	p.setInstances(append(slices.Clone(p.instances), in))
 	writeJSON(w, http.StatusCreated, in)
 }
 
-func (p *Platform) handleGiveBack(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) handleRelease(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	id := r.PathValue("id")
-	list := slices.DeleteFunc(slices.Clone(p.now), func(in protocol.Instance) bool { return in.ID == id })
-	if len(list) == len(p.now) {
+	list := slices.DeleteFunc(slices.Clone(p.instances), func(in protocol.Instance) bool { return in.ID == id })
+	if len(list) == len(p.instances) {
 		writeJSON(w, http.StatusNotFound, map[string]string{"error": "no such instance"})
 		return
 	}
-	p.change(list)
+	p.setInstances(list)
 	w.WriteHeader(http.StatusNoContent)
 }
 
@@ -167,7 +169,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.change(s.Instances)
+	p.setInstances(s.Instances)
 	p.spares, p.prices = s.Spares, s.Prices
 	p.refuse = map[string]bool{}
 	for _, pair := range s.Refuse {
@@ -183,7 +185,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list, count := slices.Clone(p.now), 0
+	list, count := slices.Clone(p.instances), 0
 	for i := range list {
 		if list[i].ID != o.Instance && (o.Domain == "" || list[i].Domain != o.Domain) {
 			continue
@@ -196,6 +198,6 @@
 			At:       time.Now().Add(time.Duration(o.InMS) * time.Millisecond),
 		})
 	}
-	p.change(list)
+	p.setInstances(list)
 	writeJSON(w, http.StatusOK, map[string]string{"noticed": fmt.Sprint(count)})
 }
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -12,23 +12,23 @@
 	"github.com/weldstream/weldstream/protocol"
 )
 
-// ServiceStats tell what really ran in a plain service.
+// ServiceStats counts the calls that a plain service ran.
 type ServiceStats struct {
 	Calls int            `json:"calls"`
 	Runs  map[string]int `json:"runs"` // Runs counts the calls per idempotency key.
 }
 
-// Service is a plain service stand-in. It answers any path and counts how
-// often each idempotency key ran.
+// Service is a plain service stand-in. It answers any path and counts the calls
+// per idempotency key.
 type Service struct {
 	id     string
-	faults *faultBox
+	faults *faultState
 
 	mu    sync.Mutex
 	stats ServiceStats
 }
 
-// ServiceAnswer is what the service returns to a call.
+// ServiceAnswer is the response to a call.
 type ServiceAnswer struct {
 	Server string `json:"server"`
 	Path   string `json:"path"`
@@ -39,7 +39,7 @@
 
 // NewService returns a service stand-in that is not serving yet.
 func NewService(id string) *Service {
-	return &Service{id: id, faults: newFaultBox(), stats: ServiceStats{Runs: map[string]int{}}}
+	return &Service{id: id, faults: newFaultState(), stats: ServiceStats{Runs: map[string]int{}}}
 }
 
 // Serve runs the service until ctx ends.
@@ -55,7 +55,7 @@
 	return l.serve(ctx, mux, control)
 }
 
-// Stats returns a copy of what really ran.
+// Stats returns a copy of the statistics.
 func (s *Service) Stats() ServiceStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,14 +67,14 @@
 }
 
 func (s *Service) handleLoad(w http.ResponseWriter, r *http.Request) {
-	if s.faults.thaw(r.Context()) {
+	if s.faults.waitUnfrozen(r.Context()) {
 		writeJSON(w, http.StatusOK, protocol.LoadReport{Server: s.id, Leaving: s.faults.get().Leaving})
 	}
 }
 
 func (s *Service) handleCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
-	if err != nil || !s.faults.thaw(r.Context()) {
+	if err != nil || !s.faults.waitUnfrozen(r.Context()) {
 		return
 	}
 	f := s.faults.get()
@@ -87,7 +87,7 @@
 	answer := s.run(r, string(body))
 	pause.For(r.Context(), time.Duration(f.DelayMS)*time.Millisecond)
 	if f.DropAnswer {
-		hangUp()
+		abortConnection()
 	}
 	writeJSON(w, http.StatusOK, answer)
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,13 +1,13 @@
-// Package standin holds small stand-ins for the systems around weldstream: a
-// model engine, a plain service and the platform. They speak the published
-// protocols over HTTP and misbehave on request.
+// Package standin provides test doubles of the systems around weldstream: a model
+// engine, a plain service and the platform. They implement the published protocols
+// over HTTP and inject faults on request.
 //
-// Every stand-in has two addresses. The first is what the real system would
-// serve; the second, the control address, is for tests and demos: it takes
-// faults (POST /faults) and tells what really happened (GET /stats).
+// Every stand-in has two addresses. The first serves the interface of the real
+// system. The second, the control address, is for tests and demos: it sets faults
+// (POST /faults) and, for engines and services, returns statistics (GET /stats).
 //
 // The text of a token is a function of prompt and offset, see [TokenText], so
-// that a wrong, doubled or missing token is visible in the answer.
+// that a wrong, duplicate or missing token is visible in the answer.
 package standin
 
 import (
@@ -25,14 +25,14 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// TokenText returns the text of the token at an offset of the answer to a
-// prompt, as every engine stand-in generates it.
+// TokenText returns the text that every engine stand-in generates for the token at
+// an offset of the answer to a prompt.
 func TokenText(prompt string, offset int) string {
 	h := xxhash.Sum64String(prompt + "#" + strconv.Itoa(offset))
 	return " w" + strconv.FormatUint(h&0xffff, 16) + "." + strconv.Itoa(offset)
 }
 
-// AnswerText returns the whole answer to a prompt.
+// AnswerText returns the complete answer to a prompt.
 func AnswerText(prompt string, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
@@ -41,36 +41,36 @@
 	return b.String()
 }
 
-// Faults are what a stand-in does wrong, until the next order on its control
-// address. The zero value does nothing wrong.
+// Faults are the faults that a stand-in injects until the next POST /faults. The
+// zero value injects none.
 type Faults struct {
-	DelayMS     int  `json:"delay_ms"`     // DelayMS is waited before each answer or chunk.
-	DropAfter   int  `json:"drop_after"`   // DropAfter closes the connection after so many chunks; 0 never.
-	DropAnswer  bool `json:"drop_answer"`  // DropAnswer runs the request and closes without an answer.
-	Reorder     bool `json:"reorder"`      // Reorder swaps each two chunks.
-	Freeze      bool `json:"freeze"`       // Freeze answers nothing, and accepts all.
-	Refuse      bool `json:"refuse"`       // Refuse answers 503 and says that nothing ran.
-	Leaving     bool `json:"leaving"`      // Leaving refuses new requests and says so in the load report.
-	ListLagMS   int  `json:"list_lag_ms"`  // ListLagMS is how old the platform's list is.
-	HoldNotices bool `json:"hold_notices"` // HoldNotices keeps reclaim notices back.
+	DelayMS     int  `json:"delay_ms"`     // DelayMS is the delay before each answer or chunk.
+	DropAfter   int  `json:"drop_after"`   // DropAfter closes the connection after this many chunks; 0 never does.
+	DropAnswer  bool `json:"drop_answer"`  // DropAnswer runs the request and closes the connection without an answer.
+	Reorder     bool `json:"reorder"`      // Reorder swaps each pair of chunks.
+	Freeze      bool `json:"freeze"`       // Freeze accepts all connections and answers none.
+	Refuse      bool `json:"refuse"`       // Refuse answers 503 with the verdict that the request did not run.
+	Leaving     bool `json:"leaving"`      // Leaving refuses new requests and sets Leaving in the load report.
+	ListLagMS   int  `json:"list_lag_ms"`  // ListLagMS is the age of the platform's list.
+	HoldNotices bool `json:"hold_notices"` // HoldNotices withholds reclaim notices.
 }
 
-// faultBox shares the faults between handlers.
-type faultBox struct {
+// faultState holds the current faults, shared by all handlers.
+type faultState struct {
 	mu      sync.Mutex
 	faults  Faults
 	changed chan struct{}
 }
 
-func newFaultBox() *faultBox { return &faultBox{changed: make(chan struct{})} }
+func newFaultState() *faultState { return &faultState{changed: make(chan struct{})} }
 
-func (b *faultBox) get() Faults {
+func (b *faultState) get() Faults {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.faults
 }
 
-func (b *faultBox) set(f Faults) {
+func (b *faultState) set(f Faults) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.faults = f
@@ -78,8 +78,8 @@
 	b.changed = make(chan struct{})
 }
 
-// thaw waits while the stand-in is frozen. It returns false when ctx ends.
-func (b *faultBox) thaw(ctx context.Context) bool {
+// waitUnfrozen waits while the stand-in is frozen. It returns false when ctx ends.
+func (b *faultState) waitUnfrozen(ctx context.Context) bool {
 	for {
 		b.mu.Lock()
 		frozen, changed := b.faults.Freeze, b.changed
@@ -96,7 +96,7 @@
 }
 
 // handleFaults serves POST /faults.
-func (b *faultBox) handleFaults(w http.ResponseWriter, r *http.Request) {
+func (b *faultState) handleFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
 	if !readJSON(w, r, &f) {
 		return
@@ -105,14 +105,14 @@
 	writeJSON(w, http.StatusOK, f)
 }
 
-// Listeners are the two addresses of a stand-in, already open, so that the
-// kernel can choose the ports and the caller learns them.
+// Listeners holds the open listeners of a stand-in. They are opened before serving, so
+// that the kernel can choose the ports and the caller can read them.
 type Listeners struct {
 	Main    net.Listener
 	Control net.Listener
 }
 
-// Listen opens both addresses.
+// Listen opens both listeners.
 func Listen(main, control string) (Listeners, error) {
 	m, err := net.Listen("tcp", main)
 	if err != nil {
@@ -158,10 +158,10 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // The reader may be gone; there is nobody to tell.
+	_ = json.NewEncoder(w).Encode(v) // The client may have disconnected.
 }
 
-// hangUp closes the connection of a request without an answer.
-func hangUp() {
+// abortConnection closes the connection of a request without a response.
+func abortConnection() {
 	panic(http.ErrAbortHandler)
 }
