--- a/cmd/weldsoak/main.go
+++ b/cmd/weldsoak/main.go
@@ -40,9 +40,9 @@
 	words := flag.Bool("words", false, "have servers name limits and ask for rest")
 	earlier := builds{}
 	flag.StringVar(&earlier.program, "earlier", "", "the daemon's `program` of an earlier build, for some processes")
-	mix := flag.String("mix", string(soak.MixFirst), "which processes run it: gateways, controls, first (lives) or last (lives)")
+	mix := flag.String("mix", string(soak.MixUpgrade), "which processes run it: gateways, controls, first (lives) or last (lives)")
 	flag.Parse()
-	earlier.mix = soak.Mix(*mix)
+	earlier.mix = soak.BuildMix(*mix)
 	seeds, err := parseSeeds(*list, *first, *count)
 	if err != nil || *daemon == "" || flag.NArg() > 0 || !sound(size) {
 		if err != nil {
@@ -90,7 +90,7 @@
 // builds are which processes run an earlier build; none without a program.
 type builds struct {
 	program string
-	mix     soak.Mix
+	mix     soak.BuildMix
 }
 
 // play runs one seed and reports whether every promise held. Logs of a run that
@@ -107,13 +107,13 @@
 		return false
 	}
 	if earlier.program != "" {
-		if err := c.Beside(earlier.program, earlier.mix); err != nil {
+		if err := c.UseEarlierBuild(earlier.program, earlier.mix); err != nil {
 			c.Close()
 			fmt.Fprintln(os.Stderr, "weldsoak:", err)
 			return false
 		}
 	}
-	plan := soak.Draw(seed, length, size)
+	plan := soak.DrawPlan(seed, length, size)
 	if reclaim {
 		plan = plan.WithReclaims(size)
 	}
@@ -121,13 +121,13 @@
 		plan = plan.WithCrashes()
 	}
 	if words {
-		plan = plan.WithWords()
+		plan = plan.WithBackpressure()
 	}
 	result, err := soak.Run(c, plan)
 	c.Close()
 	if err == nil && len(result.Breaches) == 0 {
 		fmt.Printf("seed %d: %d faults, %d of %d requests served, %d roll-outs completed, %d turned back, %d answers moved, %d servers ended under requests, %d limits kept to, nothing broken\n",
-			seed, len(plan.Steps), result.Served, result.Asked, result.Completed, result.RolledBack, result.Moved, result.Crashed, result.Limits)
+			seed, len(plan.Steps), result.Served, result.Sent, result.Completed, result.RolledBack, result.Moved, result.ServersCrashed, result.LimitsChecked)
 		return os.RemoveAll(dir) == nil
 	}
 	fmt.Printf("seed %d: BROKEN, error %v, logs in %s\n%s", seed, err, dir, plan)
--- a/internal/soak/crash_test.go
+++ b/internal/soak/crash_test.go
@@ -68,8 +68,8 @@
 // all other faults. The other steps of a seed stay as they are.
 func TestCrashSeeds(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
-		plan := Draw(seed, 5*time.Second, small).WithCrashes()
-		if result := played(t, small, plan); result.Crashed == 0 {
+		plan := DrawPlan(seed, 5*time.Second, small).WithCrashes()
+		if result := played(t, small, plan); result.ServersCrashed == 0 {
 			t.Errorf("seed %d: no server ended", seed)
 		}
 	}
--- a/internal/soak/mix_test.go
+++ b/internal/soak/mix_test.go
@@ -55,21 +55,21 @@
 
 // besideEarlier plays each mix with an earlier build.
 func besideEarlier(t *testing.T, earlier string) {
-	for _, mix := range []Mix{MixGateways, MixControls, MixFirst, MixLast} {
+	for _, mix := range []BuildMix{MixGateways, MixControls, MixUpgrade, MixRollback} {
 		t.Run(string(mix), func(t *testing.T) {
-			mixed(t, earlier, mix, small, Draw(102, 4*time.Second, small))
+			mixed(t, earlier, mix, small, DrawPlan(102, 4*time.Second, small))
 		})
 	}
 }
 
 // mixed plays a plan on a cluster of two builds.
-func mixed(t *testing.T, earlier string, mix Mix, size Size, plan Plan) {
+func mixed(t *testing.T, earlier string, mix BuildMix, size Size, plan Plan) {
 	t.Helper()
 	c, err := New(t.TempDir(), daemon, size)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.Beside(earlier, mix); err != nil {
+	if err := c.UseEarlierBuild(earlier, mix); err != nil {
 		t.Fatal(err)
 	}
 	if playedOn(t, c, plan).Served == 0 {
@@ -84,5 +84,5 @@
 // control's TestRelaysAreToldStarts shows it each time.
 func TestRelaysServeEarlierGateways(t *testing.T) {
 	regional := Size{Controls: 3, Gateways: 3, Backends: 6, Regions: 3, Delay: 8 * time.Millisecond}
-	mixed(t, buildEarlier(t, "94a15e6"), MixGateways, regional, Draw(105, 10*time.Second, regional))
+	mixed(t, buildEarlier(t, "94a15e6"), MixGateways, regional, DrawPlan(105, 10*time.Second, regional))
 }
--- a/internal/soak/move_test.go
+++ b/internal/soak/move_test.go
@@ -150,7 +150,7 @@
 func TestReclaimSeeds(t *testing.T) {
 	moved := 0 // moved are those of all seeds: a server may be taken away while nothing runs there.
 	for _, seed := range []uint64{1, 2} {
-		plain := Draw(seed, 6*time.Second, small)
+		plain := DrawPlan(seed, 6*time.Second, small)
 		plan := plain.WithReclaims(small)
 		others := slices.DeleteFunc(slices.Clone(plan.Steps), func(s Step) bool { return s.Fault == FaultReclaim })
 		if !slices.Equal(others, plain.Steps) || len(others) == len(plan.Steps) {
--- a/internal/soak/paths_test.go
+++ b/internal/soak/paths_test.go
@@ -25,14 +25,14 @@
 	for seed := range uint64(50) {
 		without := wide
 		without.Regions = 0
-		old, more := Draw(seed, time.Minute, without), Draw(seed, time.Minute, wide)
+		old, more := DrawPlan(seed, time.Minute, without), DrawPlan(seed, time.Minute, wide)
 		kept := slices.DeleteFunc(slices.Clone(more.Steps), func(s Step) bool { return s.Fault >= FaultRegion })
 		if !slices.Equal(kept, old.Steps) || len(kept) == len(more.Steps) {
 			t.Fatalf("seed %d: of %d steps %d are not of regions, %d before", seed, len(more.Steps), len(kept), len(old.Steps))
 		}
 	}
 	// The plan of a seed as it was drawn before there were regions.
-	if got := Draw(7, 2*time.Second, small).String(); got != plan7 {
+	if got := DrawPlan(7, 2*time.Second, small).String(); got != plan7 {
 		t.Errorf("seed 7 draws\n%s", got)
 	}
 }
@@ -42,7 +42,7 @@
 func TestNoCutWhileADiskIsLost(t *testing.T) {
 	cuts := 0
 	for seed := range uint64(4000) {
-		steps := Draw(seed, 12*time.Second, wide).Steps
+		steps := DrawPlan(seed, 12*time.Second, wide).Steps
 		for _, cut := range steps {
 			if cut.Fault < FaultRegion {
 				continue
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -24,7 +24,7 @@
 	FaultReplies              // FaultReplies has backend servers shed, fail, lose and break off.
 	FaultAPI                  // FaultAPI has the platform's API fail.
 	FaultDamage               // FaultDamage kills a control instance and flips a bit in its log.
-	faults                    // faults are those above, which Draw draws from.
+	faults                    // faults are those above, which DrawPlan draws from.
 )
 
 // FaultReclaim takes a server away after a notice; see WithReclaims. It stands behind
@@ -62,9 +62,9 @@
 	mostHarm   = 2 * time.Second
 )
 
-// Draw draws a plan from a seed. Faults come in series and overlap; of the
+// DrawPlan draws a plan from a seed. Faults come in series and overlap; of the
 // control instances no more are lost at once than a majority bears.
-func Draw(seed uint64, length time.Duration, size Size) Plan {
+func DrawPlan(seed uint64, length time.Duration, size Size) Plan {
 	rnd := rand.New(rand.NewPCG(seed, seed))
 	p := Plan{Seed: seed, Length: length}
 	controlsBusy := time.Duration(0)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -14,14 +14,14 @@
 
 // Result is how a run went.
 type Result struct {
-	Asked      int
-	Served     int
-	Completed  int // Completed and RolledBack are how roll-outs ended.
-	RolledBack int
-	Crashed    int // Crashed are servers that ended under requests.
-	Limits     int // Limits are how many were named for long enough to be checked.
-	Moved      int // Moved are running answers that went on at another server.
-	Breaches   []string
+	Sent           int
+	Served         int
+	Completed      int // Completed and RolledBack are how roll-outs ended.
+	RolledBack     int
+	ServersCrashed int // ServersCrashed are servers that ended under requests.
+	LimitsChecked  int // LimitsChecked are how many were named for long enough to be checked.
+	Moved          int // Moved are running answers that went on at another server.
+	Breaches       []string
 }
 
 const (
@@ -88,7 +88,7 @@
 	r.recover()
 	k.Finish()
 	rollouts.Finish()
-	return Result{Asked: len(k.asks), Served: k.Served(), Completed: rollouts.Completed, RolledBack: rollouts.RolledBack, Moved: c.Record.Moved(), Crashed: ended, Limits: limits,
+	return Result{Sent: len(k.asks), Served: k.Served(), Completed: rollouts.Completed, RolledBack: rollouts.RolledBack, Moved: c.Record.Moved(), ServersCrashed: ended, LimitsChecked: limits,
 		Breaches: slices.Concat(k.Breaches(), c.API.Breaches(), c.Record.Breaches(), overLimits)}, nil
 }
 
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -263,7 +263,7 @@
 		{5, usual, 8 * time.Second},
 		{6, regional, 6 * time.Second},
 	} {
-		result := played(t, s.size, Draw(s.seed, s.length, s.size))
+		result := played(t, s.size, DrawPlan(s.seed, s.length, s.size))
 		if result.Served == 0 {
 			t.Error("nothing was served")
 		}
@@ -298,7 +298,7 @@
 // TestDraw checks that a seed draws the same plan each time, and that no two
 // control instances are lost at once.
 func TestDraw(t *testing.T) {
-	a, b := Draw(7, time.Minute, small), Draw(7, time.Minute, small)
+	a, b := DrawPlan(7, time.Minute, small), DrawPlan(7, time.Minute, small)
 	if a.String() != b.String() || len(a.Steps) == 0 {
 		t.Errorf("%s differs from %s", a, b)
 	}
--- a/internal/soak/words.go
+++ b/internal/soak/words.go
@@ -35,9 +35,9 @@
 	from, to  time.Time
 }
 
-// WithWords returns the plan with servers besides that name limits and ask for rest all the
+// WithBackpressure returns the plan with servers besides that name limits and ask for rest all the
 // while. Each third server does neither.
-func (p Plan) WithWords() Plan {
+func (p Plan) WithBackpressure() Plan {
 	p.Words = true
 	return p
 }
--- a/internal/soak/words_test.go
+++ b/internal/soak/words_test.go
@@ -10,7 +10,7 @@
 func TestWordSeeds(t *testing.T) {
 	limits := 0
 	for _, seed := range []uint64{1, 2} {
-		limits += played(t, small, Draw(seed, 12*time.Second, small).WithWords()).Limits
+		limits += played(t, small, DrawPlan(seed, 12*time.Second, small).WithBackpressure()).LimitsChecked
 	}
 	if limits == 0 {
 		t.Error("no limit was named for long enough to be checked")
