--- a/cmd/weldsoak/main.go
+++ b/cmd/weldsoak/main.go
@@ -40,9 +40,9 @@
 	limitsAndRests := flag.Bool("words", false, "also let servers announce request limits and ask for pauses")
 	earlier := earlierBuild{}
 	flag.StringVar(&earlier.program, "earlier", "", "`program` of an earlier build of the daemon, for some of the processes")
-	mix := flag.String("mix", string(soak.MixFirst), "processes that run the earlier build: gateways, controls, first (every process until its first restart) or last (every process after its first restart)")
+	mix := flag.String("mix", string(soak.MixUpgrade), "processes that run the earlier build: gateways, controls, first (every process until its first restart) or last (every process after its first restart)")
 	flag.Parse()
-	earlier.mix = soak.Mix(*mix)
+	earlier.mix = soak.BuildMix(*mix)
 	seeds, err := parseSeeds(*seedList, *first, *count)
 	if err != nil || *daemon == "" || flag.NArg() > 0 || !validSize(size) {
 		if err != nil {
@@ -91,7 +91,7 @@
 // if program is empty.
 type earlierBuild struct {
 	program string
-	mix     soak.Mix
+	mix     soak.BuildMix
 }
 
 // runSeed runs one seed and reports whether all guarantees held. The logs of a failed
@@ -108,13 +108,13 @@
 		return false
 	}
 	if earlier.program != "" {
-		if err := c.Beside(earlier.program, earlier.mix); err != nil {
+		if err := c.UseEarlierBuild(earlier.program, earlier.mix); err != nil {
 			c.Close()
 			fmt.Fprintln(os.Stderr, "weldsoak:", err)
 			return false
 		}
 	}
-	plan := soak.Draw(seed, length, size)
+	plan := soak.DrawPlan(seed, length, size)
 	if reclaim {
 		plan = plan.WithReclaims(size)
 	}
@@ -122,13 +122,13 @@
 		plan = plan.WithCrashes()
 	}
 	if limitsAndRests {
-		plan = plan.WithWords()
+		plan = plan.WithBackpressure()
 	}
 	result, err := soak.Run(c, plan)
 	c.Close()
 	if err == nil && len(result.Breaches) == 0 {
 		fmt.Printf("seed %d: %d faults, %d of %d requests served, %d roll-outs completed, %d turned back, %d answers moved, %d servers ended under requests, %d limits kept to, nothing broken\n",
-			seed, len(plan.Steps), result.Served, result.Asked, result.Completed, result.RolledBack, result.Moved, result.Crashed, result.Limits)
+			seed, len(plan.Steps), result.Served, result.Sent, result.Completed, result.RolledBack, result.Moved, result.ServersCrashed, result.LimitsChecked)
 		return os.RemoveAll(dir) == nil
 	}
 	fmt.Printf("seed %d: BROKEN, error %v, logs in %s\n%s", seed, err, dir, plan)
--- a/internal/soak/mix.go
+++ b/internal/soak/mix.go
@@ -2,30 +2,31 @@
 
 import "fmt"
 
-// Mix is which processes run an earlier build.
-type Mix string
+// BuildMix selects the processes that run an earlier build.
+type BuildMix string
 
-// The mixes.
+// The build mixes.
 const (
-	MixGateways Mix = "gateways" // MixGateways has all gateways run the earlier build.
-	MixControls Mix = "controls" // MixControls has all control instances run it.
-	MixFirst    Mix = "first"    // MixFirst has the first life of each process run it, and later ones the present build: an upgrade.
-	MixLast     Mix = "last"     // MixLast has the first life of each run the present build, and later ones the earlier: a return.
+	MixGateways BuildMix = "gateways" // MixGateways runs the earlier build in all gateways.
+	MixControls BuildMix = "controls" // MixControls runs the earlier build in all control instances.
+	MixUpgrade  BuildMix = "first"    // MixUpgrade starts each process with the earlier build first and with the present one after that.
+	MixRollback BuildMix = "last"     // MixRollback starts each process with the present build first and with the earlier one after that.
 )
 
-// Beside has some processes run an earlier build. It is called before Start.
-func (c *Cluster) Beside(earlier string, m Mix) error {
+// UseEarlierBuild makes some processes run an earlier build. It must be called before
+// Start.
+func (c *Cluster) UseEarlierBuild(earlier string, m BuildMix) error {
 	for _, p := range c.procs {
 		switch {
 		case m == MixGateways && p.Role == "gateway", m == MixControls && p.Role == "control":
 			p.bin = earlier
 		case m == MixGateways, m == MixControls:
-		case m == MixFirst:
-			p.bin, p.later = earlier, p.bin
-		case m == MixLast:
-			p.later = earlier
+		case m == MixUpgrade:
+			p.bin, p.nextBin = earlier, p.bin
+		case m == MixRollback:
+			p.nextBin = earlier
 		default:
-			return fmt.Errorf("no mix of builds is called %q", m)
+			return fmt.Errorf("unknown build mix %q", m)
 		}
 	}
 	return nil
