--- a/internal/soak/mix_test.go
+++ b/internal/soak/mix_test.go
@@ -81,7 +81,7 @@
 // its faults: relays got servers by name only and passed them on to gateways, which had
 // the start times from the leader and took the names for older data ("list of servers",
 // servers 0). The run fails only at times, depending on which list a gateway got last
-// before the faults ended; TestRelaysAreToldStarts of package control fails each time.
+// before the faults ended; TestRelaysReceiveIncarnations of package control fails each time.
 func TestRelaysServeEarlierGateways(t *testing.T) {
 	regional := Size{Controls: 3, Gateways: 3, Backends: 6, Regions: 3, Delay: 8 * time.Millisecond}
 	runMixedBuilds(t, buildEarlier(t, "94a15e6"), MixGateways, regional, DrawPlan(105, 10*time.Second, regional))
